--- a/crates/lockstep/src/coordinator/pulse.rs
+++ b/crates/lockstep/src/coordinator/pulse.rs
@@ -3,8 +3,8 @@
 use auburnline_core::id::Rank;
 
 use crate::coordinator::Coordinator;
-use crate::real;
 use crate::sight::Sight;
+use crate::to_f64;
 use crate::told::Pulse;
 
 impl Coordinator {
@@ -23,7 +23,7 @@
     pub(super) fn requests_per_rank(&self) -> f64 {
         let sights = self.members.values().map(|member| &member.sight);
         let requests: u32 = sights.map(|sight| sight.running + sight.waiting).sum();
-        f64::from(requests) / real(self.members.len().max(1))
+        f64::from(requests) / to_f64(self.members.len().max(1))
     }
 
     /// Returns how the group runs.
--- a/crates/lockstep/src/layout.rs
+++ b/crates/lockstep/src/layout.rs
@@ -7,8 +7,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::real;
 use crate::sight::Version;
+use crate::to_f64;
 
 /// Most cells of a first map that is laid out at another's word: well over 58 layers of 256 experts, and a bound on what
 /// a broken message may ask for.
@@ -57,7 +57,7 @@
             .iter()
             .zip(shares)
             .map(|(layer, shares)| layer_skew(layer, shares));
-        skews.sum::<f64>() / real(self.0.len().max(1))
+        skews.sum::<f64>() / to_f64(self.0.len().max(1))
     }
 
     /// Returns a hash that all processes agree on.
@@ -246,5 +246,5 @@
     let loads = layer.iter().map(|held| held.iter().map(part).sum::<f64>());
     let slowest = loads.fold(0.0, f64::max);
     let sum: f64 = shares.iter().sum();
-    slowest * real(layer.len()) / sum.max(f64::EPSILON)
+    slowest * to_f64(layer.len()) / sum.max(f64::EPSILON)
 }
--- a/crates/lockstep/src/lib.rs
+++ b/crates/lockstep/src/lib.rs
@@ -28,6 +28,6 @@
 pub use coordinator::Coordinator;
 
 /// Returns a small count as a number to reckon with.
-pub(crate) fn real(count: usize) -> f64 {
+pub(crate) fn to_f64(count: usize) -> f64 {
     u32::try_from(count).map_or(f64::MAX, f64::from)
 }
--- a/crates/lockstep/src/plan.rs
+++ b/crates/lockstep/src/plan.rs
@@ -19,7 +19,7 @@
 
 use crate::layout::Layout;
 use crate::layout::Shape;
-use crate::real;
+use crate::to_f64;
 
 /// How much one change may do, and what it has to bring.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -93,7 +93,7 @@
         let start = padded(held, shares, shape.places);
         let ranks = held.len();
         let sum: f64 = shares.iter().sum();
-        let mean = sum / real(ranks.max(1));
+        let mean = sum / to_f64(ranks.max(1));
         let outlook = outlook(shares, slowness);
         let path = search::improve(&start, ranks, outlook, searched);
         Draft {
@@ -116,7 +116,7 @@
             let copies = self.path.points[taken]
                 .loads
                 .saturating_sub(self.path.points[self.taken].loads);
-            ((now - self.skew(taken)) / real(copies.max(1)), taken)
+            ((now - self.skew(taken)) / to_f64(copies.max(1)), taken)
         });
         gains.max_by(|one, other| one.0.total_cmp(&other.0))
     }
@@ -171,7 +171,7 @@
 
 fn skew(drafts: &[Draft]) -> f64 {
     let sum: f64 = drafts.iter().map(|draft| draft.skew(draft.taken)).sum();
-    sum / real(drafts.len().max(1))
+    sum / to_f64(drafts.len().max(1))
 }
 
 /// Returns the layer whose next changes pay best, and how many changes it then has.
@@ -182,7 +182,7 @@
         .filter(|(layer, _)| !closed[*layer]);
     let gains = open.filter_map(|(layer, draft)| Some((draft.next()?, layer)));
     let ((gain, taken), layer) = gains.max_by(|one, other| one.0.0.total_cmp(&other.0.0))?;
-    let overall = gain / real(drafts.len().max(1));
+    let overall = gain / to_f64(drafts.len().max(1));
     (overall >= least_step).then_some((layer, taken))
 }
 
--- a/crates/lockstep/src/popularity.rs
+++ b/crates/lockstep/src/popularity.rs
@@ -9,7 +9,7 @@
 
 use auburnline_core::time::Monotonic;
 
-use crate::real;
+use crate::to_f64;
 
 /// Time in which a choice fades to a third. Shorter, single long prompts pass for popularity.
 const FADE: Duration = Duration::from_millis(1_500);
@@ -119,11 +119,11 @@
         let layers = one.len().max(1);
         let differences = one.iter().flatten().zip(other.iter().flatten());
         let sum: f64 = differences.map(|(one, other)| (one - other).abs()).sum();
-        Some(sum / real(layers))
+        Some(sum / to_f64(layers))
     }
 
     fn least(&self) -> f64 {
-        LEAST_PER_EXPERT * real(self.experts)
+        LEAST_PER_EXPERT * to_f64(self.experts)
     }
 
     /// Returns the shares by layer, once there are enough choices in each.
--- a/crates/lockstep/src/traffic.rs
+++ b/crates/lockstep/src/traffic.rs
@@ -8,7 +8,7 @@
 
 use auburnline_core::time::Monotonic;
 
-use crate::real;
+use crate::to_f64;
 
 /// Part of a link that counts of experts may take on their way to the lead. Summed counts are larger than those of one
 /// rank by up to a half, and other words need their room.
@@ -42,7 +42,7 @@
 
     /// Returns how many messages of `bytes` fit into a part of the link within `period`.
     fn fitting(self, part: f64, bytes: usize, period: Duration) -> f64 {
-        self.bytes_per_second * part * period.as_secs_f64() / real(bytes.max(1))
+        self.bytes_per_second * part * period.as_secs_f64() / to_f64(bytes.max(1))
     }
 
     /// Returns how many of `ranks` may send the counts of `experts` over all layers to the lead in each `period`; the others
@@ -63,14 +63,14 @@
     /// Returns how long a whole map of `bytes` takes of the part of the link that such maps may have.
     #[must_use]
     pub fn map_time(self, bytes: usize) -> Duration {
-        let seconds = real(bytes) / (self.bytes_per_second * MAPS_PART).max(f64::EPSILON);
+        let seconds = to_f64(bytes) / (self.bytes_per_second * MAPS_PART).max(f64::EPSILON);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 }
 
 /// Returns how many of `all` are reached directly where a link bears `fitting`.
 fn shared(all: usize, fitting: f64) -> usize {
-    if all <= LEAST_DIRECT || real(all) <= fitting {
+    if all <= LEAST_DIRECT || to_f64(all) <= fitting {
         return all;
     }
     hops(all)
