--- a/crates/lockstep/src/coordinator.rs
+++ b/crates/lockstep/src/coordinator.rs
@@ -22,9 +22,9 @@
 use crate::change::stray;
 use crate::coordinator::planning::Stage;
 use crate::cost::Cost;
-use crate::given::Given;
 use crate::layout::Layout;
 use crate::layout::Shape;
+use crate::outstanding::Outstanding;
 use crate::passes::Passes;
 use crate::popularity::Popularity;
 use crate::sight::Epoch;
@@ -91,7 +91,7 @@
     began: Monotonic,
     /// Longest copying on a rank for the change under way.
     copying: Duration,
-    given: Given,
+    outstanding: Outstanding,
     link: Link,
     /// When the next whole map may leave.
     maps: Pace,
@@ -122,7 +122,7 @@
             change: None,
             began: now,
             copying: Duration::ZERO,
-            given: Given::default(),
+            outstanding: Outstanding::default(),
             link,
             maps: Pace::default(),
             planned_at: now,
@@ -216,7 +216,7 @@
         }
         self.epoch = Some(epoch);
         self.members.clear();
-        self.given.clear();
+        self.outstanding.clear();
         self.in_force = None;
         self.next = None;
         self.floor = 0;
--- a/crates/lockstep/src/coordinator/ordering.rs
+++ b/crates/lockstep/src/coordinator/ordering.rs
@@ -12,7 +12,7 @@
 use crate::coordinator::Coordinator;
 use crate::coordinator::HOLDER;
 use crate::coordinator::planning::Stage;
-use crate::given::Shown;
+use crate::outstanding::Observation;
 use crate::sight::Epoch;
 use crate::told::Note;
 use crate::told::Send;
@@ -68,11 +68,12 @@
     /// Returns whether an order was not just given.
     fn is_due(&self, (rank, order): (Rank, Order), now: Monotonic) -> bool {
         let member = self.members.get(&rank);
-        let shown = member.map(|member| Shown {
+        let shown = member.map(|member| Observation {
             at: member.seen,
             is_busy: member.sight.is_busy,
         });
-        self.given.is_due(rank, order, self.copying, shown, now)
+        self.outstanding
+            .is_due(rank, order, self.copying, shown, now)
     }
 
     /// Gives an order; none if it would need a whole map, and others have just left.
@@ -87,7 +88,7 @@
         if let (Order::Prepare(_), Some(next)) = (order, &self.next) {
             send.layout = Some(Arc::clone(&next.layout));
             // A rank that did not act on what differs may not know the map in force.
-            let is_repeated = self.given.is_repeated(rank, order);
+            let is_repeated = self.outstanding.is_repeated(rank, order);
             let known = self.in_force.as_ref().filter(|_| !is_repeated);
             send.base = known.map(|known| (known.version, Arc::clone(&known.layout)));
         }
@@ -97,7 +98,7 @@
                 return None;
             }
         }
-        self.given.note(rank, order, now);
+        self.outstanding.record(rank, order, now);
         Some(send)
     }
 }
--- a/crates/lockstep/src/coordinator/planning.rs
+++ b/crates/lockstep/src/coordinator/planning.rs
@@ -71,7 +71,7 @@
         });
         self.change = Some(Change::new(epoch, version, self.floor));
         self.began = now;
-        self.given.clear();
+        self.outstanding.clear();
         self.notes.push(Note::Begun(version, plan));
     }
 
--- a/crates/lockstep/src/given.rs
+++ b/crates/lockstep/src/outstanding.rs
@@ -20,11 +20,11 @@
 
 /// The last order to each rank, and when it was given.
 #[derive(Default)]
-pub(crate) struct Given(BTreeMap<Rank, (Order, Monotonic)>);
+pub(crate) struct Outstanding(BTreeMap<Rank, (Order, Monotonic)>);
 
-impl Given {
+impl Outstanding {
     /// Notes an order that is given.
-    pub(crate) fn note(&mut self, rank: Rank, order: Order, now: Monotonic) {
+    pub(crate) fn record(&mut self, rank: Rank, order: Order, now: Monotonic) {
         self.0.insert(rank, (order, now));
     }
 
@@ -45,13 +45,13 @@
         rank: Rank,
         order: Order,
         copying: Duration,
-        shows: Option<Shown>,
+        shows: Option<Observation>,
         now: Monotonic,
     ) -> bool {
         let Some((given, at)) = self.0.get(&rank) else {
             return true;
         };
-        let is_idle = |shown: Shown| !shown.is_busy && shown.at >= *at + UNHEARD;
+        let is_idle = |shown: Observation| !shown.is_busy && shown.at >= *at + UNHEARD;
         let (patience, is_unheard) = match order {
             Order::Prepare(_) => (copying + PREPARE_AGAIN, shows.is_some_and(is_idle)),
             Order::Hold(_) | Order::Arm(_) | Order::Release(_) => (AGAIN, false),
@@ -62,7 +62,7 @@
 
 /// What a rank showed last.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Shown {
+pub(crate) struct Observation {
     /// When that was.
     pub(crate) at: Monotonic,
     /// Whether it was carrying an order out.
