--- a/crates/lockstep/src/change.rs
+++ b/crates/lockstep/src/change.rs
@@ -149,7 +149,7 @@
         let Some(held) = sights.iter().find(|sight| sight.rank == holder) else {
             return Progress::Void;
         };
-        if let Some(step) = self.stray(held) {
+        if let Some(step) = self.orphaned_hold(held) {
             return orders(&[holder], Order::Release(step));
         }
         let newest = sights.iter().map(|sight| sight.step).max().unwrap_or(0);
@@ -214,15 +214,15 @@
     ///
     /// It is a late order of a coordinator that ended before it saw the hold, so no rank was told to
     /// switch there; left alone it would stop the group for good.
-    fn stray(&self, holder: &Sight) -> Option<Step> {
-        let is_stray = |step: &Step| match self.phase {
+    fn orphaned_hold(&self, holder: &Sight) -> Option<Step> {
+        let is_orphaned = |step: &Step| match self.phase {
             Phase::Preparing => true,
             // Once all are armed an earlier pass may begin.
             Phase::Holding(own) | Phase::Releasing(own) => *step != own,
             // Until then it keeps the pass to come from beginning.
             Phase::Arming(_) => false,
         };
-        holder.held.filter(is_stray)
+        holder.held.filter(is_orphaned)
     }
 
     fn unprepared(&self, sights: &[&Sight]) -> impl Iterator<Item = Rank> {
@@ -234,7 +234,7 @@
 
 /// Returns a held pass with which no change can go on, where none is under way.
 #[must_use]
-pub fn stray(sights: &[&Sight], holder: Rank) -> Option<Step> {
+pub fn orphaned_hold(sights: &[&Sight], holder: Rank) -> Option<Step> {
     let is_armed = sights.iter().any(|sight| sight.armed.is_some());
     if is_armed || Change::found(sights, holder, 0).is_some() {
         return None;
--- a/crates/lockstep/src/coordinator.rs
+++ b/crates/lockstep/src/coordinator.rs
@@ -19,7 +19,7 @@
 use auburnline_core::time::Monotonic;
 
 use crate::change::Change;
-use crate::change::stray;
+use crate::change::orphaned_hold;
 use crate::coordinator::planning::Stage;
 use crate::cost::Cost;
 use crate::layout::Layout;
@@ -236,8 +236,8 @@
             self.take_over(now);
         }
         if self.change.is_none() {
-            if let Some(step) = stray(&self.sights(), HOLDER) {
-                return self.release_stray(step, now);
+            if let Some(step) = orphaned_hold(&self.sights(), HOLDER) {
+                return self.release_orphaned_hold(step, now);
             }
             self.begin(now);
         }
--- a/crates/lockstep/src/coordinator/ordering.rs
+++ b/crates/lockstep/src/coordinator/ordering.rs
@@ -21,7 +21,7 @@
 const LONGEST_PREPARATION: Duration = Duration::from_secs(3);
 
 impl Coordinator {
-    pub(super) fn release_stray(&mut self, step: Step, now: Monotonic) -> Vec<Send> {
+    pub(super) fn release_orphaned_hold(&mut self, step: Step, now: Monotonic) -> Vec<Send> {
         let order = (HOLDER, Order::Release(step));
         let epoch = self.epoch.filter(|_| self.is_due(order, now));
         let send = epoch.and_then(|epoch| self.give(HOLDER, epoch, order.1, now));
--- a/crates/lockstep/tests/all/explore/world.rs
+++ b/crates/lockstep/tests/all/explore/world.rs
@@ -8,7 +8,7 @@
 use auburnline_lockstep::change::Change;
 use auburnline_lockstep::change::Order;
 use auburnline_lockstep::change::Progress;
-use auburnline_lockstep::change::stray;
+use auburnline_lockstep::change::orphaned_hold;
 use auburnline_lockstep::coordinator::HOLDER;
 use auburnline_lockstep::deputy::Deputy;
 use auburnline_lockstep::deputy::Pledge;
@@ -253,7 +253,7 @@
         if world.change.is_none() {
             world.change = Change::found(&seen, HOLDER, world.floor);
         }
-        if let (None, Some(step)) = (&world.change, stray(&seen, HOLDER)) {
+        if let (None, Some(step)) = (&world.change, orphaned_hold(&seen, HOLDER)) {
             world.orders.insert((HOLDER, Key::Release(step)));
             return world;
         }
