--- a/crates/lockstep/src/change.rs
+++ b/crates/lockstep/src/change.rs
@@ -87,7 +87,7 @@
     ///
     /// `holder` is the rank that holds. All ranks must have been seen.
     #[must_use]
-    pub fn found(sights: &[&Sight], holder: Rank, floor: Step) -> Option<Change> {
+    pub fn recover(sights: &[&Sight], holder: Rank, floor: Step) -> Option<Change> {
         let epoch = sights.first()?.epoch;
         let armed = sights.iter().find_map(|sight| sight.armed);
         let holding = sights.iter().find(|sight| sight.rank == holder)?.held;
@@ -236,7 +236,7 @@
 #[must_use]
 pub fn orphaned_hold(sights: &[&Sight], holder: Rank) -> Option<Step> {
     let is_armed = sights.iter().any(|sight| sight.armed.is_some());
-    if is_armed || Change::found(sights, holder, 0).is_some() {
+    if is_armed || Change::recover(sights, holder, 0).is_some() {
         return None;
     }
     sights.iter().find(|sight| sight.rank == holder)?.held
--- a/crates/lockstep/src/coordinator.rs
+++ b/crates/lockstep/src/coordinator.rs
@@ -312,7 +312,7 @@
     }
 
     fn take_over(&mut self, now: Monotonic) {
-        let Some(change) = Change::found(&self.sights(), HOLDER, self.floor) else {
+        let Some(change) = Change::recover(&self.sights(), HOLDER, self.floor) else {
             return;
         };
         self.notes
--- a/crates/lockstep/tests/all/change.rs
+++ b/crates/lockstep/tests/all/change.rs
@@ -122,7 +122,7 @@
     let mut holder = prepared();
     holder.held = Some(12);
     let sights = sights(&[holder, prepared()]);
-    let found = Change::found(&sights.iter().collect::<Vec<_>>(), 0, 0);
+    let found = Change::recover(&sights.iter().collect::<Vec<_>>(), 0, 0);
     let found = found.expect("a change under way");
     assert_that!(found.phase(), eq(Phase::Arming(12)));
     assert_that!(found.version(), eq(7));
@@ -132,7 +132,7 @@
 fn nothing_is_found_where_nothing_is_under_way() {
     let sights = sights(&[prepared(), prepared()]);
     assert_that!(
-        Change::found(&sights.iter().collect::<Vec<_>>(), 0, 0),
+        Change::recover(&sights.iter().collect::<Vec<_>>(), 0, 0),
         none()
     );
 }
--- a/crates/lockstep/tests/all/explore/world.rs
+++ b/crates/lockstep/tests/all/explore/world.rs
@@ -251,7 +251,7 @@
             world.floor = seen.iter().map(|sight| sight.step).max().unwrap_or(0) + AHEAD;
         }
         if world.change.is_none() {
-            world.change = Change::found(&seen, HOLDER, world.floor);
+            world.change = Change::recover(&seen, HOLDER, world.floor);
         }
         if let (None, Some(step)) = (&world.change, orphaned_hold(&seen, HOLDER)) {
             world.orders.insert((HOLDER, Key::Release(step)));
