--- a/crates/lockstep/src/change.rs
+++ b/crates/lockstep/src/change.rs
@@ -67,7 +67,7 @@
     /// The change is in force.
     Done,
     /// The change can't go on; nothing of it is in force.
-    Void,
+    Aborted,
 }
 
 impl Change {
@@ -133,7 +133,7 @@
 
     /// Returns whether the change may be given up without a trace in force.
     #[must_use]
-    pub const fn may_end(&self) -> bool {
+    pub const fn can_abort(&self) -> bool {
         matches!(self.phase, Phase::Preparing)
     }
 
@@ -144,10 +144,10 @@
     #[must_use]
     pub fn advance(&mut self, sights: &[&Sight], holder: Rank, ahead: Step) -> Progress {
         if sights.iter().any(|sight| sight.epoch != self.epoch) {
-            return Progress::Void;
+            return Progress::Aborted;
         }
         let Some(held) = sights.iter().find(|sight| sight.rank == holder) else {
-            return Progress::Void;
+            return Progress::Aborted;
         };
         if let Some(step) = self.orphaned_hold(held) {
             return orders(&[holder], Order::Release(step));
@@ -196,7 +196,7 @@
             self.phase = Phase::Releasing(step);
         }
         let Phase::Releasing(step) = self.phase else {
-            return Progress::Void;
+            return Progress::Aborted;
         };
         if held.held == Some(step) {
             return orders(&[holder], Order::Release(step));
--- a/crates/lockstep/src/coordinator/ordering.rs
+++ b/crates/lockstep/src/coordinator/ordering.rs
@@ -33,7 +33,7 @@
             return Vec::new();
         };
         let is_late = now.saturating_sub(self.began) > LONGEST_PREPARATION;
-        if change.may_end() && is_late {
+        if change.can_abort() && is_late {
             self.notes
                 .push(Note::Void(change.version(), "not prepared in time"));
             self.next = None;
@@ -57,7 +57,7 @@
                 }
                 Vec::new()
             }
-            Progress::Void => {
+            Progress::Aborted => {
                 self.notes.push(Note::Void(version, "the group changed"));
                 self.next = None;
                 Vec::new()
--- a/crates/lockstep/tests/all/change.rs
+++ b/crates/lockstep/tests/all/change.rs
@@ -114,7 +114,7 @@
     let mut sights = sights(&[prepared(), prepared()]);
     sights[1].epoch = 2;
     let progress = change.advance(&sights.iter().collect::<Vec<_>>(), 0, 2);
-    assert_that!(progress, eq(&Progress::Void));
+    assert_that!(progress, eq(&Progress::Aborted));
 }
 
 #[gtest]
--- a/crates/lockstep/tests/all/explore/world.rs
+++ b/crates/lockstep/tests/all/explore/world.rs
@@ -279,7 +279,7 @@
                     world.plant();
                 }
             }
-            Progress::Done | Progress::Void => world.change = None,
+            Progress::Done | Progress::Aborted => world.change = None,
         }
         world
     }
