--- a/crates/lockstep/src/layout.rs
+++ b/crates/lockstep/src/layout.rs
@@ -122,9 +122,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Parcel {
     /// All of it.
-    Whole(Layout),
+    Full(Layout),
     /// What differs from another map.
-    Changed(Changed),
+    Delta(Delta),
 }
 
 /// Map on which a parcel builds.
@@ -180,7 +180,7 @@
 
 /// A layout by what differs from a map that its receiver knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Changed {
+pub struct Delta {
     /// Map that it builds on.
     pub base: Base,
     /// What differs.
@@ -192,7 +192,7 @@
 impl Parcel {
     /// Returns what turns `before`, the map of version `base`, into `layout`.
     #[must_use]
-    pub fn changed(base: Version, before: &Layout, layout: &Layout) -> Parcel {
+    pub fn delta(base: Version, before: &Layout, layout: &Layout) -> Parcel {
         let mut cells = Vec::new();
         for (layer, (ranks, old)) in (0..).zip(layout.0.iter().zip(&before.0)) {
             for (rank, (held, had)) in (0..).zip(ranks.iter().zip(old)) {
@@ -201,7 +201,7 @@
                 }
             }
         }
-        Parcel::Changed(Changed {
+        Parcel::Delta(Delta {
             base: Base::of(base, before),
             cells,
             hash: layout.fingerprint(),
@@ -212,8 +212,8 @@
     #[must_use]
     pub const fn base(&self) -> Option<Base> {
         match self {
-            Parcel::Whole(_) => None,
-            Parcel::Changed(changed) => Some(changed.base),
+            Parcel::Full(_) => None,
+            Parcel::Delta(changed) => Some(changed.base),
         }
     }
 
@@ -221,8 +221,8 @@
     #[must_use]
     pub fn open(self, known: &[(Version, Layout)]) -> Option<Layout> {
         let changed = match self {
-            Parcel::Whole(layout) => return Some(layout),
-            Parcel::Changed(changed) => changed,
+            Parcel::Full(layout) => return Some(layout),
+            Parcel::Delta(changed) => changed,
         };
         let mut layout = changed.base.layout(known)?;
         for cell in changed.cells {
--- a/crates/lockstep/src/told.rs
+++ b/crates/lockstep/src/told.rs
@@ -34,8 +34,8 @@
     pub fn parcel(&self) -> Option<Parcel> {
         let layout = self.layout.as_ref()?;
         Some(match &self.base {
-            Some((version, base)) => Parcel::changed(*version, base, layout),
-            None => Parcel::Whole((**layout).clone()),
+            Some((version, base)) => Parcel::delta(*version, base, layout),
+            None => Parcel::Full((**layout).clone()),
         })
     }
 }
--- a/crates/lockstep/tests/all/layout.rs
+++ b/crates/lockstep/tests/all/layout.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use auburnline_lockstep::layout::Base;
-use auburnline_lockstep::layout::Changed;
+use auburnline_lockstep::layout::Delta;
 use auburnline_lockstep::layout::Layout;
 use auburnline_lockstep::layout::Parcel;
 use auburnline_lockstep::layout::Shape;
@@ -26,9 +26,9 @@
 /// Pattern: the whole layout of a large group takes 2 ms of the lead's link to each rank, 50 ms to all.
 #[gtest]
 fn a_parcel_of_what_changed_is_smaller_and_opens_to_the_same_layout() {
-    let parcel = Parcel::changed(7, &before(), &after());
+    let parcel = Parcel::delta(7, &before(), &after());
     assert_that!(parcel.base(), some(eq(Base::Sent(7))));
-    let Parcel::Changed(changed) = &parcel else {
+    let Parcel::Delta(changed) = &parcel else {
         panic!("a parcel of what changed");
     };
     assert_that!(changed.cells.len(), eq(1));
@@ -38,14 +38,14 @@
 
 #[gtest]
 fn a_parcel_on_an_unknown_map_does_not_open() {
-    let parcel = Parcel::changed(7, &before(), &after());
+    let parcel = Parcel::delta(7, &before(), &after());
     assert_that!(parcel.open(&[(6, before())]), none());
 }
 
 /// One map in every pass: a rank whose map of that version differs from the lead's must not guess.
 #[gtest]
 fn a_parcel_on_another_map_of_the_same_version_does_not_open() {
-    let parcel = Parcel::changed(7, &before(), &after());
+    let parcel = Parcel::delta(7, &before(), &after());
     let mut other = before();
     other.0[1][0] = vec![1, 2];
     assert_that!(parcel.open(&[(7, other)]), none());
@@ -53,13 +53,13 @@
 
 #[gtest]
 fn a_parcel_that_names_ranks_which_are_not_there_does_not_open() {
-    let parcel = Parcel::changed(7, &before(), &after());
+    let parcel = Parcel::delta(7, &before(), &after());
     assert_that!(parcel.open(&[(7, Layout(vec![vec![vec![0, 1]]]))]), none());
 }
 
 #[gtest]
 fn a_whole_layout_needs_nothing() {
-    assert_that!(Parcel::Whole(after()).open(&[]), some(eq(&after())));
+    assert_that!(Parcel::Full(after()).open(&[]), some(eq(&after())));
 }
 
 /// Pattern: the first change of a group of 64 ranks. Its whole map is some 8 KB for each rank, more than a link of 6 Mbit/s
@@ -81,13 +81,13 @@
         ranks[layer + 1].push(17);
         ranks[layer + 1].sort_unstable();
     }
-    let parcel = Parcel::changed(0, &before, &after);
+    let parcel = Parcel::delta(0, &before, &after);
     assert_that!(parcel.open(&[]), some(eq(&after)));
 }
 
 #[gtest]
 fn a_first_map_beyond_all_sizes_is_not_laid_out() {
-    let parcel = Parcel::Changed(Changed {
+    let parcel = Parcel::Delta(Delta {
         base: Base::Initial {
             layers: u16::MAX,
             experts: u16::MAX,
