--- a/crates/lockstep/src/coordinator/ordering.rs
+++ b/crates/lockstep/src/coordinator/ordering.rs
@@ -93,7 +93,7 @@
             send.base = known.map(|known| (known.version, Arc::clone(&known.layout)));
         }
         if let (Some(layout), None) = (&send.layout, &send.base) {
-            let time = self.link.map_time(layout.bytes());
+            let time = self.link.map_time(layout.encoded_bytes());
             if !self.maps.take(time, now) {
                 return None;
             }
--- a/crates/lockstep/src/layout.rs
+++ b/crates/lockstep/src/layout.rs
@@ -74,7 +74,7 @@
 
     /// Returns about how many bytes it takes as a message.
     #[must_use]
-    pub(crate) fn bytes(&self) -> usize {
+    pub(crate) fn encoded_bytes(&self) -> usize {
         let ranks = self.0.iter().flatten();
         ranks.map(|held| 1 + 2 * held.len()).sum()
     }
