--- a/crates/lockstep/src/coordinator.rs
+++ b/crates/lockstep/src/coordinator.rs
@@ -34,7 +34,7 @@
 use crate::told::Note;
 use crate::told::Send;
 use crate::traffic::Link;
-use crate::traffic::Pace;
+use crate::traffic::Pacer;
 
 /// Rank beside which the coordinator runs.
 pub const LEADER: Rank = 0;
@@ -94,7 +94,7 @@
     outstanding: Outstanding,
     link: Link,
     /// When the next whole map may leave.
-    maps: Pace,
+    full_maps: Pacer,
     planned_at: Monotonic,
     passes: Passes,
     stage: Stage,
@@ -124,7 +124,7 @@
             copying: Duration::ZERO,
             outstanding: Outstanding::default(),
             link,
-            maps: Pace::default(),
+            full_maps: Pacer::default(),
             planned_at: now,
             passes: Passes::default(),
             stage: Stage::Relief,
--- a/crates/lockstep/src/coordinator/ordering.rs
+++ b/crates/lockstep/src/coordinator/ordering.rs
@@ -94,7 +94,7 @@
         }
         if let (Some(layout), None) = (&send.layout, &send.base) {
             let time = self.link.map_time(layout.encoded_bytes());
-            if !self.maps.take(time, now) {
+            if !self.full_maps.try_acquire(time, now) {
                 return None;
             }
         }
--- a/crates/lockstep/src/traffic.rs
+++ b/crates/lockstep/src/traffic.rs
@@ -88,13 +88,13 @@
 
 /// Times at which something large may be sent.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Pace {
+pub(crate) struct Pacer {
     free_at: Monotonic,
 }
 
-impl Pace {
+impl Pacer {
     /// Takes that something is sent which uses its part of the link for `time`; returns whether it may be.
-    pub(crate) fn take(&mut self, time: Duration, now: Monotonic) -> bool {
+    pub(crate) fn try_acquire(&mut self, time: Duration, now: Monotonic) -> bool {
         let is_free = now >= self.free_at;
         if is_free {
             self.free_at = now.saturating_add(time);
