--- a/crates/lockstep/src/coordinator.rs
+++ b/crates/lockstep/src/coordinator.rs
@@ -180,7 +180,7 @@
             self.planned_at = Monotonic::ZERO;
             self.stage = Stage::Relief;
         }
-        self.passes.see(sight.step, now);
+        self.passes.observe(sight.step, now);
         let before = self.members.remove(&sight.rank);
         let known = before
             .as_ref()
--- a/crates/lockstep/src/passes.rs
+++ b/crates/lockstep/src/passes.rs
@@ -16,7 +16,7 @@
 
 impl Passes {
     /// Takes the newest pass that a rank shows.
-    pub fn see(&mut self, step: Step, now: Monotonic) {
+    pub fn observe(&mut self, step: Step, now: Monotonic) {
         let Some((newest, began)) = self.newest else {
             self.newest = Some((step, now));
             return;
--- a/crates/lockstep/tests/all/passes.rs
+++ b/crates/lockstep/tests/all/passes.rs
@@ -14,11 +14,11 @@
 fn what_is_left_of_a_pass_follows_from_the_one_before() {
     let mut passes = Passes::default();
     assert_that!(passes.left(millis(0)), none());
-    passes.see(7, millis(1_000));
+    passes.observe(7, millis(1_000));
     assert_that!(passes.left(millis(1_010)), none());
-    passes.see(8, millis(1_120));
-    passes.see(7, millis(1_130));
-    passes.see(8, millis(1_140));
+    passes.observe(8, millis(1_120));
+    passes.observe(7, millis(1_130));
+    passes.observe(8, millis(1_140));
     assert_that!(passes.left(millis(1_150)), some(eq(millis(90))));
     assert_that!(passes.left(millis(1_300)), some(eq(millis(0))));
 }
@@ -26,7 +26,7 @@
 #[gtest]
 fn passes_that_were_not_seen_share_the_time() {
     let mut passes = Passes::default();
-    passes.see(7, millis(1_000));
-    passes.see(9, millis(1_200));
+    passes.observe(7, millis(1_000));
+    passes.observe(9, millis(1_200));
     assert_that!(passes.left(millis(1_200)), some(eq(millis(100))));
 }
