--- a/crates/lockstep/src/coordinator.rs
+++ b/crates/lockstep/src/coordinator.rs
@@ -127,7 +127,7 @@
             full_maps: Pacer::default(),
             planned_at: now,
             passes: Passes::default(),
-            stage: Stage::Relief,
+            stage: Stage::Immediate,
             floor: 0,
             started,
             notes: Vec::new(),
@@ -178,7 +178,7 @@
         if let Some(distance) = shift {
             self.notes.push(Note::Shifted(distance));
             self.planned_at = Monotonic::ZERO;
-            self.stage = Stage::Relief;
+            self.stage = Stage::Immediate;
         }
         self.passes.observe(sight.step, now);
         let before = self.members.remove(&sight.rank);
@@ -188,7 +188,7 @@
         if sight.pace > known.saturating_add(TURNED_SLOW) {
             // All others wait for what it holds, as after a shift.
             self.planned_at = Monotonic::ZERO;
-            self.stage = Stage::Rest;
+            self.stage = Stage::FollowUp;
         }
         let held = held.or(before.and_then(|member| member.held));
         let member = Member {
@@ -221,7 +221,7 @@
         self.next = None;
         self.floor = 0;
         self.passes = Passes::default();
-        self.stage = Stage::Relief;
+        self.stage = Stage::Immediate;
         self.notes.push(Note::Formed(epoch));
     }
 
--- a/crates/lockstep/src/coordinator/planning.rs
+++ b/crates/lockstep/src/coordinator/planning.rs
@@ -25,9 +25,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     /// The worst has to be taken off at once.
-    Relief,
+    Immediate,
     /// What is left of it is to be done.
-    Rest,
+    FollowUp,
     /// It is done.
     Steady,
 }
@@ -35,16 +35,16 @@
 impl Stage {
     const fn scope(self) -> &'static Scope {
         match self {
-            Stage::Relief => &Scope::RELIEF,
-            Stage::Rest => &Scope::REST,
+            Stage::Immediate => &Scope::IMMEDIATE,
+            Stage::FollowUp => &Scope::FOLLOW_UP,
             Stage::Steady => &Scope::STEADY,
         }
     }
 
     const fn next(self) -> Stage {
         match self {
-            Stage::Relief => Stage::Rest,
-            Stage::Rest | Stage::Steady => Stage::Steady,
+            Stage::Immediate => Stage::FollowUp,
+            Stage::FollowUp | Stage::Steady => Stage::Steady,
         }
     }
 }
--- a/crates/lockstep/src/plan.rs
+++ b/crates/lockstep/src/plan.rs
@@ -6,8 +6,8 @@
 //! time that popularity lasts pays for the slower passes while weights are copied.
 //!
 //! Right after a shift of demand passes are at their longest, and copying makes them longer still. So what
-//! a shift asks for is done by two changes: [`Scope::RELIEF`] copies for a moment only and takes off the worst,
-//! and [`Scope::REST`] goes on from there, when passes are short enough again to bear the copying.
+//! a shift asks for is done by two changes: [`Scope::IMMEDIATE`] copies for a moment only and takes off the worst,
+//! and [`Scope::FOLLOW_UP`] goes on from there, when passes are short enough again to bear the copying.
 
 use std::time::Duration;
 
@@ -45,13 +45,13 @@
         searched: 24,
     };
     /// Right after a shift: the first few copies bring most, and sooner.
-    pub const RELIEF: Scope = Scope {
+    pub const IMMEDIATE: Scope = Scope {
         longest_copy: Duration::from_millis(100),
         searched: 8,
         ..Scope::STEADY
     };
     /// After the first change that answers a shift, where passes are short enough to bear more copying.
-    pub const REST: Scope = Scope {
+    pub const FOLLOW_UP: Scope = Scope {
         longest_copy: Duration::from_millis(300),
         least_gain: Duration::from_micros(2_200),
         least_step: Duration::from_micros(65),
--- a/crates/lockstep/tests/all/plan.rs
+++ b/crates/lockstep/tests/all/plan.rs
@@ -145,14 +145,30 @@
 #[gtest]
 fn relief_after_a_shift_copies_for_a_moment_and_the_rest_goes_on_from_there() {
     let initial = Layout::initial(&LARGE, 24);
-    let fitted = plan(&initial, &liked(0), &LARGE, &Scope::REST, WORK, &[]).expect("a plan");
+    let fitted = plan(&initial, &liked(0), &LARGE, &Scope::FOLLOW_UP, WORK, &[]).expect("a plan");
     let shifted = liked(40);
-    let relief = plan(&fitted.layout, &shifted, &LARGE, &Scope::RELIEF, WORK, &[]).expect("relief");
+    let relief = plan(
+        &fitted.layout,
+        &shifted,
+        &LARGE,
+        &Scope::IMMEDIATE,
+        WORK,
+        &[],
+    )
+    .expect("relief");
     assert_that!(
         most_copied(&relief.layout, &fitted.layout),
         le(Duration::from_millis(100))
     );
-    let rest = plan(&relief.layout, &shifted, &LARGE, &Scope::REST, WORK, &[]).expect("the rest");
+    let rest = plan(
+        &relief.layout,
+        &shifted,
+        &LARGE,
+        &Scope::FOLLOW_UP,
+        WORK,
+        &[],
+    )
+    .expect("the rest");
     let all = relief.skew_before - rest.skew_after;
     assert_that!(relief.skew_before - relief.skew_after, gt(all / 2.0));
     assert_that!(
@@ -165,7 +181,7 @@
 #[gtest]
 fn relief_copies_one_expert_where_copying_is_slow() {
     let before = initial();
-    let relief = plan(&before, &shares(), &SHAPE, &Scope::RELIEF, WORK, &[]).expect("relief");
+    let relief = plan(&before, &shares(), &SHAPE, &Scope::IMMEDIATE, WORK, &[]).expect("relief");
     assert_that!(relief.copies, eq(1));
 }
 
@@ -175,7 +191,7 @@
     let initial = Layout::initial(&LARGE, 24);
     let copied = |work: u64| {
         let work = Duration::from_millis(work);
-        let plan = plan(&initial, &liked(0), &LARGE, &Scope::REST, work, &[]);
+        let plan = plan(&initial, &liked(0), &LARGE, &Scope::FOLLOW_UP, work, &[]);
         plan.map_or(0, |plan| {
             new_by_rank(&plan.layout, &initial).iter().sum::<usize>()
         })
@@ -185,7 +201,7 @@
         &initial,
         &liked(0),
         &LARGE,
-        &Scope::REST,
+        &Scope::FOLLOW_UP,
         Duration::from_micros(500),
         &[],
     );
@@ -197,7 +213,7 @@
 fn a_slow_rank_is_given_less() {
     let initial = Layout::initial(&LARGE, 24);
     let shares = liked(0);
-    let even = plan(&initial, &shares, &LARGE, &Scope::REST, WORK, &[]).expect("a plan");
+    let even = plan(&initial, &shares, &LARGE, &Scope::FOLLOW_UP, WORK, &[]).expect("a plan");
     let mut slowness = vec![1.0; 24];
     slowness[5] = 2.0;
     let plan = plan(
@@ -223,7 +239,7 @@
     slowness[5] = 12.0;
     let mut layout = Layout::initial(&LARGE, 24);
     for _ in 0..8 {
-        let plan = plan(&layout, &shares, &LARGE, &Scope::REST, WORK, &slowness);
+        let plan = plan(&layout, &shares, &LARGE, &Scope::FOLLOW_UP, WORK, &slowness);
         let Some(plan) = plan else { break };
         assert_that!(plan.copies, le(11));
         layout = plan.layout;
