--- a/crates/lockstep/src/coordinator.rs
+++ b/crates/lockstep/src/coordinator.rs
@@ -73,7 +73,7 @@
 
 /// Layout with its number.
 #[derive(Clone, Debug)]
-struct Known {
+struct Versioned {
     version: Version,
     layout: Arc<Layout>,
 }
@@ -85,12 +85,12 @@
     members: BTreeMap<Rank, Member>,
     epoch: Option<Epoch>,
     popularity: Popularity,
-    in_force: Option<Known>,
-    next: Option<Known>,
+    in_force: Option<Versioned>,
+    next: Option<Versioned>,
     change: Option<Change>,
-    began: Monotonic,
+    change_started: Monotonic,
     /// Longest copying on a rank for the change under way.
-    copying: Duration,
+    copy_time: Duration,
     outstanding: Outstanding,
     link: Link,
     /// When the next whole map may leave.
@@ -120,8 +120,8 @@
             in_force: None,
             next: None,
             change: None,
-            began: now,
-            copying: Duration::ZERO,
+            change_started: now,
+            copy_time: Duration::ZERO,
             outstanding: Outstanding::default(),
             link,
             full_maps: Pacer::default(),
@@ -143,7 +143,7 @@
     /// Returns whether all ranks were seen in a group that serves.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        self.is_whole() && self.members.values().all(|member| member.sight.is_open)
+        self.has_all_ranks() && self.members.values().all(|member| member.sight.is_open)
     }
 
     /// Returns the map of the change under way.
@@ -227,7 +227,7 @@
 
     /// Says what to order now.
     pub fn tick(&mut self, now: Monotonic) -> Vec<Send> {
-        if !self.is_whole() {
+        if !self.has_all_ranks() {
             return Vec::new();
         }
         self.settle();
@@ -239,7 +239,7 @@
             if let Some(step) = orphaned_hold(&self.sights(), HOLDER) {
                 return self.release_orphaned_hold(step, now);
             }
-            self.begin(now);
+            self.start_change(now);
         }
         self.advance(now)
     }
@@ -253,13 +253,13 @@
     }
 
     /// Returns whether each rank was seen.
-    fn is_whole(&self) -> bool {
+    fn has_all_ranks(&self) -> bool {
         let size = self.members.values().next().map(|member| member.sight.size);
         size.is_some_and(|size| self.members.len() == usize::from(size))
     }
 
     /// Returns how many passes after the newest one seen the next hold is to stand.
-    fn ahead(&self, now: Monotonic) -> Step {
+    fn passes_ahead(&self, now: Monotonic) -> Step {
         let left = self.passes.left(now).unwrap_or_default();
         if left >= TO_ARM { AHEAD_IN_TIME } else { AHEAD }
     }
@@ -292,7 +292,7 @@
             is_initial.then(|| Arc::new(Layout::initial(&self.shape, size)))
         });
         let layout = known.or_else(|| self.told().map(Arc::new));
-        self.in_force = layout.map(|layout| Known { version, layout });
+        self.in_force = layout.map(|layout| Versioned { version, layout });
     }
 
     /// Returns the layout as the ranks tell it.
@@ -318,6 +318,6 @@
         self.notes
             .push(Note::Found(change.version(), change.phase()));
         self.change = Some(change);
-        self.began = now;
+        self.change_started = now;
     }
 }
--- a/crates/lockstep/src/coordinator/ordering.rs
+++ b/crates/lockstep/src/coordinator/ordering.rs
@@ -24,7 +24,7 @@
     pub(super) fn release_orphaned_hold(&mut self, step: Step, now: Monotonic) -> Vec<Send> {
         let order = (HOLDER, Order::Release(step));
         let epoch = self.epoch.filter(|_| self.is_due(order, now));
-        let send = epoch.and_then(|epoch| self.give(HOLDER, epoch, order.1, now));
+        let send = epoch.and_then(|epoch| self.issue(HOLDER, epoch, order.1, now));
         send.into_iter().collect()
     }
 
@@ -32,14 +32,14 @@
         let Some(mut change) = self.change.take() else {
             return Vec::new();
         };
-        let is_late = now.saturating_sub(self.began) > LONGEST_PREPARATION;
+        let is_late = now.saturating_sub(self.change_started) > LONGEST_PREPARATION;
         if change.can_abort() && is_late {
             self.notes
                 .push(Note::Void(change.version(), "not prepared in time"));
             self.next = None;
             return Vec::new();
         }
-        let progress = change.advance(&self.sights(), HOLDER, self.ahead(now));
+        let progress = change.advance(&self.sights(), HOLDER, self.passes_ahead(now));
         let (epoch, version) = (change.epoch(), change.version());
         match progress {
             Progress::Orders(orders) => {
@@ -47,7 +47,7 @@
                 let due = orders.into_iter().filter(|order| self.is_due(*order, now));
                 let due: Vec<_> = due.collect();
                 due.into_iter()
-                    .filter_map(|(rank, order)| self.give(rank, epoch, order, now))
+                    .filter_map(|(rank, order)| self.issue(rank, epoch, order, now))
                     .collect()
             }
             Progress::Done => {
@@ -73,11 +73,11 @@
             is_busy: member.sight.is_busy,
         });
         self.outstanding
-            .is_due(rank, order, self.copying, shown, now)
+            .is_due(rank, order, self.copy_time, shown, now)
     }
 
     /// Gives an order; none if it would need a whole map, and others have just left.
-    fn give(&mut self, rank: Rank, epoch: Epoch, order: Order, now: Monotonic) -> Option<Send> {
+    fn issue(&mut self, rank: Rank, epoch: Epoch, order: Order, now: Monotonic) -> Option<Send> {
         let mut send = Send {
             rank,
             epoch,
--- a/crates/lockstep/src/coordinator/planning.rs
+++ b/crates/lockstep/src/coordinator/planning.rs
@@ -7,8 +7,8 @@
 
 use crate::change::Change;
 use crate::coordinator::Coordinator;
-use crate::coordinator::Known;
-use crate::coordinator::pulse::slowest;
+use crate::coordinator::Versioned;
+use crate::coordinator::pulse::max_slowdown;
 use crate::plan::Plan;
 use crate::plan::Scope;
 use crate::plan::plan;
@@ -51,7 +51,7 @@
 
 impl Coordinator {
     /// Begins a change if one is worth it.
-    pub(super) fn begin(&mut self, now: Monotonic) {
+    pub(super) fn start_change(&mut self, now: Monotonic) {
         let is_due = now.saturating_sub(self.planned_at) >= PLAN_PERIOD;
         if !is_due || !self.is_calm(now) {
             return;
@@ -64,13 +64,13 @@
             return;
         };
         let copies = u32::try_from(plan.copies).unwrap_or(u32::MAX);
-        self.copying = self.shape.copy.saturating_mul(copies);
-        self.next = Some(Known {
+        self.copy_time = self.shape.copy.saturating_mul(copies);
+        self.next = Some(Versioned {
             version,
             layout: Arc::new(plan.layout.clone()),
         });
         self.change = Some(Change::new(epoch, version, self.floor));
-        self.began = now;
+        self.change_started = now;
         self.outstanding.clear();
         self.notes.push(Note::Begun(version, plan));
     }
@@ -83,7 +83,7 @@
         let slowness = self.slowness();
         let requests = self.requests_per_rank();
         let skew = known.layout.skew(&shares);
-        if self.cost.is_short(requests * slowest(&slowness), skew) {
+        if self.cost.is_short(requests * max_slowdown(&slowness), skew) {
             return None;
         }
         let work = self.cost.expert_work(requests);
@@ -108,7 +108,7 @@
     #[must_use]
     pub fn is_in_reach(&self, now: Monotonic) -> bool {
         let mut members = self.members.values();
-        self.is_whole() && members.all(|member| now.saturating_sub(member.seen) < SIGHT_AGE)
+        self.has_all_ranks() && members.all(|member| now.saturating_sub(member.seen) < SIGHT_AGE)
     }
 
     /// Returns whether all ranks are in reach, in one map, and nothing is under way.
--- a/crates/lockstep/src/coordinator/pulse.rs
+++ b/crates/lockstep/src/coordinator/pulse.rs
@@ -41,13 +41,13 @@
             waiting: sights().map(|sight| sight.waiting).sum(),
             most_running: sights().map(|sight| sight.running).max().unwrap_or(0),
             skew,
-            slowest: slowest(&self.slowness()),
+            slowest: max_slowdown(&self.slowness()),
             version: known.map(|known| known.version),
         }
     }
 }
 
 /// Returns the times that the slowest rank takes longer than it should.
-pub(super) fn slowest(slowness: &[f64]) -> f64 {
+pub(super) fn max_slowdown(slowness: &[f64]) -> f64 {
     slowness.iter().copied().fold(1.0, f64::max)
 }
