--- a/crates/lockstep/tests/all/explore.rs
+++ b/crates/lockstep/tests/all/explore.rs
@@ -53,7 +53,7 @@
         outcome.mixed += usize::from(world.is_mixed());
         outcome.switched += usize::from(world.engines[0].version > 0);
         if outcome.states.is_multiple_of(89) && !world.is_mixed() {
-            outcome.stuck += usize::from(!world.clone().settles(bounds));
+            outcome.stuck += usize::from(!world.clone().converges(bounds));
         }
         if outcome.states + queue.len() > most {
             continue;
@@ -84,7 +84,7 @@
         kills,
         has_deputy: false,
         may_hold_next: false,
-        planted: None,
+        injected: None,
     }
 }
 
@@ -151,7 +151,7 @@
         let world = dive(bounds, seed);
         assert_that!(world.is_mixed(), eq(false), "seed {seed}");
         switched += usize::from(world.engines[0].version > 0);
-        assert_that!(world.settles(bounds), eq(true), "seed {seed}");
+        assert_that!(world.converges(bounds), eq(true), "seed {seed}");
     }
     assert_that!(switched, gt(50));
 }
@@ -182,7 +182,7 @@
 fn ending_a_hold_for_which_ranks_may_be_armed_is_caught() {
     let planted = Bounds {
         has_deputy: true,
-        planted: Some(Fault::EndsArmed),
+        injected: Some(Fault::EndsArmed),
         ..bounds(3, 2, 0)
     };
     let caught = (0..400).filter(|seed| dive(planted, *seed).is_mixed());
@@ -192,7 +192,7 @@
 #[gtest]
 fn arming_without_a_hold_is_caught() {
     let planted = Bounds {
-        planted: Some(Fault::ArmsUnheld),
+        injected: Some(Fault::ArmsUnheld),
         ..bounds(2, 1, 0)
     };
     assert_that!(explore(planted).mixed, gt(0));
--- a/crates/lockstep/tests/all/explore/world.rs
+++ b/crates/lockstep/tests/all/explore/world.rs
@@ -45,7 +45,7 @@
     /// Whether each hold stands one pass ahead or two, by choice.
     pub(crate) may_hold_next: bool,
     /// Fault that is planted.
-    pub(crate) planted: Option<Fault>,
+    pub(crate) injected: Option<Fault>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -168,7 +168,7 @@
     fn end_hold(&self, bounds: Bounds) -> World {
         let mut world = self.clone();
         let mut ended = self.holder.as_ref().and_then(|own| world.deputy.end(own));
-        if bounds.planted == Some(Fault::EndsArmed) {
+        if bounds.injected == Some(Fault::EndsArmed) {
             ended = self.holder.as_ref().and_then(|own| own.held);
         }
         if let Some(step) = ended {
@@ -275,7 +275,7 @@
                 }
                 let keys = orders.iter().map(|(rank, order)| (*rank, Key::of(*order)));
                 world.orders.extend(keys);
-                if bounds.planted == Some(Fault::ArmsUnheld) {
+                if bounds.injected == Some(Fault::ArmsUnheld) {
                     world.plant();
                 }
             }
@@ -303,7 +303,7 @@
     }
 
     /// Carries out all that is ordered, looks at all and decides, until nothing changes.
-    pub(crate) fn settles(mut self, bounds: Bounds) -> bool {
+    pub(crate) fn converges(mut self, bounds: Bounds) -> bool {
         for _ in 0..64 {
             let orders: Vec<_> = std::mem::take(&mut self.orders).into_iter().collect();
             for (rank, key) in orders {
