--- a/crates/lockstep/src/lib.rs
+++ b/crates/lockstep/src/lib.rs
@@ -1,12 +1,18 @@
-//! Change of expert maps in groups where one rank can hold all.
+//! Expert map changes for groups in which a hold on one rank stops all ranks.
 //!
-//! The ranks of a group run each pass together and don't compare their maps, so a map must change on
-//! all of them at one pass or on none. [`change`] takes a group through that by orders that may be
-//! lost, late or doubled; [`popularity`] learns which experts are chosen, [`plan`] says which map is
-//! worth a change at the [`cost`] of its passes, and [`coordinator`] joins them for the sidecar beside rank 0; [`told`] is what it then has to
-//! send and to log, and [`traffic`] how much of it a link bears. [`tally`] adds up the counts of several ranks, [`collecting`] says whose, [`asking`] says
-//! when a lead asks who serves. [`deputy`] ends a hold whose lead fell silent. [`message`] is what sidecars say to each
-//! other. `auburnline-experts` does the same for engines in which each rank holds by itself. Nothing here sends or reads a clock.
+//! The ranks of a group run each forward pass together and do not compare their expert maps, so a map must
+//! change on all of them at the same pass or on none. [`change`] is the protocol for one change; its orders
+//! may be lost, delayed or duplicated. [`popularity`] estimates which experts are selected, [`plan`] finds a
+//! layout that is worth a change at the [`cost`] of a pass, and [`coordinator`] combines them in the sidecar
+//! next to rank 0, the leader. [`told`] is the coordinator's output: orders to send and events to log.
+//! [`deputy`] is the leader's standby, which ends a hold when the leader has failed.
+//!
+//! [`message`] defines the messages between sidecars and to gateways. [`traffic`] bounds the share of an
+//! instance's link that they use, [`collecting`] assigns ranks to aggregators of expert counts and [`tally`]
+//! sums those counts, and [`asking`] schedules the leader's membership queries to gateways.
+//!
+//! `auburnline-experts` does the same for engines in which each rank is held separately. This crate does no
+//! I/O and reads no clock.
 
 pub mod asking;
 pub mod change;
@@ -27,7 +33,7 @@
 
 pub use coordinator::Coordinator;
 
-/// Returns a small count as a number to reckon with.
+/// Converts a count to `f64`; one beyond `u32` becomes `f64::MAX`.
 pub(crate) fn to_f64(count: usize) -> f64 {
     u32::try_from(count).map_or(f64::MAX, f64::from)
 }
