--- a/crates/lockstep/src/coordinator.rs
+++ b/crates/lockstep/src/coordinator.rs
@@ -1,9 +1,9 @@
-//! The sidecar beside rank 0, which leads its group's changes.
+//! Coordinator of a group's map changes, run by the leader: the sidecar next to rank 0.
 //!
-//! It keeps the newest sight of each rank, decides on a new layout when none is under way, and takes
-//! the change through its phases. After a restart it looks at all ranks first and takes over what it
-//! finds. Versions are times of day, so that a late order of the one before has a lower version and is
-//! refused.
+//! It keeps the latest reported state of each rank, plans a new layout when no change is in progress, and
+//! drives the change through its phases. After a restart it first collects the state of all ranks and
+//! resumes the change that it finds. Map versions are derived from the time of day, so that a delayed order
+//! of a previous coordinator carries a lower version and is refused.
 
 mod ordering;
 mod planning;
@@ -36,22 +36,22 @@
 use crate::traffic::Link;
 use crate::traffic::Pacer;
 
-/// Rank beside which the coordinator runs.
+/// Rank whose sidecar runs the coordinator.
 pub const LEADER: Rank = 0;
-/// Rank that holds: not the leader's, whose instance may freeze right after it gave the order.
+/// Rank that is held. It is not the leader's rank, whose instance may freeze right after sending the order.
 pub const HOLDER: Rank = 1;
 /// Passes between the newest one seen and the one to hold. The orders take less than a pass; one that
-/// comes too late is refused and given again for a later pass, and a hold that stands early makes the
+/// arrives too late is refused and sent again for a later pass. A hold that is reached early makes the
 /// group wait some milliseconds.
-const AHEAD: Step = 2;
-/// Passes between them where enough of the running one is left to arm all ranks before it ends: where passes are long, a
-/// change is in force the sooner.
-const AHEAD_IN_TIME: Step = 1;
-/// What arming all ranks takes on a small part of a core: four messages and a look at each rank.
-const TO_ARM: Duration = Duration::from_millis(45);
+const PASSES_AHEAD: Step = 2;
+/// The same if enough of the running pass is left to arm all ranks before it ends. With long passes this
+/// puts a change in force sooner.
+const PASSES_AHEAD_IN_TIME: Step = 1;
+/// Time to arm all ranks on a small share of a core: four messages and one poll of each rank.
+const ARM_TIME: Duration = Duration::from_millis(45);
 
-/// Hundredths by which a rank's pace rises when it turns slow.
-const TURNED_SLOW: u16 = 30;
+/// Increase of a rank's pace, in hundredths, above which it counts as a new straggler.
+const STRAGGLER_PACE_RISE: u16 = 30;
 
 #[derive(Clone, Debug)]
 struct Member {
@@ -60,25 +60,25 @@
     held: Option<Vec<Vec<Expert>>>,
 }
 
-/// What a coordinator works for, and with.
+/// Parameters of a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Service {
-    /// Published shape of the experts.
+    /// Expert dimensions of the model, as published.
     pub shape: Shape,
-    /// Published cost of a pass.
+    /// Cost model of a pass, as published.
     pub cost: Cost,
-    /// Link of the own instance.
+    /// Network link of the leader's instance.
     pub link: Link,
 }
 
-/// Layout with its number.
+/// Layout with its map version.
 #[derive(Clone, Debug)]
 struct Versioned {
     version: Version,
     layout: Arc<Layout>,
 }
 
-/// State of the coordinator.
+/// Coordinator of one group.
 pub struct Coordinator {
     shape: Shape,
     cost: Cost,
@@ -89,16 +89,16 @@
     next: Option<Versioned>,
     change: Option<Change>,
     change_started: Monotonic,
-    /// Longest copying on a rank for the change under way.
+    /// Longest time that any rank copies weights for the current change.
     copy_time: Duration,
     outstanding: Outstanding,
     link: Link,
-    /// When the next whole map may leave.
+    /// Limits the rate at which full maps are sent.
     full_maps: Pacer,
     planned_at: Monotonic,
     passes: Passes,
     stage: Stage,
-    /// Newest pass that a coordinator before may have held in this epoch; zero until ranks were seen.
+    /// Newest pass that a previous coordinator may have held in this epoch; zero until all ranks were seen.
     floor: Step,
     /// Time of day at the start of the process.
     started: Duration,
@@ -106,7 +106,7 @@
 }
 
 impl Coordinator {
-    /// Returns a coordinator that has seen nothing; `started` is the time of day at which the clock of
+    /// Returns a coordinator that has seen no rank. `started` is the time of day at which the clock of
     /// `now` was zero.
     #[must_use]
     pub fn new(service: Service, started: Duration, now: Monotonic) -> Coordinator {
@@ -134,46 +134,47 @@
         }
     }
 
-    /// Returns whether the ranks must tell what they hold.
+    /// Returns whether the ranks must report the experts that they hold.
     #[must_use]
     pub fn wants_layout(&self) -> bool {
         self.epoch.is_some() && self.in_force.is_none()
     }
 
-    /// Returns whether all ranks were seen in a group that serves.
+    /// Returns whether all ranks were seen and report that the group serves.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.has_all_ranks() && self.members.values().all(|member| member.sight.is_open)
     }
 
-    /// Returns the map of the change under way.
+    /// Returns the map version of the change in progress.
     #[must_use]
     pub fn changing(&self) -> Option<Version> {
         self.change.as_ref().map(Change::version)
     }
 
-    /// Returns what there is to tell since the last call.
+    /// Returns the events since the last call.
     pub fn notes(&mut self) -> Vec<Note> {
         std::mem::take(&mut self.notes)
     }
 
-    /// Takes the state of one rank.
+    /// Records the state of one rank, its expert activations since the last report, layer by layer, and the
+    /// experts that it holds, if reported.
     pub fn see(
         &mut self,
         sight: Sight,
-        choices: &[u32],
+        activations: &[u32],
         held: Option<Vec<Vec<Expert>>>,
         now: Monotonic,
     ) {
         if self.epoch.is_none_or(|epoch| sight.epoch > epoch) {
-            self.form(sight.epoch);
+            self.start_epoch(sight.epoch);
         }
         if self.epoch != Some(sight.epoch) {
             return;
         }
-        let is_whole = choices.len() == self.shape.layers * self.shape.experts;
-        let shift = is_whole
-            .then(|| self.popularity.add(choices, now))
+        let is_complete = activations.len() == self.shape.layers * self.shape.experts;
+        let shift = is_complete
+            .then(|| self.popularity.add(activations, now))
             .flatten();
         if let Some(distance) = shift {
             self.notes.push(Note::Shifted(distance));
@@ -185,8 +186,8 @@
         let known = before
             .as_ref()
             .map_or(USUAL_PACE, |member| member.sight.pace);
-        if sight.pace > known.saturating_add(TURNED_SLOW) {
-            // All others wait for what it holds, as after a shift.
+        if sight.pace > known.saturating_add(STRAGGLER_PACE_RISE) {
+            // All other ranks wait for it, as after a shift of demand.
             self.planned_at = Monotonic::ZERO;
             self.stage = Stage::FollowUp;
         }
@@ -199,18 +200,18 @@
         self.members.insert(member.sight.rank, member);
     }
 
-    /// Takes that a rank's engine started anew under its id: it holds and knows nothing of before, so that all ranks
-    /// are looked at again before anything else is ordered.
+    /// Records that a rank's engine restarted under its id. It has lost its earlier state, so all ranks must
+    /// be seen again before the next order.
     pub fn restarted(&mut self, rank: Rank) {
         if self.members.contains_key(&rank)
             && let Some(epoch) = self.epoch
         {
-            self.form(epoch);
+            self.start_epoch(epoch);
         }
     }
 
-    /// Begins a new epoch: whatever was prepared, armed or held is void.
-    fn form(&mut self, epoch: Epoch) {
+    /// Starts an epoch; whatever was prepared, armed or held before is void.
+    fn start_epoch(&mut self, epoch: Epoch) {
         if let Some(change) = self.change.take() {
             self.notes.push(Note::Void(change.version(), "new epoch"));
         }
@@ -225,15 +226,15 @@
         self.notes.push(Note::Formed(epoch));
     }
 
-    /// Says what to order now.
+    /// Returns the orders to send now.
     pub fn tick(&mut self, now: Monotonic) -> Vec<Send> {
         if !self.has_all_ranks() {
             return Vec::new();
         }
-        self.settle();
-        self.learn_floor();
+        self.update_in_force();
+        self.init_floor();
         if self.change.is_none() {
-            self.take_over(now);
+            self.resume(now);
         }
         if self.change.is_none() {
             if let Some(step) = orphaned_hold(&self.sights(), HOLDER) {
@@ -244,32 +245,37 @@
         self.advance(now)
     }
 
-    /// Learns which pass a coordinator before may have held at most: it saw no newer one than this one sees first.
-    fn learn_floor(&mut self) {
+    /// Sets the newest pass that a previous coordinator may have held. It saw no newer pass than the newest one
+    /// that this coordinator sees first.
+    fn init_floor(&mut self) {
         if self.floor == 0 {
             let steps = self.members.values().map(|member| member.sight.step);
-            self.floor = steps.max().unwrap_or(0) + AHEAD;
+            self.floor = steps.max().unwrap_or(0) + PASSES_AHEAD;
         }
     }
 
-    /// Returns whether each rank was seen.
+    /// Returns whether every rank of the group was seen.
     fn has_all_ranks(&self) -> bool {
         let size = self.members.values().next().map(|member| member.sight.size);
         size.is_some_and(|size| self.members.len() == usize::from(size))
     }
 
-    /// Returns how many passes after the newest one seen the next hold is to stand.
+    /// Returns how many passes after the newest one seen to place the next hold.
     fn passes_ahead(&self, now: Monotonic) -> Step {
         let left = self.passes.left(now).unwrap_or_default();
-        if left >= TO_ARM { AHEAD_IN_TIME } else { AHEAD }
+        if left >= ARM_TIME {
+            PASSES_AHEAD_IN_TIME
+        } else {
+            PASSES_AHEAD
+        }
     }
 
     fn sights(&self) -> Vec<&Sight> {
         self.members.values().map(|member| &member.sight).collect()
     }
 
-    /// Learns which layout is in force.
-    fn settle(&mut self) {
+    /// Determines the layout in force once all ranks report the same version.
+    fn update_in_force(&mut self) {
         let sights = self.sights();
         let Some(first) = sights.first() else {
             return;
@@ -291,12 +297,12 @@
             let is_initial = version == 0;
             is_initial.then(|| Arc::new(Layout::initial(&self.shape, size)))
         });
-        let layout = known.or_else(|| self.told().map(Arc::new));
+        let layout = known.or_else(|| self.reported_layout().map(Arc::new));
         self.in_force = layout.map(|layout| Versioned { version, layout });
     }
 
-    /// Returns the layout as the ranks tell it.
-    fn told(&self) -> Option<Layout> {
+    /// Returns the layout as reported by the ranks; none until each has reported its experts.
+    fn reported_layout(&self) -> Option<Layout> {
         let ranks: Option<Vec<_>> = self
             .members
             .values()
@@ -311,7 +317,7 @@
         layers.map(Layout)
     }
 
-    fn take_over(&mut self, now: Monotonic) {
+    fn resume(&mut self, now: Monotonic) {
         let Some(change) = Change::recover(&self.sights(), HOLDER, self.floor) else {
             return;
         };
