--- a/crates/lockstep/src/coordinator/ordering.rs
+++ b/crates/lockstep/src/coordinator/ordering.rs
@@ -1,4 +1,4 @@
-//! What a coordinator orders for the change under way.
+//! Orders of a coordinator for the change in progress.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,8 +17,8 @@
 use crate::told::Note;
 use crate::told::Send;
 
-/// Longest time to prepare a change; then another one is planned.
-const LONGEST_PREPARATION: Duration = Duration::from_secs(3);
+/// Time after which a change that is still being prepared is abandoned and another one is planned.
+const PREPARE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Coordinator {
     pub(super) fn release_orphaned_hold(&mut self, step: Step, now: Monotonic) -> Vec<Send> {
@@ -32,7 +32,7 @@
         let Some(mut change) = self.change.take() else {
             return Vec::new();
         };
-        let is_late = now.saturating_sub(self.change_started) > LONGEST_PREPARATION;
+        let is_late = now.saturating_sub(self.change_started) > PREPARE_TIMEOUT;
         if change.can_abort() && is_late {
             self.notes
                 .push(Note::Void(change.version(), "not prepared in time"));
@@ -65,18 +65,18 @@
         }
     }
 
-    /// Returns whether an order was not just given.
+    /// Returns whether an order is to be sent, or sent again.
     fn is_due(&self, (rank, order): (Rank, Order), now: Monotonic) -> bool {
         let member = self.members.get(&rank);
-        let shown = member.map(|member| Observation {
+        let observed = member.map(|member| Observation {
             at: member.seen,
             is_busy: member.sight.is_busy,
         });
         self.outstanding
-            .is_due(rank, order, self.copy_time, shown, now)
+            .is_due(rank, order, self.copy_time, observed, now)
     }
 
-    /// Gives an order; none if it would need a whole map, and others have just left.
+    /// Returns the order to send; none if it needs the full map and the link is still busy with earlier ones.
     fn issue(&mut self, rank: Rank, epoch: Epoch, order: Order, now: Monotonic) -> Option<Send> {
         let mut send = Send {
             rank,
@@ -87,7 +87,7 @@
         };
         if let (Order::Prepare(_), Some(next)) = (order, &self.next) {
             send.layout = Some(Arc::clone(&next.layout));
-            // A rank that did not act on what differs may not know the map in force.
+            // A rank that did not act on a delta may not know the map in force; a repeated order carries the full map.
             let is_repeated = self.outstanding.is_repeated(rank, order);
             let known = self.in_force.as_ref().filter(|_| !is_repeated);
             send.base = known.map(|known| (known.version, Arc::clone(&known.layout)));
