--- a/crates/lockstep/src/coordinator/planning.rs
+++ b/crates/lockstep/src/coordinator/planning.rs
@@ -1,4 +1,4 @@
-//! When a coordinator plans, and for which map.
+//! Planning: when to plan a change, and to which map.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,19 +16,19 @@
 use crate::sight::Version;
 use crate::told::Note;
 
-/// Age of a sight beyond which a rank counts as out of reach.
-const SIGHT_AGE: Duration = Duration::from_millis(1_200);
-/// Time between two plans; popularity does not tell more within less.
+/// Age of the last report beyond which a rank counts as unreachable.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(1_200);
+/// Time between two plans. Popularity yields nothing new in less time.
 const PLAN_PERIOD: Duration = Duration::from_millis(300);
 
-/// What the next plan has to do about the last shift of demand.
+/// Progress of the response to the last shift of demand or new straggler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The worst has to be taken off at once.
+    /// The next plan copies for a short time only, to lower the load of the most loaded ranks at once.
     Immediate,
-    /// What is left of it is to be done.
+    /// The next plan makes the remaining changes.
     FollowUp,
-    /// It is done.
+    /// No response is pending.
     Steady,
 }
 
@@ -50,10 +50,10 @@
 }
 
 impl Coordinator {
-    /// Begins a change if one is worth it.
+    /// Starts a change if a plan is due and finds one that is worth it.
     pub(super) fn start_change(&mut self, now: Monotonic) {
         let is_due = now.saturating_sub(self.planned_at) >= PLAN_PERIOD;
-        if !is_due || !self.is_calm(now) {
+        if !is_due || !self.is_idle(now) {
             return;
         }
         let Some(plan) = self.plan(now) else {
@@ -75,7 +75,7 @@
         self.notes.push(Note::Begun(version, plan));
     }
 
-    /// Returns what is worth a change, of the stage that is due or a later one.
+    /// Returns the plan of the current stage or of the first later one that finds a change worth making.
     fn plan(&mut self, now: Monotonic) -> Option<Plan> {
         let known = self.in_force.as_ref()?;
         let shares = self.popularity.shares()?;
@@ -104,15 +104,16 @@
         }
     }
 
-    /// Returns whether all ranks were seen lately.
+    /// Returns whether all ranks have reported recently.
     #[must_use]
     pub fn is_in_reach(&self, now: Monotonic) -> bool {
         let mut members = self.members.values();
-        self.has_all_ranks() && members.all(|member| now.saturating_sub(member.seen) < SIGHT_AGE)
+        self.has_all_ranks()
+            && members.all(|member| now.saturating_sub(member.seen) < MAX_REPORT_AGE)
     }
 
-    /// Returns whether all ranks are in reach, in one map, and nothing is under way.
-    fn is_calm(&self, now: Monotonic) -> bool {
+    /// Returns whether all ranks are reachable and serve on the map in force, with no change in progress.
+    fn is_idle(&self, now: Monotonic) -> bool {
         let version = self.in_force.as_ref().map(|known| known.version);
         let mut sights = self.members.values().map(|member| &member.sight);
         let is_still = |sight: &Sight| {
@@ -122,8 +123,8 @@
         self.is_in_reach(now) && sights.all(is_still)
     }
 
-    /// Returns a version above all that were seen and all that a coordinator before picked: what that
-    /// one ordered may come late, and must be refused then.
+    /// Returns a version above all that were seen and all that a previous coordinator chose. Its orders may
+    /// arrive late and must be refused then.
     fn next_version(&self, now: Monotonic) -> Version {
         let sights = self.members.values().map(|member| &member.sight);
         let newest = sights.flat_map(|sight| {
