--- a/crates/lockstep/src/coordinator/pulse.rs
+++ b/crates/lockstep/src/coordinator/pulse.rs
@@ -1,4 +1,4 @@
-//! How a group runs, as its coordinator sees it.
+//! Statistics of a group, as its coordinator sees it.
 
 use auburnline_core::id::Rank;
 
@@ -8,13 +8,13 @@
 use crate::told::Pulse;
 
 impl Coordinator {
-    /// Returns the newest sight of each rank.
+    /// Returns the latest reported state of each rank.
     pub fn sights_by_rank(&self) -> impl Iterator<Item = (Rank, &Sight)> {
         let members = self.members.iter();
         members.map(|(rank, member)| (*rank, &member.sight))
     }
 
-    /// Returns how many times longer each rank takes than it should.
+    /// Returns the slowdown factor of each rank.
     pub(super) fn slowness(&self) -> Vec<f64> {
         let sights = self.members.values().map(|member| &member.sight);
         sights.map(Sight::slowness).collect()
@@ -26,7 +26,7 @@
         f64::from(requests) / to_f64(self.members.len().max(1))
     }
 
-    /// Returns how the group runs.
+    /// Returns the group's current statistics.
     #[must_use]
     pub fn pulse(&self) -> Pulse {
         let sights = || self.members.values().map(|member| &member.sight);
@@ -47,7 +47,7 @@
     }
 }
 
-/// Returns the times that the slowest rank takes longer than it should.
+/// Returns the slowdown factor of the slowest rank.
 pub(super) fn max_slowdown(slowness: &[f64]) -> f64 {
     slowness.iter().copied().fold(1.0, f64::max)
 }
