--- a/crates/lockstep/src/change.rs
+++ b/crates/lockstep/src/change.rs
@@ -1,16 +1,17 @@
-//! One change of a group's map.
+//! One change of a group's map: a state machine over the reported states of all ranks.
 //!
-//! 1. *Prepare*: each rank copies the weights of the new map while it runs on.
-//! 2. *Hold*: once all ranks were seen prepared, one rank holds the group before a pass S to come.
-//! 3. *Arm*: only once the hold was seen, each rank is told to switch as S begins; the one that holds first, and the
-//!    others once it was seen armed. Until it is told to arm, its own sidecar may end the hold (see [`crate::deputy`]).
-//! 4. *Release*: only once all ranks were seen armed for S, the hold is let go.
+//! 1. *Prepare*: each rank copies the weights of the new map and keeps serving.
+//! 2. *Hold*: once all ranks were seen prepared, one rank is ordered to hold the group before a future pass S.
+//! 3. *Arm*: only once the hold was seen, each rank is ordered to switch as S begins: first the held rank, then,
+//!    once it was seen armed, the others. Until it is ordered to arm, its own sidecar may end the hold (see
+//!    [`crate::deputy`]).
+//! 4. *Release*: only once all ranks were seen armed for S, the hold is released.
 //!
-//! Orders may be lost, doubled, or carried out seconds later. What was seen stays true within an
-//! epoch: a rank stays prepared and armed until a new epoch voids all. So S can't begin before all
-//! ranks switch at it, whatever is late; and from the hold on there is only one way, forward: a
-//! coordinator that finds a hold arms all ranks and releases. A late order of this change finds the
-//! pass begun and is refused; one of an earlier change has a lower version.
+//! Orders may be lost, duplicated, or carried out seconds late. Within an epoch an observation stays true: a
+//! rank stays prepared and armed until a new epoch voids both. So S cannot begin before all ranks are set to
+//! switch at it, whatever is delayed. From the hold on a change only goes forward: a coordinator that finds
+//! a hold arms all ranks and releases it. A late order of this change names a pass that has begun and
+//! is refused; one of an earlier change has a lower version.
 
 use auburnline_core::id::Rank;
 use auburnline_core::id::Step;
@@ -22,57 +23,57 @@
 use crate::sight::Switch;
 use crate::sight::Version;
 
-/// Order to one rank; each may be repeated without harm.
+/// Order to one rank; all are idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Order {
     /// Copy the weights of a map.
     Prepare(Version),
-    /// Don't begin a pass until it is released.
+    /// Do not begin this pass until it is released.
     Hold(Step),
-    /// Switch as a pass begins.
+    /// Switch to a map as a pass begins.
     Arm(Switch),
-    /// Let a held pass begin.
+    /// Release the hold before this pass.
     Release(Step),
 }
 
-/// How far a change is.
+/// Phase of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// Ranks copy weights.
+    /// Ranks copy the weights of the new map.
     Preparing,
-    /// The hold before a pass is ordered.
+    /// The hold before this pass is ordered but was not seen yet.
     Holding(Step),
-    /// The hold stands; ranks are told to switch.
+    /// The hold was seen; ranks are ordered to switch at this pass.
     Arming(Step),
-    /// All switch; the hold is let go.
+    /// All ranks are armed or have switched; the hold is being released.
     Releasing(Step),
 }
 
-/// One change.
+/// A change in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Change {
     epoch: Epoch,
     version: Version,
     phase: Phase,
-    /// Newest pass that a coordinator before may have held: its orders may come late and twice, and a late release
-    /// of a pass would end the hold of this change.
+    /// Newest pass that a previous coordinator may have held. Its orders may arrive late and twice, and a late
+    /// release of the same pass would end the hold of this change.
     floor: Step,
 }
 
-/// What comes next.
+/// Next action of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// These ranks get these orders, if they did not just get them.
+    /// Send these orders to these ranks, unless they were sent just before.
     Orders(Vec<(Rank, Order)>),
     /// The change is in force.
     Done,
-    /// The change can't go on; nothing of it is in force.
+    /// The change cannot continue, and no part of it is in force.
     Aborted,
 }
 
 impl Change {
-    /// Begins a change; `version` was never used before in this epoch. It holds a pass after `floor`, the newest that
-    /// a coordinator before may have held.
+    /// Starts a change to a `version` that was never used in this epoch. It holds a pass after `floor`, the newest
+    /// one that a previous coordinator may have held.
     #[must_use]
     pub const fn new(epoch: Epoch, version: Version, floor: Step) -> Change {
         Change {
@@ -83,9 +84,10 @@
         }
     }
 
-    /// Takes over the change that left `sights` behind; none if nothing of one is under way.
+    /// Reconstructs the change in progress from `sights`, one of each rank; none if no rank is armed and no hold
+    /// stands with all ranks prepared for one map.
     ///
-    /// `holder` is the rank that holds. All ranks must have been seen.
+    /// `holder` is the rank that is held.
     #[must_use]
     pub fn recover(sights: &[&Sight], holder: Rank, floor: Step) -> Option<Change> {
         let epoch = sights.first()?.epoch;
@@ -94,8 +96,8 @@
         let step = armed.map(|armed| armed.step).or(holding)?;
         let version = match armed {
             Some(armed) => armed.version,
-            // A hold is only ordered once all have the weights, so that all agree.
-            None => common(sights)?,
+            // A hold is ordered only once all ranks are prepared, so they agree on the version.
+            None => common_prepared(sights)?,
         };
         let switch = Switch { version, step };
         let phase = if unarmed(sights, switch).next().is_none() {
@@ -113,34 +115,34 @@
         })
     }
 
-    /// Returns the version.
+    /// Returns the version of the new map.
     #[must_use]
     pub const fn version(&self) -> Version {
         self.version
     }
 
-    /// Returns the epoch.
+    /// Returns the epoch in which the change started.
     #[must_use]
     pub const fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Returns how far the change is.
+    /// Returns the phase that the change is in.
     #[must_use]
     pub const fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Returns whether the change may be given up without a trace in force.
+    /// Returns whether the change may be abandoned: no rank has been held or armed for it.
     #[must_use]
     pub const fn can_abort(&self) -> bool {
         matches!(self.phase, Phase::Preparing)
     }
 
-    /// Looks at all ranks of the group and says what comes next.
+    /// Advances the change by the state of all ranks and returns the next action.
     ///
-    /// `sights` holds one sight of each rank; `ahead` is how many passes lie between the newest pass
-    /// seen and the one to hold.
+    /// `sights` holds one state of each rank; `ahead` is how many passes after the newest one seen to place a
+    /// hold.
     #[must_use]
     pub fn advance(&mut self, sights: &[&Sight], holder: Rank, ahead: Step) -> Progress {
         if sights.iter().any(|sight| sight.epoch != self.epoch) {
@@ -159,7 +161,7 @@
                 return orders(&waiting, Order::Prepare(self.version));
             }
             if newest + ahead <= self.floor {
-                // Passes have to begin first; a group that makes none has nothing to gain.
+                // Wait for passes to begin. A group that runs none gains nothing from the change.
                 return Progress::Orders(Vec::new());
             }
             self.phase = Phase::Holding(newest + ahead);
@@ -168,7 +170,7 @@
             if held.held == Some(step) {
                 self.phase = Phase::Arming(step);
             } else {
-                // Once the pass began, an order to hold it is refused, however late it comes.
+                // The pass has begun, so an order to hold it is refused, however late it arrives.
                 let step = if newest >= step { newest + ahead } else { step };
                 self.phase = Phase::Holding(step);
                 return orders(&[holder], Order::Hold(step));
@@ -181,7 +183,7 @@
             };
             let is_switched = held.version == self.version;
             if held.step >= step && !is_switched {
-                // The hold was ended before its rank was armed, so that no rank was.
+                // The hold ended before its rank was armed, so no rank is armed for it.
                 let step = newest + ahead;
                 self.phase = Phase::Holding(step);
                 return orders(&[holder], Order::Hold(step));
@@ -205,21 +207,21 @@
         if is_in_force {
             Progress::Done
         } else {
-            // All switch as the pass begins; until then there is nothing to order.
+            // All ranks switch as the pass begins; until then there is nothing to order.
             Progress::Orders(Vec::new())
         }
     }
 
     /// Returns a held pass that this change did not order.
     ///
-    /// It is a late order of a coordinator that ended before it saw the hold, so no rank was told to
-    /// switch there; left alone it would stop the group for good.
+    /// Such a hold comes from a late order of a coordinator that ended before it saw the hold, so no rank was
+    /// armed for that pass. If it were not released, it would stop the group for good.
     fn orphaned_hold(&self, holder: &Sight) -> Option<Step> {
         let is_orphaned = |step: &Step| match self.phase {
             Phase::Preparing => true,
-            // Once all are armed an earlier pass may begin.
+            // Once all are armed, an earlier pass may begin.
             Phase::Holding(own) | Phase::Releasing(own) => *step != own,
-            // Until then it keeps the pass to come from beginning.
+            // Until then the stray hold keeps the pass of this change from beginning.
             Phase::Arming(_) => false,
         };
         holder.held.filter(is_orphaned)
@@ -232,7 +234,7 @@
     }
 }
 
-/// Returns a held pass with which no change can go on, where none is under way.
+/// Returns a held pass from which no change can be resumed, given that no change is in progress.
 #[must_use]
 pub fn orphaned_hold(sights: &[&Sight], holder: Rank) -> Option<Step> {
     let is_armed = sights.iter().any(|sight| sight.armed.is_some());
@@ -251,7 +253,7 @@
     waiting.map(|sight| sight.rank)
 }
 
-fn common(sights: &[&Sight]) -> Option<Version> {
+fn common_prepared(sights: &[&Sight]) -> Option<Version> {
     let version = sights.first()?.prepared?;
     let all = sights.iter().all(|sight| sight.prepared == Some(version));
     all.then_some(version)
