--- a/crates/lockstep/src/told.rs
+++ b/crates/lockstep/src/told.rs
@@ -1,4 +1,4 @@
-//! What a coordinator tells whoever runs it: orders to send, and what belongs in the log.
+//! Output of a coordinator: orders to send, events to log, and statistics.
 
 use std::sync::Arc;
 
@@ -13,23 +13,24 @@
 use crate::sight::Epoch;
 use crate::sight::Version;
 
-/// An order on its way to a rank.
+/// An order to send to a rank.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Send {
-    /// Rank.
+    /// Rank that the order is for.
     pub rank: Rank,
-    /// Epoch in which the order holds.
+    /// Epoch in which the order is valid.
     pub epoch: Epoch,
-    /// Order.
+    /// The order itself.
     pub order: Order,
-    /// Layout to prepare.
+    /// Layout to prepare; only with [`Order::Prepare`].
     pub layout: Option<Arc<Layout>>,
-    /// Map in force, if the rank most likely knows it: then what differs from it is enough. The first map is known to all.
+    /// Map in force, if the rank most likely knows it, so that a delta to it is enough. All ranks know the initial
+    /// map.
     pub base: Option<(Version, Arc<Layout>)>,
 }
 
 impl Send {
-    /// Returns the layout as it goes to another instance: as little as is enough.
+    /// Returns the layout as it is sent to another instance: as a delta if there is a base, else in full.
     #[must_use]
     pub fn parcel(&self) -> Option<Parcel> {
         let layout = self.layout.as_ref()?;
@@ -40,14 +41,15 @@
     }
 }
 
-/// Whose turn it is to be told first, where those told first pass a word on.
+/// Rotation of the receivers that get a message first, where these forward it to the others.
 ///
-/// One that is gone passes nothing on; with each word others are first, so that nobody misses more than one for it.
+/// A receiver that is gone forwards nothing. Others come first with each message, so that no receiver misses
+/// more than one in a row because of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Turn(usize);
 
 impl Turn {
-    /// Returns all, from the next one on.
+    /// Returns all receivers, starting one further along than the last call.
     pub fn take<'a, T>(&mut self, all: &'a [T]) -> impl Iterator<Item = &'a T> + use<'a, T> {
         let from = self.0;
         self.0 = (from + 1) % all.len().max(1);
@@ -55,38 +57,39 @@
     }
 }
 
-/// Something to tell in the log.
+/// Event for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
-    /// A change begins.
+    /// A change to this version starts.
     Begun(Version, Plan),
-    /// A change found after a start goes on.
+    /// A change that was found after a start of the coordinator is resumed.
     Found(Version, Phase),
-    /// A change is in force.
+    /// A change is in force on all ranks.
     Done(Version),
-    /// A change ended without effect.
+    /// A change was aborted for this reason, without effect.
     Void(Version, &'static str),
-    /// Demand shifted by this distance.
+    /// Demand shifted by this distance between expert shares (0 to 2).
     Shifted(f64),
-    /// The group formed anew, or was seen first.
+    /// The group formed again, or was seen for the first time.
     Formed(Epoch),
 }
 
-/// How a group runs.
+/// Statistics of a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Pulse {
-    /// Newest pass.
+    /// Newest pass that any rank has begun.
     pub step: Step,
-    /// Requests that run on all ranks.
+    /// Running requests, summed over the ranks.
     pub running: u32,
-    /// Requests that wait on all ranks.
+    /// Waiting requests, summed over the ranks.
     pub waiting: u32,
-    /// Most requests that run on one rank.
+    /// Largest number of running requests on one rank.
     pub most_running: u32,
-    /// Most loaded rank over the mean under the popularity of now; none if it is not known.
+    /// Load of the most loaded rank over the mean under current popularity; none while the layout or the
+    /// popularity is unknown.
     pub skew: Option<f64>,
-    /// Times that the slowest rank's part of a pass takes longer than it should.
+    /// Slowdown factor of the slowest rank.
     pub slowest: f64,
-    /// Map in force; none if ranks differ or it is not known.
+    /// Version of the map in force; none until the layout is known.
     pub version: Option<Version>,
 }
