--- a/crates/lockstep/src/message.rs
+++ b/crates/lockstep/src/message.rs
@@ -1,4 +1,4 @@
-//! What sidecars say to each other, and to gateways.
+//! Messages between sidecars, and between sidecars and gateways.
 
 use std::net::SocketAddr;
 
@@ -15,150 +15,150 @@
 use crate::sight::Epoch;
 use crate::sight::Sight;
 
-/// Question of a sidecar to a gateway: who serves this service?
+/// Query of a sidecar to a gateway for the members of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Service.
+    /// Name of the service.
     pub service: String,
 }
 
 /// Message to a sidecar.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Answer of a gateway.
+    /// Answer of a gateway to [`Ask`].
     Members(Members),
-    /// The sidecar beside rank 0 says that it leads.
+    /// Heartbeat of the leader, the sidecar next to rank 0.
     Lead(Lead),
-    /// A sidecar shows its rank to the one that leads.
+    /// State of a rank, from its sidecar to the leader.
     Show(Show),
-    /// The one that leads, or its deputy, has an order for the receiver's rank.
+    /// Order of the leader or its standby to the receiver's rank.
     Command(Command),
-    /// The one that leads is about to order a hold.
+    /// Notice of the leader to its standby that it is about to order a hold.
     Pledge(Pledge),
-    /// A sidecar gives the counts of its rank to one that adds up those of several.
+    /// Expert counts of a rank, from its sidecar to the aggregator of several ranks.
     Counts(Counts),
-    /// The one that leads has an order for many ranks, which the receiver passes on.
+    /// Order of the leader to many ranks, which the receiver forwards.
     Forward(Forward),
 }
 
-/// Upstreams of a service, and how its experts are placed.
+/// Upstreams of a service, the gateways, and the parameters of its experts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Members {
-    /// Service.
+    /// Name of the service.
     pub service: String,
     /// Addresses of the upstreams.
     pub upstreams: Vec<SocketAddr>,
-    /// Addresses of gateways that live, towards other processes.
+    /// Addresses at which live gateways receive messages of other processes.
     pub gateways: Vec<SocketAddr>,
-    /// Shape of the experts, where the service has groups.
+    /// Expert dimensions; none if the service has no groups or the gateway does not know it yet.
     pub shape: Option<Shape>,
-    /// Cost of its passes, where that is published.
+    /// Cost model of its passes; none if it is not published.
     pub cost: Option<Cost>,
 }
 
 impl Members {
-    /// Returns whether the gateway that told this knew the service: after a start it first reads what is
-    /// published.
+    /// Returns whether the gateway that sent this knew the service. After a start it must first read the published
+    /// configuration.
     #[must_use]
     pub fn is_whole(&self) -> bool {
         self.shape.is_some() && !self.upstreams.is_empty()
     }
 }
 
-/// An engine of a group, the requests that run or wait at it, and how slow it is.
+/// Load and pace of one engine of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Busy {
     /// Address of the engine.
     pub engine: SocketAddr,
-    /// Requests.
+    /// Requests that run or wait at it.
     pub requests: u32,
-    /// Times that its part of a pass takes longer than it should, in hundredths.
+    /// Slowdown factor of its part of a pass, in hundredths.
     pub pace: u16,
 }
 
-/// Word of a lead to gateways: who runs in lock-step, how much, and whether the group serves.
+/// Digest of a group's state, from its leader to gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// Group.
+    /// Name of the group.
     pub group: String,
-    /// Whether it serves.
+    /// Whether all ranks were seen and the group serves.
     pub is_open: bool,
-    /// Its engines.
+    /// Engines that run in lock-step in this group.
     pub engines: Vec<Busy>,
 }
 
-/// Word of a lead that a gateway passes on to others.
+/// Digest that the receiving gateway forwards to other gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Forwarded {
-    /// Gateways to pass it on to.
+    /// Gateways to forward it to.
     pub to: Vec<SocketAddr>,
-    /// Word; the receiver takes it too.
+    /// Digest, which the receiver applies too.
     pub digest: Digest,
 }
 
-/// Word of the sidecar that leads a group.
+/// Heartbeat of a group's leader to the other sidecars.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lead {
-    /// Group.
+    /// Name of the group.
     pub group: String,
-    /// Epoch.
+    /// Current epoch of the leader's rank.
     pub epoch: Epoch,
-    /// Whether the layout in force is not known.
+    /// Whether ranks must report the experts that they hold, because the leader does not know the layout in force.
     pub wants_layout: bool,
-    /// Sidecar that collects the counts of the receiver's rank; none if they go to the one that leads.
+    /// Sidecar that aggregates the counts of the receiver's rank; none if they go to the leader.
     pub collector: Option<SocketAddr>,
 }
 
-/// One rank as its sidecar sees it.
+/// Report on one rank by its sidecar.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Show {
-    /// Unix milliseconds of the rank's start, where it tells.
+    /// Start of the rank's engine in Unix milliseconds; none if the engine does not report it.
     pub born: Option<u64>,
-    /// Group.
+    /// Name of the group.
     pub group: String,
     /// State of the rank.
     pub sight: Sight,
     /// Failure domain of its instance.
     pub failure_domain: FailureDomainId,
-    /// Choices of experts since the last word, layer by layer; empty if there are none.
+    /// Expert activations since the last report, layer by layer; empty if there are none.
     pub choices: Vec<u32>,
-    /// Experts that the rank holds by layer, if they were asked for.
+    /// Experts that the rank holds, by layer; none unless the leader wants them.
     pub held: Option<Vec<Vec<Expert>>>,
 }
 
-/// Choices of experts at one rank on their way to the sidecar that adds them up.
+/// Expert activations at one rank, for the aggregator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Group.
+    /// Name of the group.
     pub group: String,
     /// Epoch in which they were counted.
     pub epoch: Epoch,
-    /// Choices since the last word, layer by layer.
+    /// Expert activations since the last report, layer by layer.
     pub choices: Vec<u32>,
 }
 
 /// Order for a rank.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// Group.
+    /// Name of the group.
     pub group: String,
-    /// Epoch in which the order holds.
+    /// Epoch in which the order is valid.
     pub epoch: Epoch,
-    /// Order.
+    /// The order itself.
     pub order: Order,
-    /// Layout to prepare.
+    /// Layout to prepare; only with [`Order::Prepare`].
     pub layout: Option<Parcel>,
-    /// Who is shown what came of it; none if that is the sender.
+    /// Sidecar that the rank's state is reported to afterwards; none if that is the sender.
     pub reports_to: Option<SocketAddr>,
 }
 
-/// Order that goes to many ranks.
+/// Order for many ranks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Forward {
-    /// Sidecars to pass it on to.
+    /// Sidecars to forward it to.
     pub to: Vec<SocketAddr>,
-    /// Order; the receiver follows it too.
+    /// Command, which the receiver carries out too.
     pub command: Command,
 }
