--- a/crates/lockstep/src/tally.rs
+++ b/crates/lockstep/src/tally.rs
@@ -1,48 +1,49 @@
-//! Counts of other ranks that a sidecar adds up for the one that leads.
+//! Aggregation of the expert counts of several ranks for the leader.
 //!
-//! In a large group the counts of all ranks are more than the lead's link carries. So some sidecars collect those of a few
-//! others, and give the sums on with their own. If one is gone, the lead learns of demand from the other ranks meanwhile.
+//! In a large group the counts of all ranks exceed the leader's link. So some sidecars sum the counts of a few
+//! others and send the sums with their own. While such an aggregator is gone, the leader learns of demand from the
+//! remaining ranks.
 
 use crate::sight::Epoch;
 
-/// Counts by layer and expert that wait to go on.
+/// Summed counts, by layer and expert, that were not sent on yet.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     epoch: Epoch,
-    choices: Vec<u32>,
+    activations: Vec<u32>,
 }
 
 impl Tally {
-    /// Takes the counts of another rank; those of an earlier epoch, or of another shape, are void.
-    pub fn take(&mut self, epoch: Epoch, choices: &[u32]) {
+    /// Adds the counts of another rank; those of an earlier epoch, or of another length, are ignored.
+    pub fn take(&mut self, epoch: Epoch, activations: &[u32]) {
         if epoch > self.epoch {
             self.epoch = epoch;
-            self.choices.clear();
+            self.activations.clear();
         }
         if epoch < self.epoch {
             return;
         }
-        if self.choices.is_empty() {
-            self.choices = choices.to_vec();
+        if self.activations.is_empty() {
+            self.activations = activations.to_vec();
         } else {
-            add(&mut self.choices, choices);
+            add(&mut self.activations, activations);
         }
     }
 
-    /// Adds what was collected to the own choices, if it is of the own epoch.
-    pub fn add_to(&mut self, choices: &mut [u32], epoch: Option<Epoch>) {
-        let collected = std::mem::take(&mut self.choices);
+    /// Adds the sums to `activations` of the own rank if they are of its `epoch`, and clears them.
+    pub fn add_to(&mut self, activations: &mut [u32], epoch: Option<Epoch>) {
+        let sums = std::mem::take(&mut self.activations);
         if epoch == Some(self.epoch) {
-            add(choices, &collected);
+            add(activations, &sums);
         }
     }
 }
 
-fn add(to: &mut [u32], choices: &[u32]) {
-    if to.len() != choices.len() {
+fn add(to: &mut [u32], activations: &[u32]) {
+    if to.len() != activations.len() {
         return;
     }
-    for (sum, chosen) in to.iter_mut().zip(choices) {
+    for (sum, chosen) in to.iter_mut().zip(activations) {
         *sum = sum.saturating_add(*chosen);
     }
 }
