--- a/crates/lockstep/src/collecting.rs
+++ b/crates/lockstep/src/collecting.rs
@@ -1,30 +1,31 @@
-//! Who collects whose counts.
+//! Assignment of ranks to the sidecars that aggregate their expert counts.
 //!
-//! A lead tells the ranks that it knows in parts, the first of each of which collects for the others. Sidecars that may belong to
-//! the group, of which nothing was heard yet, get no collector: they show themselves to the lead first. Ranks that were heard keep
-//! theirs while others are silent; without it all would send their counts to the lead at once.
+//! The leader splits the sidecars of known ranks into parts; the first of each part aggregates for the rest.
+//! Sidecars that may belong to the group but have not been heard from get no aggregator; they first report to the
+//! leader. Known ranks keep their aggregator while others are silent; otherwise all would send their counts to the
+//! leader at once.
 
 use std::net::SocketAddr;
 
 use crate::traffic::parts;
 
-/// A sidecar that is told who leads.
+/// A sidecar that gets the leader's heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Receiver {
-    /// Its address.
+    /// Address of the sidecar.
     pub address: SocketAddr,
-    /// Who collects the counts of its rank; none if that is the lead.
+    /// Sidecar that aggregates the counts of its rank; none if they go to the leader.
     pub collector: Option<SocketAddr>,
 }
 
-/// Returns who is told what, where so many of the `known` sidecars collect for the others.
+/// Returns the receivers of a heartbeat, of which `collectors` of the `known` ones aggregate for the others.
 #[must_use]
 pub fn receivers(
     known: &[SocketAddr],
     collectors: usize,
     unknown: impl Iterator<Item = SocketAddr>,
 ) -> Vec<Receiver> {
-    let told = parts(known, collectors).flat_map(|part| {
+    let assigned = parts(known, collectors).flat_map(|part| {
         let collector = part.first().copied().filter(|_| part.len() > 1);
         let receiver = move |address: &SocketAddr| Receiver {
             address: *address,
@@ -37,5 +38,5 @@
         address,
         collector: None,
     });
-    told.chain(new).collect()
+    assigned.chain(new).collect()
 }
