--- a/crates/lockstep/src/layout.rs
+++ b/crates/lockstep/src/layout.rs
@@ -1,4 +1,4 @@
-//! Experts of a group by layer and rank, where ranks may leave places empty.
+//! Layouts: the experts of a group by layer and rank, where ranks may leave places empty.
 
 use std::time::Duration;
 
@@ -10,37 +10,37 @@
 use crate::sight::Version;
 use crate::to_f64;
 
-/// Most cells of a first map that is laid out at another's word: well over 58 layers of 256 experts, and a bound on what
-/// a broken message may ask for.
-const MOST_CELLS: usize = 1 << 16;
+/// Most cells of an initial map that is built from a message: well over 58 layers of 256 experts, and a bound on the
+/// memory that a malformed message can request.
+const MAX_CELLS: usize = 1 << 16;
 
-/// Published shape of a group's experts.
+/// Expert dimensions of a model and limits of its ranks, as published.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Shape {
-    /// Layers whose experts are placed by themselves.
+    /// Number of layers whose experts are placed independently.
     pub layers: usize,
-    /// Experts of each layer.
+    /// Number of experts in each layer.
     pub experts: usize,
-    /// Most experts that a rank holds in a layer.
+    /// Largest number of experts that a rank holds in a layer.
     pub places: usize,
-    /// Most experts of a layer that one change may bring to a rank.
+    /// Largest number of experts of a layer that one change may add to a rank.
     pub most_new: usize,
-    /// Time that a rank needs to copy one expert.
+    /// Time that a rank takes to copy one expert.
     pub copy: Duration,
 }
 
-/// Experts by layer and rank.
+/// Experts held, by layer and rank.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Layout(pub Vec<Vec<Vec<Expert>>>);
 
 impl Layout {
-    /// Returns the layout of a group that just formed: experts to ranks in turn.
+    /// Returns the layout with which a group forms: experts are assigned to ranks round-robin.
     #[must_use]
     pub fn initial(shape: &Shape, ranks: Rank) -> Layout {
-        Layout::in_turn(shape.layers, shape.experts, ranks)
+        Layout::round_robin(shape.layers, shape.experts, ranks)
     }
 
-    fn in_turn(layers: usize, experts: usize, ranks: Rank) -> Layout {
+    fn round_robin(layers: usize, experts: usize, ranks: Rank) -> Layout {
         let ranks = usize::from(ranks.max(1));
         let mut layer = vec![Vec::new(); ranks];
         for expert in 0..experts {
@@ -49,7 +49,7 @@
         Layout(vec![layer; layers])
     }
 
-    /// Returns the most loaded rank over the mean under `shares` by layer, mean of all layers.
+    /// Returns the load of the most loaded rank over the mean under `shares` by layer, averaged over the layers.
     #[must_use]
     pub fn skew(&self, shares: &[Vec<f64>]) -> f64 {
         let skews = self
@@ -60,7 +60,7 @@
         skews.sum::<f64>() / to_f64(self.0.len().max(1))
     }
 
-    /// Returns a hash that all processes agree on.
+    /// Returns a hash that is the same in all processes.
     fn fingerprint(&self) -> u64 {
         let ranks = self.0.iter().flatten();
         ranks.fold(0, |hash, held| {
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Returns about how many bytes it takes as a message.
+    /// Returns the approximate size of the encoded layout.
     #[must_use]
     pub(crate) fn encoded_bytes(&self) -> usize {
         let ranks = self.0.iter().flatten();
@@ -80,16 +80,16 @@
     }
 }
 
-/// How the experts of one rank in one layer differ from those of another layout.
+/// Difference of one rank in one layer between two layouts.
 ///
-/// A copied expert takes about seven bytes, so that a change of a large group stays within one packet.
+/// A copied expert takes about seven bytes, so that a change of a large group fits into one packet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Cell {
-    /// Layer.
+    /// Index of the layer.
     pub layer: u16,
-    /// Rank.
+    /// Rank whose experts differ.
     pub rank: Rank,
-    /// Experts that it holds no longer.
+    /// Experts that it no longer holds.
     pub dropped: Vec<Expert>,
     /// Experts that it holds from then on.
     pub added: Vec<Expert>,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Changes the experts that a rank holds; they are in order then, as in every layout that was planned.
+    /// Applies the difference to the experts that a rank holds. The result is sorted, as in every planned layout.
     fn apply(self, held: &mut Vec<Expert>) {
         held.retain(|expert| !self.dropped.contains(expert));
         held.extend(self.added);
@@ -118,28 +118,28 @@
     }
 }
 
-/// A layout on its way to a rank.
+/// A layout as it is sent to a rank.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Parcel {
-    /// All of it.
+    /// The full layout.
     Full(Layout),
-    /// What differs from another map.
+    /// Differences to a map that the receiver knows.
     Delta(Delta),
 }
 
-/// Map on which a parcel builds.
+/// Map that a delta is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Base {
-    /// The map that a group forms with; everybody can lay it out.
+    /// The map with which a group forms. It follows from these dimensions, so it is never sent.
     Initial {
-        /// Layers.
+        /// Number of layers.
         layers: u16,
-        /// Experts of each layer.
+        /// Number of experts in each layer.
         experts: u16,
-        /// Ranks.
+        /// Number of ranks.
         ranks: Rank,
     },
-    /// A map that its receiver was sent.
+    /// The map of this version, which the receiver was sent.
     Sent(Version),
 }
 
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Returns the map; none if it is not among `known`, or larger than any that can be sent.
+    /// Returns the map; none if it is not among `known`, or exceeds the size limit.
     fn layout(self, known: &[(Version, Layout)]) -> Option<Layout> {
         match self {
             Base::Initial {
@@ -168,7 +168,7 @@
             } => {
                 let (layers, experts) = (usize::from(layers), usize::from(experts));
                 let cells = layers * experts.max(usize::from(ranks));
-                (cells <= MOST_CELLS).then(|| Layout::in_turn(layers, experts, ranks))
+                (cells <= MAX_CELLS).then(|| Layout::round_robin(layers, experts, ranks))
             }
             Base::Sent(version) => {
                 let (_, layout) = known.iter().find(|(known, _)| *known == version)?;
@@ -178,19 +178,19 @@
     }
 }
 
-/// A layout by what differs from a map that its receiver knows.
+/// A layout as differences to a map that its receiver knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Delta {
-    /// Map that it builds on.
+    /// Map that the differences apply to.
     pub base: Base,
-    /// What differs.
+    /// Differences by layer and rank.
     pub cells: Vec<Cell>,
-    /// Hash of the layout that must come of it: ranks don't compare their maps, so a wrong base would never show.
+    /// Hash of the resulting layout. Ranks do not compare their maps, so a wrong base would go unnoticed without it.
     pub hash: u64,
 }
 
 impl Parcel {
-    /// Returns what turns `before`, the map of version `base`, into `layout`.
+    /// Returns the delta from `before`, the map of version `base`, to `layout`.
     #[must_use]
     pub fn delta(base: Version, before: &Layout, layout: &Layout) -> Parcel {
         let mut cells = Vec::new();
@@ -208,29 +208,30 @@
         })
     }
 
-    /// Returns the map that it builds on, if it does.
+    /// Returns the map that a delta is based on; none for a full layout.
     #[must_use]
     pub const fn base(&self) -> Option<Base> {
         match self {
             Parcel::Full(_) => None,
-            Parcel::Delta(changed) => Some(changed.base),
+            Parcel::Delta(delta) => Some(delta.base),
         }
     }
 
-    /// Returns the layout; none if what it builds on is not among `known`.
+    /// Returns the layout; none if its base is not among `known`, a rank or layer does not exist there, or the hash of
+    /// the result does not match.
     #[must_use]
     pub fn open(self, known: &[(Version, Layout)]) -> Option<Layout> {
-        let changed = match self {
+        let delta = match self {
             Parcel::Full(layout) => return Some(layout),
-            Parcel::Delta(changed) => changed,
+            Parcel::Delta(delta) => delta,
         };
-        let mut layout = changed.base.layout(known)?;
-        for cell in changed.cells {
+        let mut layout = delta.base.layout(known)?;
+        for cell in delta.cells {
             let ranks = layout.0.get_mut(usize::from(cell.layer))?;
             let held = ranks.get_mut(usize::from(cell.rank))?;
             cell.apply(held);
         }
-        (layout.fingerprint() == changed.hash).then_some(layout)
+        (layout.fingerprint() == delta.hash).then_some(layout)
     }
 }
 
