--- a/crates/lockstep/src/deputy.rs
+++ b/crates/lockstep/src/deputy.rs
@@ -1,12 +1,14 @@
-//! The sidecar beside the rank that holds, which ends a hold whose lead fell silent.
+//! Standby of the leader: the sidecar next to the held rank, which ends a hold when the leader has gone silent.
 //!
-//! A hold does not expire. If the lead freezes or dies between a hold and its release, the whole group stands
-//! still until it is back, although it would run on without its sidecars. So the lead tells the deputy of each hold
-//! it is about to order, and arms the deputy's rank first and by the deputy alone. A deputy that then hears nothing
-//! ends the hold as long as it passed no order to arm on: nobody is armed, so the pass begins on the map in force.
-//! Once it passed one on, others may be armed, and it takes the change forward: it arms all ranks for the pledged switch
-//! and releases once it saw all armed. Each of its orders is one that the lead would give, so both may act at
-//! once; what comes after the pass began, or in another epoch, is refused.
+//! A hold does not expire. If the leader freezes or dies between a hold and its release, the whole group stops until
+//! the leader is back, although the group itself would run without its sidecars. So the leader notifies the standby
+//! of each hold that it is about to order, and arms the standby's rank first and only through the standby.
+//!
+//! If the leader then goes silent and the standby has forwarded no order to arm, no rank is armed: the standby ends
+//! the hold and the pass begins on the map in force. Once it has forwarded one, other ranks may be armed, so the
+//! standby completes the change: it arms all ranks for the announced switch, and releases the hold once it saw
+//! all armed. Each of its orders is one that the leader would send, so both may act at the same time; an order that
+//! arrives after the pass began, or in another epoch, is refused.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,45 +26,46 @@
 use crate::sight::Sight;
 use crate::sight::Switch;
 
-/// Rank beside which the deputy runs.
+/// Rank whose sidecar is the standby.
 pub const DEPUTY: Rank = HOLDER;
-/// Silence of the lead after which the deputy acts: two of its words. Callers meet a pause of half a second
-/// then, in place of the seconds for which an instance freezes.
-const PATIENCE: Duration = Duration::from_millis(400);
-/// Time after which a pledge is forgotten: a group that still stands then has another cause.
-const LIFE: Duration = Duration::from_secs(20);
+/// Silence of the leader after which the standby acts: two heartbeats. Callers then see a pause of half a second
+/// instead of the seconds for which an instance freezes.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Silence of the leader after which an announced hold is dropped: if the group is still stopped, the cause is
+/// another one.
+const PLEDGE_LIFETIME: Duration = Duration::from_secs(20);
 
-/// A hold that the lead is about to order.
+/// Notice of a hold that the leader is about to order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Pledge {
-    /// Group.
+    /// Name of the group.
     pub group: String,
-    /// Epoch in which it holds.
+    /// Epoch in which the hold is valid.
     pub epoch: Epoch,
-    /// Switch that all ranks are to be armed for.
+    /// Switch for which all ranks are to be armed; its pass is the held one.
     pub switch: Switch,
-    /// Sidecars of the ranks.
+    /// Addresses of the sidecars of all ranks, including the leader.
     pub sidecars: Vec<(Rank, SocketAddr)>,
 }
 
-/// State of the deputy.
+/// State of the standby.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Deputy {
     pledge: Option<Pledge>,
-    /// When the lead was heard last.
+    /// When the leader was last heard from.
     heard: Monotonic,
-    /// Ranks that were seen armed for the pledged switch, or switched.
+    /// Ranks that were seen armed for the announced switch, or on its map.
     armed: BTreeSet<Rank>,
-    /// Epoch of the passes below.
+    /// Epoch of the two passes below.
     epoch: Epoch,
-    /// Newest pass for which an order to arm the own rank was passed on.
-    passed: Step,
-    /// Newest pass whose hold was ended; no order to arm for it or an earlier one is passed on any more.
+    /// Newest pass for which an order to arm the own rank was forwarded.
+    forwarded: Step,
+    /// Newest pass whose hold was ended; orders to arm for it or an earlier one are no longer forwarded.
     ended: Step,
 }
 
 impl Deputy {
-    /// Takes the pledge of a hold; returns whether it was known. One of an earlier epoch, come late, says nothing.
+    /// Records the notice of a hold; returns whether it was known already. A late one of an earlier epoch is ignored.
     pub fn pledge(&mut self, pledge: Pledge, now: Monotonic) -> bool {
         self.enter(pledge.epoch);
         if pledge.epoch < self.epoch {
@@ -77,57 +80,57 @@
         is_known
     }
 
-    /// Begins an epoch anew: all that was passed on or ended before is void in it.
+    /// Starts an epoch if it is newer; what was forwarded or ended before is void in it.
     fn enter(&mut self, epoch: Epoch) {
         if epoch > self.epoch {
             self.epoch = epoch;
-            self.passed = 0;
+            self.forwarded = 0;
             self.ended = 0;
         }
     }
 
-    /// Returns whether an order to arm the own rank may be passed on to its engine, and takes that it is.
+    /// Returns whether an order to arm the own rank may be forwarded to its engine; if so, records that it is.
     pub fn may_arm(&mut self, epoch: Epoch, switch: Switch) -> bool {
         self.enter(epoch);
         let may_arm = epoch == self.epoch && switch.step > self.ended;
         if may_arm {
-            self.passed = self.passed.max(switch.step);
+            self.forwarded = self.forwarded.max(switch.step);
         }
         may_arm
     }
 
-    /// Ends the pledged hold if nobody can be armed for it; returns the pass to release at the own rank.
+    /// Ends the announced hold if no rank can be armed for it; returns the pass to release at the own rank.
     pub fn end(&mut self, own: &Sight) -> Option<Step> {
         let pledge = self.pledge.as_ref()?;
         let step = pledge.switch.step;
         let is_held = own.epoch == pledge.epoch && own.held == Some(step);
-        // An order that was passed on before this process started may have armed the rank.
+        // An order that was forwarded before this process started may have armed the rank.
         let is_armed = own.armed.is_some();
-        if !is_held || is_armed || self.passed >= step {
+        if !is_held || is_armed || self.forwarded >= step {
             return None;
         }
         self.ended = self.ended.max(step);
         Some(step)
     }
 
-    /// Takes that the lead speaks.
+    /// Records a heartbeat of the leader.
     pub const fn heard(&mut self, now: Monotonic) {
         self.heard = now;
     }
 
-    /// Returns the pledge that the deputy has to see through now: its lead is silent, and the own rank has not
-    /// passed it.
+    /// Returns the announced hold that the standby must act on now, because the leader is silent and the own rank has
+    /// not reached the held pass.
     #[must_use]
     pub fn due(&mut self, own: &Sight, now: Monotonic) -> Option<&Pledge> {
         let silent = now.saturating_sub(self.heard);
         let is_over = |pledge: &Pledge| {
-            own.epoch != pledge.epoch || own.step >= pledge.switch.step || silent > LIFE
+            own.epoch != pledge.epoch || own.step >= pledge.switch.step || silent > PLEDGE_LIFETIME
         };
         self.pledge.take_if(|pledge| is_over(pledge));
-        self.pledge.as_ref().filter(|_| silent >= PATIENCE)
+        self.pledge.as_ref().filter(|_| silent >= LEADER_TIMEOUT)
     }
 
-    /// Takes the state of a rank.
+    /// Records the state of a rank.
     pub fn see(&mut self, sight: &Sight) {
         let Some(pledge) = &self.pledge else {
             return;
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Says what to order to take the change forward, given the state of the own rank.
+    /// Returns the orders that complete the change, given the state of the own rank.
     #[must_use]
     pub fn orders(&mut self, holder: &Sight) -> Vec<(Rank, Order)> {
         self.see(holder);
@@ -147,12 +150,12 @@
             return Vec::new();
         };
         let switch = pledge.switch;
-        // Without the hold in force the pass may begin at any moment, so nobody may be armed for it.
+        // Without the hold in force the pass may begin at any moment, so no rank may be armed for it.
         if holder.epoch != pledge.epoch || holder.held != Some(switch.step) {
             return Vec::new();
         }
         let is_armed = holder.armed == Some(switch);
-        if self.passed < switch.step && !is_armed {
+        if self.forwarded < switch.step && !is_armed {
             return Vec::new();
         }
         let unarmed = (0..holder.size).filter(|rank| !self.armed.contains(rank));
