--- a/crates/lockstep/src/plan.rs
+++ b/crates/lockstep/src/plan.rs
@@ -1,13 +1,13 @@
-//! Which map is worth a change.
+//! Search for a layout that is worth a change.
 //!
-//! In each layer a pass takes as long as its most loaded rank. A plan starts from the layout in force
-//! and takes the small changes that lower that rank most, one layer after the other, until the copying
-//! of a rank would take too long or nothing more is gained. It is worth a change if the gain over the
-//! time that popularity lasts pays for the slower passes while weights are copied.
+//! In each layer a pass takes as long as its most loaded rank. The planner starts from the layout in force and
+//! greedily takes the small changes that lower the load of that rank most, in whichever layer gains most, until a
+//! rank would copy for too long or nothing more is gained. A plan is worth a change if its gain over the time
+//! that the popularity lasts pays for the slower passes while weights are copied.
 //!
-//! Right after a shift of demand passes are at their longest, and copying makes them longer still. So what
-//! a shift asks for is done by two changes: [`Scope::IMMEDIATE`] copies for a moment only and takes off the worst,
-//! and [`Scope::FOLLOW_UP`] goes on from there, when passes are short enough again to bear the copying.
+//! Right after a shift of demand, passes are at their longest, and copying makes them longer still. So the response
+//! to a shift is split into two changes: [`Scope::IMMEDIATE`] copies for a short time only and removes the worst
+//! overload, and [`Scope::FOLLOW_UP`] continues from there, when passes are short enough again to bear the copying.
 
 use std::time::Duration;
 
@@ -21,82 +21,82 @@
 use crate::layout::Shape;
 use crate::to_f64;
 
-/// How much one change may do, and what it has to bring.
+/// Limits of one change, and the gain that it must bring.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Scope {
-    /// Longest copying on one rank; one expert is always allowed.
-    pub longest_copy: Duration,
-    /// Least time off a pass that a change of map is worth.
-    pub least_gain: Duration,
-    /// Least time off a pass that one more copy of an expert is worth. A copy moves its weights and holds its
-    /// rank for a moment.
-    pub least_step: Duration,
-    /// Most changes of one layer that are searched.
-    pub searched: usize,
+    /// Longest time that one rank may copy; one expert is always allowed.
+    pub max_copy_time: Duration,
+    /// Least reduction of the pass duration for which a change of map is worth it.
+    pub min_gain: Duration,
+    /// Least reduction of the pass duration for which one more copy of an expert is worth it. A copy moves its
+    /// weights and stalls its rank for a moment.
+    pub min_gain_per_copy: Duration,
+    /// Limit on the changes that are searched in one layer.
+    pub max_changes: usize,
 }
 
 impl Scope {
-    /// While demand stays as it is. A popularity that lasts few seconds is over before a long copying pays, and a change costs
-    /// more than a small gain brings.
+    /// For steady demand. Popularity that lasts a few seconds is over before long copying pays off, and a change
+    /// costs more than a small gain brings.
     pub const STEADY: Scope = Scope {
-        longest_copy: Duration::from_millis(300),
-        least_gain: Duration::from_micros(5_500),
-        least_step: Duration::from_micros(130),
-        searched: 24,
+        max_copy_time: Duration::from_millis(300),
+        min_gain: Duration::from_micros(5_500),
+        min_gain_per_copy: Duration::from_micros(130),
+        max_changes: 24,
     };
-    /// Right after a shift: the first few copies bring most, and sooner.
+    /// Right after a shift of demand: the first few copies bring most of the gain, and bring it sooner.
     pub const IMMEDIATE: Scope = Scope {
-        longest_copy: Duration::from_millis(100),
-        searched: 8,
+        max_copy_time: Duration::from_millis(100),
+        max_changes: 8,
         ..Scope::STEADY
     };
-    /// After the first change that answers a shift, where passes are short enough to bear more copying.
+    /// After the first change of the response to a shift, when passes are short enough to bear more copying.
     pub const FOLLOW_UP: Scope = Scope {
-        longest_copy: Duration::from_millis(300),
-        least_gain: Duration::from_micros(2_200),
-        least_step: Duration::from_micros(65),
-        searched: 24,
+        max_copy_time: Duration::from_millis(300),
+        min_gain: Duration::from_micros(2_200),
+        min_gain_per_copy: Duration::from_micros(65),
+        max_changes: 24,
     };
 }
 
 /// A layout that is worth a change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Layout.
+    /// Layout to change to.
     pub layout: Layout,
-    /// Most loaded rank over the mean before, mean of all layers.
+    /// Load of the most loaded rank over the mean on the layout in force, averaged over the layers.
     pub skew_before: f64,
-    /// The same after.
+    /// The same on the planned layout.
     pub skew_after: f64,
-    /// Most experts that one rank copies.
+    /// Largest number of experts that one rank copies.
     pub copies: usize,
 }
 
-/// One layer on its way from the layout in force.
-struct Draft {
+/// Search state of one layer, starting from the layout in force.
+struct LayerSearch {
     start: Layer,
     path: Path,
-    /// Changes taken so far.
+    /// Number of changes of the path that are applied so far.
     taken: usize,
-    /// Mean load of a rank.
+    /// Mean load of the ranks.
     mean: f64,
 }
 
-impl Draft {
+impl LayerSearch {
     fn new(
         held: &[Vec<Expert>],
         shares: &[f64],
         shape: &Shape,
-        searched: usize,
+        max_changes: usize,
         slowness: &[f64],
-    ) -> Draft {
+    ) -> LayerSearch {
         let start = padded(held, shares, shape.places);
         let ranks = held.len();
         let sum: f64 = shares.iter().sum();
         let mean = sum / to_f64(ranks.max(1));
         let outlook = outlook(shares, slowness);
-        let path = search::improve(&start, ranks, outlook, searched);
-        Draft {
+        let path = search::improve(&start, ranks, outlook, max_changes);
+        LayerSearch {
             start,
             path,
             taken: 0,
@@ -108,7 +108,7 @@
         self.path.points[taken].slowest / self.mean
     }
 
-    /// Returns the fall for each copy up to the change that pays best, and how many changes that takes.
+    /// Returns the largest reduction of the skew per copy, and the number of changes of the path that reaches it.
     fn next(&self) -> Option<(f64, usize)> {
         let now = self.skew(self.taken);
         let later = self.taken + 1..self.path.points.len();
@@ -128,8 +128,9 @@
     }
 }
 
-/// Returns the layout that is worth a change from `before` under `shares`, where the experts' part of a pass
-/// would be `work` if it lay evenly on all ranks, and each rank takes `slowness` times as long for its own.
+/// Returns the layout that is worth a change from `before` under `shares`; none if there is none. The experts' part
+/// of a pass would take `work` if it were spread evenly over all ranks, and each rank takes `slowness` times as long
+/// for its own part.
 #[must_use]
 pub fn plan(
     before: &Layout,
@@ -140,81 +141,89 @@
     slowness: &[f64],
 ) -> Option<Plan> {
     let skew_of = |time: Duration| time.as_secs_f64() / work.as_secs_f64().max(f64::EPSILON);
-    let least_step = skew_of(scope.least_step);
+    let min_gain_per_copy = skew_of(scope.min_gain_per_copy);
     let ranks = before.0.first()?.len();
-    let mut drafts: Vec<Draft> = before
+    let mut searches: Vec<LayerSearch> = before
         .0
         .iter()
         .zip(shares)
-        .map(|(held, shares)| Draft::new(held, shares, shape, scope.searched, slowness))
+        .map(|(held, shares)| LayerSearch::new(held, shares, shape, scope.max_changes, slowness))
         .collect();
-    let skew_before = skew(&drafts);
-    let mut board = Board::new(before, shape, scope.longest_copy);
-    let mut closed = vec![false; drafts.len()];
-    while let Some((layer, taken)) = best(&drafts, &closed, least_step) {
-        if board.lay(layer, drafts[layer].layer(taken, ranks)) {
-            drafts[layer].taken = taken;
+    let skew_before = skew(&searches);
+    let mut candidate = Candidate::new(before, shape, scope.max_copy_time);
+    let mut closed = vec![false; searches.len()];
+    while let Some((layer, taken)) = best(&searches, &closed, min_gain_per_copy) {
+        if candidate.replace_layer(layer, searches[layer].layer(taken, ranks)) {
+            searches[layer].taken = taken;
         } else {
             closed[layer] = true;
         }
     }
-    let skew_after = skew(&drafts);
-    let copies = board.most_copies();
-    let is_worth = skew_before - skew_after >= skew_of(scope.least_gain) && copies > 0;
-    is_worth.then_some(Plan {
-        layout: board.layout,
+    let skew_after = skew(&searches);
+    let copies = candidate.most_copies();
+    let is_worthwhile = skew_before - skew_after >= skew_of(scope.min_gain) && copies > 0;
+    is_worthwhile.then_some(Plan {
+        layout: candidate.layout,
         skew_before,
         skew_after,
         copies,
     })
 }
 
-fn skew(drafts: &[Draft]) -> f64 {
-    let sum: f64 = drafts.iter().map(|draft| draft.skew(draft.taken)).sum();
-    sum / to_f64(drafts.len().max(1))
+fn skew(searches: &[LayerSearch]) -> f64 {
+    let sum: f64 = searches
+        .iter()
+        .map(|search| search.skew(search.taken))
+        .sum();
+    sum / to_f64(searches.len().max(1))
 }
 
-/// Returns the layer whose next changes pay best, and how many changes it then has.
-fn best(drafts: &[Draft], closed: &[bool], least_step: f64) -> Option<(usize, usize)> {
-    let open = drafts
+/// Returns the layer whose next changes gain most per copy, and how many of its changes are then applied.
+fn best(
+    searches: &[LayerSearch],
+    closed: &[bool],
+    min_gain_per_copy: f64,
+) -> Option<(usize, usize)> {
+    let open = searches
         .iter()
         .enumerate()
         .filter(|(layer, _)| !closed[*layer]);
-    let gains = open.filter_map(|(layer, draft)| Some((draft.next()?, layer)));
+    let gains = open.filter_map(|(layer, search)| Some((search.next()?, layer)));
     let ((gain, taken), layer) = gains.max_by(|one, other| one.0.0.total_cmp(&other.0.0))?;
-    let overall = gain / to_f64(drafts.len().max(1));
-    (overall >= least_step).then_some((layer, taken))
+    let overall = gain / to_f64(searches.len().max(1));
+    (overall >= min_gain_per_copy).then_some((layer, taken))
 }
 
-/// A layout on its way from the one in force, with what each rank has to copy for it.
+/// Candidate layout, with the number of experts that each rank must copy for it.
 ///
-/// Only the layer that changes is counted anew: a group of 64 ranks and 12 layers is laid some hundred times for one plan.
-struct Board<'a> {
+/// Only the layer that changes is counted again: for a group of 64 ranks and 12 layers, one plan sets layers some
+/// hundred times.
+struct Candidate<'a> {
     before: &'a Layout,
     shape: &'a Shape,
-    longest_copy: Duration,
+    max_copy_time: Duration,
     layout: Layout,
-    /// Experts that are new to each rank, layer by layer.
+    /// Number of experts that are new to each rank, layer by layer.
     new: Vec<Vec<usize>>,
     /// The same over all layers.
     copies: Vec<usize>,
 }
 
-impl<'a> Board<'a> {
-    fn new(before: &'a Layout, shape: &'a Shape, longest_copy: Duration) -> Board<'a> {
+impl<'a> Candidate<'a> {
+    fn new(before: &'a Layout, shape: &'a Shape, max_copy_time: Duration) -> Candidate<'a> {
         let ranks = before.0.first().map_or(0, Vec::len);
-        Board {
+        Candidate {
             before,
             shape,
-            longest_copy,
+            max_copy_time,
             layout: before.clone(),
             new: vec![vec![0; ranks]; before.0.len()],
             copies: vec![0; ranks],
         }
     }
 
-    /// Lays one layer anew, unless a rank would copy more than it may, or longer than it should.
-    fn lay(&mut self, layer: usize, held: Vec<Vec<Expert>>) -> bool {
+    /// Replaces one layer and returns true, unless a rank would hold or copy too many experts or copy for too long.
+    fn replace_layer(&mut self, layer: usize, held: Vec<Vec<Expert>>) -> bool {
         let old = &self.before.0[layer];
         let new = held.iter().zip(old).map(|(held, had)| {
             let new = held.iter().filter(|expert| !had.contains(expert));
@@ -229,7 +238,7 @@
         let copies: Vec<usize> = copies
             .map(|((sum, before), now)| sum - before + now)
             .collect();
-        if !is_allowed || !self.is_quick(&copies) {
+        if !is_allowed || !self.is_copied_in_time(&copies) {
             return false;
         }
         self.layout.0[layer] = held;
@@ -238,10 +247,10 @@
         true
     }
 
-    fn is_quick(&self, copies: &[usize]) -> bool {
+    fn is_copied_in_time(&self, copies: &[usize]) -> bool {
         let most = copies.iter().copied().max().unwrap_or(0);
         let most = u32::try_from(most).unwrap_or(u32::MAX);
-        most <= 1 || self.shape.copy.saturating_mul(most) <= self.longest_copy
+        most <= 1 || self.shape.copy.saturating_mul(most) <= self.max_copy_time
     }
 
     fn most_copies(&self) -> usize {
@@ -249,7 +258,8 @@
     }
 }
 
-/// Returns what the search of a layer works for. Only a slow rank is worth an empty place: else one more replica evens loads.
+/// Returns the objective of the search of a layer. Empty places are allowed only if a rank is slow; otherwise one
+/// more replica evens out the loads.
 fn outlook<'a>(shares: &'a [f64], slowness: &'a [f64]) -> Outlook<'a> {
     let outlook = Outlook::steady(shares).slowed(slowness);
     if slowness.iter().any(|times| *times > 1.0) {
@@ -259,8 +269,8 @@
     }
 }
 
-/// Returns a layer with all places filled: an empty one repeats the rank's least chosen expert, and is free to be
-/// replaced.
+/// Returns a layer with all places filled. An empty place repeats the rank's least selected expert, and is free to
+/// be replaced.
 fn padded(held: &[Vec<Expert>], shares: &[f64], places: usize) -> Layer {
     let share = |expert: &Expert| shares.get(usize::from(*expert)).copied().unwrap_or(0.0);
     let mut layer = Vec::with_capacity(held.len() * places);
