--- a/crates/lockstep/src/outstanding.rs
+++ b/crates/lockstep/src/outstanding.rs
@@ -1,4 +1,4 @@
-//! The orders that were given last, so that none is given again before it can have shown an effect.
+//! Last order to each rank, so that no order is repeated before its effect can have been reported.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,63 +8,67 @@
 
 use crate::change::Order;
 
-/// Time without an effect after which an order is given again: a rank shows its state as soon as its engine
-/// has answered, which takes 10 to 30 ms; the group stands still while one is missing.
-const AGAIN: Duration = Duration::from_millis(60);
-/// Time beyond the copying after which an order to prepare is given again, whatever the rank shows: a few quick
-/// looks.
-const PREPARE_AGAIN: Duration = Duration::from_millis(200);
-/// Time after which a rank that shows no copying did not get its order to prepare: orders to all ranks of a
-/// large group leave the lead's instance within 50 ms.
-const UNHEARD: Duration = Duration::from_millis(60);
+/// Time without an effect after which an order is sent again. A rank reports its state as soon as its engine has
+/// answered, which takes 10 to 30 ms, and the group is stopped while an order is missing.
+const RESEND_AFTER: Duration = Duration::from_millis(60);
+/// Time beyond the copying after which an order to prepare is sent again, whatever the rank reports: a few polls at
+/// the short interval.
+const PREPARE_RESEND_AFTER: Duration = Duration::from_millis(200);
+/// Time after which a rank that reports no copying counts as not having received its order to prepare. Orders to all
+/// ranks of a large group leave the leader's instance within 50 ms.
+const RECEIPT_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// The last order to each rank, and when it was given.
+/// Last order to each rank, and when it was sent.
 #[derive(Default)]
 pub(crate) struct Outstanding(BTreeMap<Rank, (Order, Monotonic)>);
 
 impl Outstanding {
-    /// Notes an order that is given.
+    /// Records an order that is sent.
     pub(crate) fn record(&mut self, rank: Rank, order: Order, now: Monotonic) {
         self.0.insert(rank, (order, now));
     }
 
-    /// Returns whether this was the last order to the rank already.
+    /// Returns whether `order` is also the last one that was sent to the rank.
     pub(crate) fn is_repeated(&self, rank: Rank, order: Order) -> bool {
-        self.0.get(&rank).is_some_and(|(given, _)| *given == order)
+        self.0.get(&rank).is_some_and(|(last, _)| *last == order)
     }
 
-    /// Forgets all orders.
     pub(crate) fn clear(&mut self) {
         self.0.clear();
     }
 
-    /// Returns whether an order was not just given, or was not heard by the rank that `shows` its state, where
-    /// weights are copied for up to `copying`.
+    /// Returns whether to send an order: it differs from the last one, had no effect in time, or was not received
+    /// according to what was `observed` of the rank. Copying weights takes up to `copy_time`.
     pub(crate) fn is_due(
         &self,
         rank: Rank,
         order: Order,
-        copying: Duration,
-        shows: Option<Observation>,
+        copy_time: Duration,
+        observed: Option<Observation>,
         now: Monotonic,
     ) -> bool {
-        let Some((given, at)) = self.0.get(&rank) else {
+        let Some((last, at)) = self.0.get(&rank) else {
             return true;
         };
-        let is_idle = |shown: Observation| !shown.is_busy && shown.at >= *at + UNHEARD;
-        let (patience, is_unheard) = match order {
-            Order::Prepare(_) => (copying + PREPARE_AGAIN, shows.is_some_and(is_idle)),
-            Order::Hold(_) | Order::Arm(_) | Order::Release(_) => (AGAIN, false),
+        let is_idle = |observation: Observation| {
+            !observation.is_busy && observation.at >= *at + RECEIPT_TIMEOUT
         };
-        *given != order || is_unheard || now.saturating_sub(*at) >= patience
+        let (resend_after, is_not_received) = match order {
+            Order::Prepare(_) => (
+                copy_time + PREPARE_RESEND_AFTER,
+                observed.is_some_and(is_idle),
+            ),
+            Order::Hold(_) | Order::Arm(_) | Order::Release(_) => (RESEND_AFTER, false),
+        };
+        *last != order || is_not_received || now.saturating_sub(*at) >= resend_after
     }
 }
 
-/// What a rank showed last.
+/// Last reported state of a rank.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Observation {
-    /// When that was.
+    /// When it was reported.
     pub(crate) at: Monotonic,
-    /// Whether it was carrying an order out.
+    /// Whether the rank was carrying out an order.
     pub(crate) is_busy: bool,
 }
