--- a/crates/lockstep/examples/cost.rs
+++ b/crates/lockstep/examples/cost.rs
@@ -1,9 +1,9 @@
-//! Time that a lead takes on one core for one word of a rank, one look at a change under way, and one plan.
+//! Measures the time that a leader takes on one core for one report of a rank, one tick during a change, and one plan.
 //!
 //! `cargo run --release -p auburnline-lockstep --example cost [-- --csv]`
 //!
-//! Groups of 8 to 128 ranks with 12 layers of four experts a rank. A word carries a sight and the choices of one rank; the change
-//! waits for all ranks, of which half have prepared it.
+//! Groups have 8 to 128 ranks and 12 layers with four experts per rank. A report carries the state and the expert
+//! activations of one rank. The change is in its first phase, and half of the ranks have prepared it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -24,12 +24,12 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-/// Experts of a layer for each rank, as 64 ranks hold 256.
-const EXPERTS_A_RANK: usize = 4;
+/// Experts of each layer per rank: 64 ranks hold 256.
+const EXPERTS_PER_RANK: usize = 4;
 const LAYERS: usize = 12;
 const SEED: u64 = 1;
-/// Times that each call is measured.
-const TIMES: u32 = 40;
+/// Repetitions of each measured call.
+const REPETITIONS: u32 = 40;
 const COST: Cost = Cost {
     base: Duration::from_millis(47),
     request: Duration::from_millis(20),
@@ -40,15 +40,15 @@
 fn shape(ranks: Rank) -> Shape {
     Shape {
         layers: LAYERS,
-        experts: usize::from(ranks) * EXPERTS_A_RANK,
-        places: EXPERTS_A_RANK + 1,
+        experts: usize::from(ranks) * EXPERTS_PER_RANK,
+        places: EXPERTS_PER_RANK + 1,
         most_new: 2,
         copy: Duration::from_millis(13),
     }
 }
 
-/// Returns choices of one rank: the most liked expert of a layer draws some twentieth of them.
-fn choices(shape: &Shape, rng: &mut ChaCha8Rng) -> Vec<u32> {
+/// Returns activations of one rank; the most popular expert of a layer draws about a twentieth of them.
+fn activations(shape: &Shape, rng: &mut ChaCha8Rng) -> Vec<u32> {
     let layer = |rng: &mut ChaCha8Rng| {
         let first = rng.random_range(0..shape.experts);
         let count = move |expert: usize| {
@@ -80,17 +80,17 @@
 
 fn mean(mut call: impl FnMut()) -> Duration {
     let start = Instant::now();
-    for _ in 0..TIMES {
+    for _ in 0..REPETITIONS {
         call();
     }
-    start.elapsed() / TIMES
+    start.elapsed() / REPETITIONS
 }
 
-/// Returns the times of a word, a look and a plan.
+/// Returns the mean times of a report, a tick and a plan.
 fn measure(ranks: Rank) -> [Duration; 3] {
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let shape = shape(ranks);
-    let counts = choices(&shape, &mut rng);
+    let counts = activations(&shape, &mut rng);
     let service = Service {
         shape,
         cost: COST,
@@ -114,9 +114,9 @@
             break;
         }
     }
-    assert!(version.is_some(), "a change is under way");
-    let word = mean(|| coordinator.see(sight(0, ranks, 50, version), &counts, None, now));
-    let look = mean(|| {
+    assert!(version.is_some(), "no change was started");
+    let report = mean(|| coordinator.see(sight(0, ranks, 50, version), &counts, None, now));
+    let tick = mean(|| {
         now += Duration::from_millis(1);
         let _ = coordinator.tick(now);
     });
@@ -131,7 +131,7 @@
     let planned = mean(|| {
         let _ = plan(&before, &shares, &shape, &Scope::STEADY, experts_part, &[]);
     });
-    [word, look, planned]
+    [report, tick, planned]
 }
 
 fn main() {
