--- a/crates/lockstep/tests/all/main.rs
+++ b/crates/lockstep/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions on expert maps.
+//! Tests of the decisions on expert map changes.
 
 mod asking;
 mod change;
