--- a/crates/lockstep/tests/all/support.rs
+++ b/crates/lockstep/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! Ranks as the platform describes them.
+//! Model of a rank's engine as the platform specifies it.
 
 use auburnline_core::id::Rank;
 use auburnline_core::id::Step;
@@ -8,7 +8,7 @@
 use auburnline_lockstep::sight::USUAL_PACE;
 use auburnline_lockstep::sight::Version;
 
-/// One rank; orders that don't fit its state are refused without effect.
+/// One rank. Orders that do not fit its state are refused without effect.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Engine {
     pub(crate) version: Version,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Begins a pass.
+    /// Begins a pass, and switches maps if the rank is armed for it.
     pub(crate) fn enter(&mut self, pass: Step) {
         if let Some(switch) = self.armed.take_if(|switch| switch.step == pass) {
             self.version = switch.version;
