--- a/crates/lockstep/tests/all/coordinator.rs
+++ b/crates/lockstep/tests/all/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator over whole changes.
+//! Complete changes driven by the coordinator against two simulated ranks.
 
 use std::time::Duration;
 
@@ -23,14 +23,14 @@
     most_new: 2,
     copy: Duration::from_millis(10),
 };
-/// Cost at which one request on each rank makes passes long.
+/// Cost model in which one request on each rank already makes passes long.
 const COST: Cost = Cost {
     base: Duration::from_millis(35),
     request: Duration::from_millis(26),
     expert_part: 0.85,
     longest_pause: Duration::from_millis(120),
 };
-/// Time of day at the coordinators' start.
+/// Time of day at the start of the first coordinator.
 const STARTED: Duration = Duration::from_secs(1_000);
 
 fn service(shape: Shape, cost: Cost) -> Service {
@@ -45,11 +45,11 @@
     engines: Vec<Engine>,
     coordinator: Coordinator,
     notes: Vec<Note>,
-    /// When changes began and were done.
+    /// Times at which changes started and were in force.
     begun: Vec<Duration>,
     done: Vec<Duration>,
-    /// Rank whose orders get lost.
-    deaf: Option<Rank>,
+    /// Rank whose orders are lost.
+    unreachable: Option<Rank>,
 }
 
 impl World {
@@ -67,26 +67,26 @@
             notes: Vec::new(),
             begun: Vec::new(),
             done: Vec::new(),
-            deaf: None,
+            unreachable: None,
         }
     }
 
-    fn turn(&mut self) -> Vec<Send> {
-        self.turn_after(Duration::from_millis(200))
+    fn tick(&mut self) -> Vec<Send> {
+        self.tick_after(Duration::from_millis(200))
     }
 
-    fn turn_after(&mut self, pause: Duration) -> Vec<Send> {
+    fn tick_after(&mut self, pause: Duration) -> Vec<Send> {
         self.now += pause;
-        let mut choices = [100; 8];
-        choices[2] = 5_000;
-        let choices = choices.repeat(self.layers);
+        let mut activations = [100; 8];
+        activations[2] = 5_000;
+        let activations = activations.repeat(self.layers);
         for (rank, engine) in (0..).zip(&self.engines) {
             let sight = engine.sight(rank, 2, self.step);
-            self.coordinator.see(sight, &choices, None, self.now);
+            self.coordinator.see(sight, &activations, None, self.now);
         }
         let sends = self.coordinator.tick(self.now);
         for send in &sends {
-            if Some(send.rank) != self.deaf {
+            if Some(send.rank) != self.unreachable {
                 self.engines[usize::from(send.rank)].order(send.order, self.step);
             }
         }
@@ -121,7 +121,7 @@
 fn a_hot_expert_leads_to_one_change_that_all_ranks_make_together() {
     let mut world = World::new();
     for _ in 0..40 {
-        world.turn();
+        world.tick();
         let versions: Vec<_> = world.engines.iter().map(|engine| engine.version).collect();
         assert_that!(versions[0], eq(versions[1]));
     }
@@ -135,9 +135,9 @@
 #[gtest]
 fn a_rank_that_hears_nothing_is_never_left_behind() {
     let mut world = World::new();
-    world.deaf = Some(1);
+    world.unreachable = Some(1);
     for _ in 0..60 {
-        let sends = world.turn();
+        let sends = world.tick();
         let is_armed = sends.iter().any(|send| matches!(send.order, Order::Arm(_)));
         assert_that!(is_armed, eq(false));
     }
@@ -152,7 +152,7 @@
 #[gtest]
 fn a_successor_picks_a_higher_version_than_any_that_was_ordered() {
     let mut world = World::new();
-    world.deaf = Some(1);
+    world.unreachable = Some(1);
     let versions = |sends: Vec<Send>| {
         let versions = sends.into_iter().filter_map(|send| match send.order {
             Order::Prepare(version) => Some(version),
@@ -160,14 +160,14 @@
         });
         versions.collect::<Vec<_>>()
     };
-    let ordered: Vec<_> = (0..20).flat_map(|_| versions(world.turn())).collect();
+    let ordered: Vec<_> = (0..20).flat_map(|_| versions(world.tick())).collect();
     let highest = ordered.into_iter().max().expect("an order to prepare");
-    // The successor has seen none of it: the ranks are as they were at first.
+    // The successor sees none of these orders: the ranks are in their initial state.
     world.engines = vec![Engine::default(); 2];
     let restarted = STARTED + world.now;
     world.coordinator = Coordinator::new(service(SHAPE, COST), restarted, Duration::ZERO);
     world.now = Duration::ZERO;
-    let later: Vec<_> = (0..20).flat_map(|_| versions(world.turn())).collect();
+    let later: Vec<_> = (0..20).flat_map(|_| versions(world.tick())).collect();
     assert_that!(later, not(is_empty()));
     assert_that!(later, each(gt(&highest)));
 }
@@ -176,7 +176,7 @@
 fn a_rank_of_another_epoch_makes_a_group_that_is_looked_at_anew() {
     let mut world = World::new();
     for _ in 0..10 {
-        world.turn();
+        world.tick();
     }
     let mut sight = Engine::default().sight(0, 2, 1);
     sight.epoch = 2;
@@ -188,22 +188,23 @@
 #[gtest]
 fn an_order_to_prepare_that_got_lost_is_given_again_soon_after_the_copying() {
     let mut world = World::new();
-    world.deaf = Some(1);
+    world.unreachable = Some(1);
     let mut given = Vec::new();
     for _ in 0..80 {
-        let sends = world.turn_after(Duration::from_millis(20));
+        let sends = world.tick_after(Duration::from_millis(20));
         let prepares = sends
             .iter()
             .filter(|send| send.rank == 1 && matches!(send.order, Order::Prepare(_)));
         given.extend(prepares.map(|_| world.now));
     }
     assert_that!(given.len(), ge(2));
-    // The plan copies two experts at most, 20 ms; a whole group runs on the old map meanwhile.
+    // The plan copies two experts at most, which takes 20 ms; the whole group runs on the old map meanwhile.
     let pause = given[1].saturating_sub(given[0]);
     assert_that!(pause, le(Duration::from_millis(260)));
 }
 
-/// Pattern: demand shifts under full load; what its answer copies is split, and its second part follows the first at once.
+/// Demand shifts under full load: the response is split into two changes, and the second starts as soon as the first is in
+/// force.
 #[gtest]
 fn a_shift_is_answered_by_a_short_change_and_at_once_by_the_rest() {
     let shape = Shape {
@@ -213,7 +214,7 @@
     };
     let mut world = World::of(shape);
     for _ in 0..60 {
-        world.turn_after(Duration::from_millis(40));
+        world.tick_after(Duration::from_millis(40));
     }
     let copies = world.notes.iter().filter_map(|note| match note {
         Note::Begun(_, plan) => Some(plan.copies),
@@ -229,8 +230,8 @@
     );
 }
 
-/// Pattern: one of 24 datagrams is lost in each fifth change, and the group runs its longest passes until the last rank
-/// has the weights.
+/// One of 24 datagrams is lost in every fifth change, and the group runs its longest passes until the last rank has
+/// the weights.
 #[gtest]
 fn a_rank_that_shows_no_copying_gets_its_order_again_before_the_others_are_done() {
     let shape = Shape {
@@ -238,10 +239,10 @@
         ..SHAPE
     };
     let mut world = World::of(shape);
-    world.deaf = Some(1);
+    world.unreachable = Some(1);
     let mut prepares = Vec::new();
     for _ in 0..20 {
-        let sends = world.turn_after(Duration::from_millis(40));
+        let sends = world.tick_after(Duration::from_millis(40));
         let is_prepare = |send: &Send| send.rank == 1 && matches!(send.order, Order::Prepare(_));
         if sends.iter().any(is_prepare) {
             prepares.push(world.now);
@@ -250,8 +251,8 @@
     assert_that!(prepares[1], le(prepares[0] + Duration::from_millis(100)));
 }
 
-/// Pattern: the same, within a lead that lives on: from its second change on it sends what differs, and all of it to a
-/// rank that does not act on that.
+/// An order is lost while the leader lives on. From its second change on the leader sends deltas, and the full map to
+/// a rank that does not act on one.
 #[gtest]
 fn a_rank_is_sent_what_differs_first_and_all_of_it_when_it_does_not_act() {
     let shape = Shape {
@@ -262,19 +263,19 @@
     let mut world = World::of(shape);
     let mut sent = Vec::new();
     while world.begun.len() < 2 {
-        sent = world.turn_after(Duration::from_millis(40));
+        sent = world.tick_after(Duration::from_millis(40));
     }
     assert_that!(sent.iter().all(|send| send.base.is_some()), eq(true));
-    world.deaf = Some(1);
+    world.unreachable = Some(1);
     world.engines[1].prepared = None;
-    let again = (0..4).flat_map(|_| world.turn_after(Duration::from_millis(40)));
+    let again = (0..4).flat_map(|_| world.tick_after(Duration::from_millis(40)));
     let again: Vec<_> = again.filter(|send| send.rank == 1).collect();
     assert_that!(again, not(is_empty()));
     assert_that!(again.iter().all(|send| send.base.is_none()), eq(true));
 }
 
-/// Pattern: many small groups with little to do each, at each of which demand shifts. On the users' deployment played
-/// with 300 instances weights were moved for 0.86 of its worth, though passes were short on any map.
+/// Many small groups with little load, in each of which demand shifts. In a users' deployment with 300 instances, weight
+/// transfers cost 0.86 of the deployment's score, although passes were short under every expert map.
 #[gtest]
 fn a_group_whose_passes_are_short_on_any_map_moves_no_weights() {
     let mut world = World::new();
@@ -284,17 +285,17 @@
     };
     world.coordinator = Coordinator::new(service(SHAPE, idle), STARTED, Duration::ZERO);
     for _ in 0..40 {
-        world.turn();
+        world.tick();
     }
     assert_that!(world.begun, is_empty());
 }
 
-/// Returns how many passes after the running one the first hold stands, where each pass takes `pass`.
+/// Returns how many passes after the running one the first hold is placed, with passes that take `pass`.
 fn first_hold(pass: Duration) -> Option<Step> {
     let mut world = World::new();
     for _ in 0..200 {
         let running = world.step;
-        let sends = world.turn_after(pass);
+        let sends = world.tick_after(pass);
         let hold = sends.iter().find_map(|send| match send.order {
             Order::Hold(step) => Some(step - running),
             Order::Prepare(_) | Order::Arm(_) | Order::Release(_) => None,
@@ -306,14 +307,14 @@
     None
 }
 
-/// Pattern: passes of 150 ms right after a shift, of which a hold two passes ahead costs 0.3 s.
+/// Right after a shift passes take 150 ms, so a hold two passes ahead delays the change by 0.3 s.
 #[gtest]
 fn the_next_pass_is_held_where_the_running_one_leaves_time_to_arm_all() {
     assert_that!(first_hold(Duration::from_millis(150)), some(eq(1)));
     assert_that!(first_hold(Duration::from_millis(40)), some(eq(2)));
 }
 
-/// Pattern: an engine crashes while it copies and starts again under its id, in the epoch that it had.
+/// An engine crashes while it copies weights and restarts under its id, in the same epoch.
 #[gtest]
 fn a_rank_that_started_anew_ends_the_change_under_way() {
     let mut world = World::new();
@@ -321,7 +322,7 @@
         if world.coordinator.changing().is_some() {
             break;
         }
-        world.turn();
+        world.tick();
     }
     assert_that!(world.coordinator.changing(), some(anything()));
     world.coordinator.restarted(1);
