--- a/crates/lockstep/tests/all/change.rs
+++ b/crates/lockstep/tests/all/change.rs
@@ -1,4 +1,4 @@
-//! One change, step by step.
+//! Phases of one change.
 
 use auburnline_lockstep::change::Change;
 use auburnline_lockstep::change::Order;
@@ -76,7 +76,7 @@
     );
 }
 
-/// Until the rank that holds is told to arm, its own sidecar may end the hold.
+/// Until the held rank is ordered to arm, its own sidecar may end the hold.
 #[gtest]
 fn others_are_armed_only_after_the_rank_that_holds() {
     let mut change = Change::new(1, 7, 0);
@@ -90,7 +90,7 @@
     );
 }
 
-/// Pattern: a lead froze right after the hold, and its deputy ended that; the lead wakes up.
+/// A leader freezes right after it ordered the hold, and its standby ends the hold; then the leader wakes up.
 #[gtest]
 fn a_hold_that_was_ended_is_ordered_anew_for_a_later_pass() {
     let mut change = Change::new(1, 7, 0);
