--- a/crates/lockstep/tests/all/asking.rs
+++ b/crates/lockstep/tests/all/asking.rs
@@ -1,13 +1,13 @@
-//! When a lead asks who serves.
+//! Schedule of the leader's membership queries.
 
 use std::time::Duration;
 
 use auburnline_lockstep::asking::Asking;
 use googletest::prelude::*;
 
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_PERIOD: Duration = Duration::from_millis(100);
 
-/// Returns how often it is asked within `time` from `from` on, where so many gateways answer each time.
+/// Returns the number of queries within `time` from `from` on, where each answer names `gateways` gateways.
 fn asked(
     asking: &mut Asking,
     from: Duration,
@@ -21,13 +21,13 @@
             asked += 1;
             asking.hear(gateways(now), now);
         }
-        now += LOOK;
+        now += POLL_PERIOD;
     }
     asked
 }
 
-/// Pattern: power came back to 98 gateways and 192 sidecars at once. Gateways hear of each other within 1.5 s; a lead that
-/// knows 40 of them leaves the others blind until it asks again.
+/// Power returns to 98 gateways and 192 sidecars at once. Gateways discover each other within 1.5 s; a leader that
+/// knows only 40 of them leaves the others without digests until it asks again.
 #[gtest]
 fn while_gateways_come_to_light_it_is_asked_again_soon() {
     let mut asking = Asking::default();
@@ -56,8 +56,8 @@
 fn without_an_answer_it_is_asked_soon_for_good() {
     let mut asking = Asking::default();
     let mut count = 0;
-    for look in 0..100 {
-        count += usize::from(asking.is_due(LOOK * look));
+    for poll in 0..100 {
+        count += usize::from(asking.is_due(POLL_PERIOD * poll));
     }
     assert_that!(count, eq(50));
 }
