--- a/crates/lockstep/tests/all/told.rs
+++ b/crates/lockstep/tests/all/told.rs
@@ -1,4 +1,4 @@
-//! Who is told in turn.
+//! Rotation of the first receivers.
 
 use auburnline_lockstep::told::Turn;
 use googletest::prelude::*;
@@ -18,7 +18,7 @@
     assert_that!(take(&mut turn, &[]), is_empty());
 }
 
-/// Pattern: a fleet of several hundred gateways, of which those told first pass a word on to others. One of them is gone.
+/// In a fleet of several hundred gateways the first receivers forward a message to others, and one of them is gone.
 #[gtest]
 fn another_one_is_first_each_time() {
     let mut turn = Turn::default();
@@ -26,6 +26,6 @@
     assert_that!(take(&mut turn, &all), eq(&vec![1, 2, 3, 4, 5]));
     assert_that!(take(&mut turn, &all), eq(&vec![2, 3, 4, 5, 1]));
     assert_that!(take(&mut turn, &all), eq(&vec![3, 4, 5, 1, 2]));
-    // The list may have shrunk since.
+    // The list may have shrunk since the last call.
     assert_that!(take(&mut turn, &[1]), eq(&vec![1]));
 }
