--- a/crates/lockstep/tests/all/message.rs
+++ b/crates/lockstep/tests/all/message.rs
@@ -1,4 +1,4 @@
-//! Words between sidecars and gateways.
+//! Messages between sidecars and gateways.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use auburnline_lockstep::message::Members;
 use googletest::prelude::*;
 
-/// Pattern: all power was lost; gateways answer sidecars before they have read what is published.
+/// After a complete power loss, gateways answer sidecars before they have read the published configuration.
 #[gtest]
 fn members_count_as_known_only_with_upstreams_and_a_shape() {
     let blank = Members {
