--- a/crates/lockstep/tests/all/traffic.rs
+++ b/crates/lockstep/tests/all/traffic.rs
@@ -1,4 +1,4 @@
-//! What a lead may use of its link.
+//! Bounds on the traffic of a leader's link.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 use auburnline_lockstep::traffic::parts;
 use googletest::prelude::*;
 
-/// Time between two readings of counts, and between two words to gateways.
+/// Time between two reports of counts, and between two digests to gateways.
 const COUNTS: Duration = Duration::from_millis(90);
-const WORDS: Duration = Duration::from_millis(190);
-/// Bytes of a word to gateways for each engine.
+const DIGESTS: Duration = Duration::from_millis(190);
+/// Bytes of a digest for each engine.
 const ENGINE: usize = 9;
 
-/// Pattern: small groups on wide links. What they send reaches the lead and the gateways without a second hop.
+/// In small groups on wide links, messages reach the leader and the gateways without a second hop.
 #[gtest]
 fn a_small_group_speaks_to_its_lead_directly() {
     let link = Link::of_mbps(20.0);
     assert_that!(link.collectors(11, 3 * 96, COUNTS), eq(11));
-    assert_that!(link.first_told(6, 12 * ENGINE, WORDS), eq(6));
+    assert_that!(link.first_told(6, 12 * ENGINE, DIGESTS), eq(6));
     let link = Link::of_mbps(8.0);
     assert_that!(link.collectors(23, 16 * 96, COUNTS), eq(23));
-    assert_that!(link.first_told(45, 24 * ENGINE, WORDS), eq(45));
+    assert_that!(link.first_told(45, 24 * ENGINE, DIGESTS), eq(45));
 }
 
-/// Pattern: 63 ranks that send 3,072 counts each within 90 ms towards a link of 6 Mbit/s, three times what it carries, and
-/// 98 or 340 gateways that want a word five times a second.
+/// 63 ranks send 3,072 counts each within 90 ms towards a link of 6 Mbit/s, three times what it carries, and 98 or 340
+/// gateways expect a digest five times per second.
 #[gtest]
 fn what_a_large_group_sends_stays_within_its_leads_link() {
     let link = Link::of_mbps(6.0);
@@ -38,8 +38,8 @@
     let bytes = 8 * 12 * 256;
     assert_that!(link.collectors(63, 12 * 256, COUNTS), eq(8));
     assert_that!(f64::from(bytes), lt(each * 0.5));
-    assert_that!(link.first_told(98, 64 * ENGINE, WORDS), eq(10));
-    assert_that!(link.first_told(340, 64 * ENGINE, WORDS), eq(19));
+    assert_that!(link.first_told(98, 64 * ENGINE, DIGESTS), eq(10));
+    assert_that!(link.first_told(340, 64 * ENGINE, DIGESTS), eq(19));
 }
 
 #[gtest]
@@ -61,7 +61,7 @@
     assert_that!(hops(0), eq(0));
 }
 
-/// Pattern: all sidecars of a group of 64 restart, so that each needs the whole map of 8 KB.
+/// All sidecars of a group of 64 restart, so that each needs the full map of 8 KB.
 #[gtest]
 fn whole_maps_leave_one_after_the_other() {
     let link = Link::of_mbps(6.0);
