--- a/crates/lockstep/tests/all/popularity.rs
+++ b/crates/lockstep/tests/all/popularity.rs
@@ -1,4 +1,4 @@
-//! What is learned of experts' popularity.
+//! Popularity estimates and detection of shifts.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 
 const EXPERTS: usize = 8;
 
-fn choices(liked: usize) -> Vec<u32> {
+fn activations(hot: usize) -> Vec<u32> {
     (0..EXPERTS)
-        .map(|expert| if expert == liked { 900 } else { 100 })
+        .map(|expert| if expert == hot { 900 } else { 100 })
         .collect()
 }
 
@@ -24,27 +24,27 @@
     assert_that!(popularity.shares(), none());
 }
 
-/// Pattern: demand shifts to other experts within an instant, again and again within seconds, as on
-/// the users' days. A map for the mean of before and after fits neither.
+/// Demand shifts to other experts instantly, and repeatedly within seconds, as on the users' days. A map for the mean of
+/// before and after fits neither.
 #[gtest]
 fn a_shift_of_demand_drops_what_was_known_before() {
     let mut popularity = Popularity::new(1, EXPERTS);
     for tick in 1..=10 {
-        popularity.add(&choices(2), millis(tick * 250));
+        popularity.add(&activations(2), millis(tick * 250));
     }
-    let distance = popularity.add(&choices(5), millis(2_750));
+    let distance = popularity.add(&activations(5), millis(2_750));
     assert_that!(distance, some(gt(0.42)));
-    let shares = popularity.shares().expect("enough choices");
+    let shares = popularity.shares().expect("enough activations");
     assert_that!(shares[0][5], gt(0.5));
     assert_that!(shares[0][2], lt(0.1));
 }
 
-/// Pattern: the same, but demand is flatter, as on the users' larger deployments (windows differed by 0.5
-/// to 0.6 after a shift and by 0.1 before).
+/// Flatter demand shifts, as on the users' larger deployments, where windows differ by 0.5 to 0.6 after a shift and by 0.1
+/// before.
 #[gtest]
 fn a_shift_of_flatter_demand_is_seen_too() {
-    let flatter = |liked: usize| {
-        let count = |expert: usize| if expert / 2 == liked { 250 } else { 100 };
+    let flatter = |hot: usize| {
+        let count = |expert: usize| if expert / 2 == hot { 250 } else { 100 };
         (0..EXPERTS).map(count).collect::<Vec<u32>>()
     };
     let mut popularity = Popularity::new(1, EXPERTS);
@@ -55,7 +55,7 @@
         popularity.add(&flatter(2), millis(2_750)),
         some(near(0.54, 0.01))
     );
-    let shares = popularity.shares().expect("enough choices");
+    let shares = popularity.shares().expect("enough activations");
     assert_that!(shares[0][0], lt(0.1));
 }
 
@@ -63,7 +63,7 @@
 fn chance_is_no_shift() {
     let mut popularity = Popularity::new(1, EXPERTS);
     for tick in 1..=10 {
-        let mut noisy = choices(2);
+        let mut noisy = activations(2);
         let expert = usize::try_from(tick).expect("a small number") % EXPERTS;
         noisy[expert] += 150;
         assert_that!(popularity.add(&noisy, millis(tick * 250)), none());
