--- a/crates/lockstep/tests/all/tally.rs
+++ b/crates/lockstep/tests/all/tally.rs
@@ -1,9 +1,9 @@
-//! Counts that are added up on their way to the lead.
+//! Aggregation of counts on their way to the leader.
 
 use auburnline_lockstep::tally::Tally;
 use googletest::prelude::*;
 
-/// Pattern: a group of 64 ranks with 3,072 counts each, of which the lead's link carries those of a few.
+/// In a group of 64 ranks with 3,072 counts each, the leader's link carries the counts of only a few ranks.
 #[gtest]
 fn counts_of_several_ranks_go_on_as_one_sum_and_only_once() {
     let mut tally = Tally::default();
@@ -17,7 +17,7 @@
     assert_that!(next, eq([1, 1]));
 }
 
-/// A group that formed anew begins with the first map; choices of before tell nothing of what it now has to carry.
+/// A group that forms again starts with the initial map; activations of an earlier epoch say nothing about its load.
 #[gtest]
 fn counts_of_another_epoch_are_not_added() {
     let mut tally = Tally::default();
