--- a/crates/lockstep/tests/all/passes.rs
+++ b/crates/lockstep/tests/all/passes.rs
@@ -1,4 +1,4 @@
-//! How long passes take.
+//! Estimates of pass durations.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     Duration::from_millis(millis)
 }
 
-/// Pattern: passes of 120 ms, whose numbers ranks show 10 ms apart.
+/// Passes take 120 ms, and ranks report their numbers 10 ms apart.
 #[gtest]
 fn what_is_left_of_a_pass_follows_from_the_one_before() {
     let mut passes = Passes::default();
