--- a/crates/lockstep/tests/all/collecting.rs
+++ b/crates/lockstep/tests/all/collecting.rs
@@ -1,4 +1,4 @@
-//! Who collects whose counts.
+//! Assignment of ranks to aggregators of counts.
 
 use std::net::SocketAddr;
 
@@ -11,40 +11,40 @@
     addresses.collect()
 }
 
-/// Pattern: an instance beside one of 64 ranks freezes for four seconds. Without collectors the others send three times what
-/// the lead's link carries.
+/// The instance of one of 64 ranks freezes for four seconds. Without aggregators the others would send three times what the
+/// leader's link carries.
 #[gtest]
 fn ranks_that_were_heard_keep_their_collector_while_one_is_silent() {
     let known = sidecars(1, 64);
-    let calm = receivers(&known, 8, std::iter::empty());
+    let without_silence = receivers(&known, 8, std::iter::empty());
     let all = sidecars(1, 193);
     let silent = receivers(&known, 8, all.iter().copied());
-    assert_that!(silent[..known.len()], eq(&calm[..]));
-    let straight = calm.iter().filter(|receiver| {
+    assert_that!(silent[..known.len()], eq(&without_silence[..]));
+    let direct = without_silence.iter().filter(|receiver| {
         let collector = receiver.collector;
         collector.is_none() || collector == Some(receiver.address)
     });
-    assert_that!(straight.count(), eq(8));
+    assert_that!(direct.count(), eq(8));
 }
 
-/// A group forms: nobody knows yet which sidecars of the service belong to it.
+/// While a group forms, it is not known yet which sidecars of the service belong to it.
 #[gtest]
 fn sidecars_of_which_nothing_was_heard_are_told_once_and_get_no_collector() {
     let known = sidecars(1, 21);
-    let told = receivers(&known, 5, sidecars(11, 31).into_iter());
-    let addresses: Vec<_> = told.iter().map(|receiver| receiver.address).collect();
+    let assigned = receivers(&known, 5, sidecars(11, 31).into_iter());
+    let addresses: Vec<_> = assigned.iter().map(|receiver| receiver.address).collect();
     assert_that!(addresses, eq(&sidecars(1, 31)));
     let new = |receiver: &Receiver| receiver.collector.is_none();
-    assert_that!(told[20..].iter().all(new), eq(true));
-    assert_that!(told[..20].iter().any(new), eq(false));
+    assert_that!(assigned[20..].iter().all(new), eq(true));
+    assert_that!(assigned[..20].iter().any(new), eq(false));
 }
 
 #[gtest]
 fn where_all_may_speak_to_the_lead_nobody_collects() {
     let known = sidecars(1, 13);
-    let told = receivers(&known, 12, std::iter::empty());
+    let assigned = receivers(&known, 12, std::iter::empty());
     assert_that!(
-        told.iter().all(|receiver| receiver.collector.is_none()),
+        assigned.iter().all(|receiver| receiver.collector.is_none()),
         eq(true)
     );
 }
