--- a/crates/lockstep/tests/all/layout.rs
+++ b/crates/lockstep/tests/all/layout.rs
@@ -1,4 +1,4 @@
-//! Layouts on their way to a rank.
+//! Layouts as they are sent to ranks.
 
 use std::time::Duration;
 
@@ -23,15 +23,15 @@
     ])
 }
 
-/// Pattern: the whole layout of a large group takes 2 ms of the lead's link to each rank, 50 ms to all.
+/// The full layout of a large group takes 2 ms of the leader's link for each rank, and 50 ms for all.
 #[gtest]
 fn a_parcel_of_what_changed_is_smaller_and_opens_to_the_same_layout() {
     let parcel = Parcel::delta(7, &before(), &after());
     assert_that!(parcel.base(), some(eq(Base::Sent(7))));
-    let Parcel::Delta(changed) = &parcel else {
-        panic!("a parcel of what changed");
+    let Parcel::Delta(delta) = &parcel else {
+        panic!("not a delta");
     };
-    assert_that!(changed.cells.len(), eq(1));
+    assert_that!(delta.cells.len(), eq(1));
     let known = [(6, after()), (7, before())];
     assert_that!(parcel.open(&known), some(eq(&after())));
 }
@@ -42,7 +42,8 @@
     assert_that!(parcel.open(&[(6, before())]), none());
 }
 
-/// One map in every pass: a rank whose map of that version differs from the lead's must not guess.
+/// All ranks must use one map in every pass, so a rank whose map of that version differs from the leader's must reject the
+/// delta.
 #[gtest]
 fn a_parcel_on_another_map_of_the_same_version_does_not_open() {
     let parcel = Parcel::delta(7, &before(), &after());
@@ -62,7 +63,7 @@
     assert_that!(Parcel::Full(after()).open(&[]), some(eq(&after())));
 }
 
-/// Pattern: the first change of a group of 64 ranks. Its whole map is some 8 KB for each rank, more than a link of 6 Mbit/s
+/// In the first change of a group of 64 ranks, the full map takes some 8 KB for each rank, more than a link of 6 Mbit/s
 /// carries to all of them within half a second.
 #[gtest]
 fn what_differs_from_the_first_map_opens_where_no_map_was_ever_sent() {
