--- a/crates/lockstep/tests/all/deputy.rs
+++ b/crates/lockstep/tests/all/deputy.rs
@@ -1,4 +1,4 @@
-//! The deputy of a lead.
+//! The standby of a leader.
 
 use std::time::Duration;
 
@@ -44,8 +44,8 @@
     Duration::from_millis(number)
 }
 
-/// Pattern: the instance of a lead freezes right after it gave the order to hold (a group stood still for
-/// 3.9 s, until it woke).
+/// The instance of a leader freezes right after it ordered the hold. Without a standby a group stopped for 3.9 s, until the
+/// instance woke up.
 #[gtest]
 fn a_deputy_acts_once_its_lead_is_silent_and_its_rank_stands_before_the_held_pass() {
     let mut deputy = pledged();
@@ -66,7 +66,8 @@
     assert_that!(deputy.due(&anew, millis(450)), none());
 }
 
-/// Pattern: the same. The group runs on while instances beside its ranks are frozen; only the hold stops it.
+/// The leader freezes right after the hold. A group runs on while the instances of its ranks are frozen; only the hold
+/// stops it.
 #[gtest]
 fn a_hold_whose_lead_fell_silent_is_ended_while_nobody_can_be_armed() {
     let mut deputy = pledged();
@@ -74,7 +75,7 @@
     assert_that!(deputy.end(&own), none());
     own.held = Some(SWITCH.step);
     assert_that!(deputy.end(&own), some(eq(SWITCH.step)));
-    // The lead wakes up and wants to go on.
+    // The leader wakes up and tries to continue the change.
     assert_that!(deputy.may_arm(1, SWITCH), eq(false));
     assert_that!(deputy.orders(&own), is_empty());
     let later = Switch { step: 20, ..SWITCH };
@@ -88,7 +89,7 @@
     own.held = Some(SWITCH.step);
     assert_that!(deputy.may_arm(1, SWITCH), eq(true));
     assert_that!(deputy.end(&own), none());
-    // The same pledge, come late or twice, changes nothing.
+    // A late or duplicate notice of the same hold changes nothing.
     deputy.pledge(pledge(), millis(10));
     assert_that!(deputy.end(&own), none());
 }
@@ -102,7 +103,7 @@
     assert_that!(deputy.may_arm(2, SWITCH), eq(true));
 }
 
-/// Pattern: the same, and the word of an earlier epoch comes late.
+/// The leader freezes right after the hold, and a notice of an earlier epoch arrives late.
 #[gtest]
 fn a_late_word_of_an_earlier_epoch_does_not_bring_an_ended_hold_back() {
     let anew = Pledge {
@@ -120,7 +121,7 @@
     assert_that!(deputy.may_arm(2, SWITCH), eq(false));
 }
 
-/// Pattern: the deputy's process was killed after it passed an order to arm on, and starts again.
+/// The process of the standby is killed after it forwarded an order to arm, and restarts.
 #[gtest]
 fn a_hold_is_not_ended_while_the_own_rank_is_armed() {
     let mut deputy = pledged();
