--- a/crates/lockstep/tests/all/plan.rs
+++ b/crates/lockstep/tests/all/plan.rs
@@ -1,4 +1,4 @@
-//! Which maps are planned.
+//! Plans of new layouts.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use auburnline_lockstep::plan::plan;
 use googletest::prelude::*;
 
-/// Twelve ranks with eight of eleven places filled, as the users' groups form.
+/// Twelve ranks with eight of eleven places filled, as in the users' groups when they form.
 const SHAPE: Shape = Shape {
     layers: 3,
     experts: 96,
@@ -22,7 +22,7 @@
 /// Experts' part of a pass under full load, as on the users' deployments.
 const WORK: Duration = Duration::from_millis(22);
 
-/// Shares that fall with the rank of liking: the most liked expert draws a quarter of all choices.
+/// Shares that fall with the rank in popularity; the most popular expert gets a quarter of all activations.
 fn skewed(first: usize) -> Vec<f64> {
     let weights = (0..SHAPE.experts).map(|expert| {
         let place = (expert + SHAPE.experts - first) % SHAPE.experts;
@@ -34,7 +34,7 @@
     weights.iter().map(|weight| weight / sum).collect()
 }
 
-/// Returns how many experts each rank gets that it does not hold in `before`, over all layers.
+/// Returns the number of experts that are new to each rank against `before`, over all layers.
 fn new_by_rank(after: &Layout, before: &Layout) -> Vec<usize> {
     let ranks = after.0.first().map_or(0, Vec::len);
     let mut counts = vec![0; ranks];
@@ -54,8 +54,8 @@
     Layout::initial(&SHAPE, 12)
 }
 
-/// Pattern: a few experts draw most choices, and on the map that a group forms with each of them lies
-/// on one rank (measured: 3.15 times the mean on the most loaded one).
+/// A few experts get most activations, and on the initial map each of them is on one rank only, which puts 3.15 times the
+/// mean load on the most loaded rank.
 #[gtest]
 fn hot_experts_get_copies_until_the_most_loaded_rank_is_near_the_mean() {
     let plan = plan(&initial(), &shares(), &SHAPE, &Scope::STEADY, WORK, &[]).expect("a plan");
@@ -94,7 +94,7 @@
 #[gtest]
 fn a_plan_in_force_is_not_planned_again() {
     let mut layout = initial();
-    // A change copies for a bounded time only; the next goes on where it ended.
+    // A change copies for a bounded time only; the next one continues from there.
     for _ in 0..8 {
         let Some(plan) = plan(&layout, &shares(), &SHAPE, &Scope::STEADY, WORK, &[]) else {
             return;
@@ -107,7 +107,7 @@
     );
 }
 
-/// Pattern: demand shifts within seconds, so a plan whose copies take long is over before it pays.
+/// Demand shifts within seconds, so a plan that copies for long is outdated before it pays off.
 #[gtest]
 fn no_rank_copies_for_long() {
     let before = initial();
@@ -117,7 +117,7 @@
     assert_that!(SHAPE.copy * copies, le(Duration::from_millis(450)));
 }
 
-/// Groups of 24 ranks as on the users' larger deployments: 24 places are left for second copies.
+/// Groups of 24 ranks as on the users' larger deployments; 24 places are left for replicas.
 const LARGE: Shape = Shape {
     layers: 16,
     experts: 96,
@@ -126,8 +126,8 @@
     copy: Duration::from_millis(27),
 };
 
-/// Shares of a large group in which each layer likes other experts, all `moved` on by a shift.
-fn liked(moved: usize) -> Vec<Vec<f64>> {
+/// Shares of a large group in which each layer has other hot experts, all shifted by `moved`.
+fn hot_shares(moved: usize) -> Vec<Vec<f64>> {
     let layers = 0..LARGE.layers;
     layers
         .map(|layer| skewed((layer * 7 + moved) % LARGE.experts))
@@ -139,14 +139,22 @@
     LARGE.copy * u32::try_from(copies.unwrap_or(0)).expect("a small number")
 }
 
-/// Pattern: demand shifts under full load. Passes are at their longest then, and copying makes them 15% longer,
-/// so that streams which bear the one miss their pause for both: on the users' larger deployments a quarter of all
-/// streams had one pass of 120 to 140 ms after each shift.
+/// Demand shifts under full load. Passes are then at their longest, and copying makes them 15% longer. Streams that stand
+/// either alone exceed their longest pause with both: on the users' larger deployments a quarter of all streams had one
+/// pass of 120 to 140 ms after each shift.
 #[gtest]
 fn relief_after_a_shift_copies_for_a_moment_and_the_rest_goes_on_from_there() {
     let initial = Layout::initial(&LARGE, 24);
-    let fitted = plan(&initial, &liked(0), &LARGE, &Scope::FOLLOW_UP, WORK, &[]).expect("a plan");
-    let shifted = liked(40);
+    let fitted = plan(
+        &initial,
+        &hot_shares(0),
+        &LARGE,
+        &Scope::FOLLOW_UP,
+        WORK,
+        &[],
+    )
+    .expect("a plan");
+    let shifted = hot_shares(40);
     let relief = plan(
         &fitted.layout,
         &shifted,
@@ -177,7 +185,7 @@
     );
 }
 
-/// Pattern: copying one expert takes longer than relief may.
+/// Copying a single expert takes longer than the limit of the immediate response.
 #[gtest]
 fn relief_copies_one_expert_where_copying_is_slow() {
     let before = initial();
@@ -185,13 +193,20 @@
     assert_that!(relief.copies, eq(1));
 }
 
-/// Pattern: a quiet hour. The same fall of the skew takes less off a pass when less runs, and copies cost the same.
+/// Under low load, the same reduction of the skew shortens a pass by less, while copies cost the same.
 #[gtest]
 fn the_less_runs_the_fewer_experts_are_copied() {
     let initial = Layout::initial(&LARGE, 24);
     let copied = |work: u64| {
         let work = Duration::from_millis(work);
-        let plan = plan(&initial, &liked(0), &LARGE, &Scope::FOLLOW_UP, work, &[]);
+        let plan = plan(
+            &initial,
+            &hot_shares(0),
+            &LARGE,
+            &Scope::FOLLOW_UP,
+            work,
+            &[],
+        );
         plan.map_or(0, |plan| {
             new_by_rank(&plan.layout, &initial).iter().sum::<usize>()
         })
@@ -199,7 +214,7 @@
     assert_that!(copied(4), lt(copied(22)));
     let idle = plan(
         &initial,
-        &liked(0),
+        &hot_shares(0),
         &LARGE,
         &Scope::FOLLOW_UP,
         Duration::from_micros(500),
@@ -208,11 +223,11 @@
     assert_that!(idle, none());
 }
 
-/// Pattern: one rank takes 1.6 times as long as it should for some seconds; all ranks wait for it in each pass.
+/// One rank takes twice as long as it should for some seconds, and all ranks wait for it in each pass.
 #[gtest]
 fn a_slow_rank_is_given_less() {
     let initial = Layout::initial(&LARGE, 24);
-    let shares = liked(0);
+    let shares = hot_shares(0);
     let even = plan(&initial, &shares, &LARGE, &Scope::FOLLOW_UP, WORK, &[]).expect("a plan");
     let mut slowness = vec![1.0; 24];
     slowness[5] = 2.0;
@@ -230,11 +245,11 @@
     assert_that!(load(&relieved.layout), lt(0.8 * load(&even.layout)));
 }
 
-/// Pattern: one rank takes twelve times as long as it should. What it still holds all others wait for twelve times, so it is
-/// emptied, by a few changes in a row that copy no more than any.
+/// One rank takes twelve times as long as it should, so all others wait twelve times as long for the experts it still
+/// holds. It is emptied by a few successive changes, none of which copies more than others do.
 #[gtest]
 fn a_rank_that_almost_stands_is_emptied() {
-    let shares = liked(0);
+    let shares = hot_shares(0);
     let mut slowness = vec![1.0; 24];
     slowness[5] = 12.0;
     let mut layout = Layout::initial(&LARGE, 24);
@@ -249,11 +264,11 @@
         held.len() == LARGE.experts
     });
     assert_that!(all, eq(true));
-    // Plans bring the most loaded rank down to 1.3 to 1.4 times the mean; a slow one may take no longer.
+    // Plans bring the most loaded rank down to 1.3 to 1.4 times the mean; the slow rank may take no longer than that.
     assert_that!(loads(&layout, &shares)[5] * slowness[5], le(1.4));
 }
 
-/// Returns the load of each rank over the mean, mean of all layers.
+/// Returns the load of each rank over the mean, averaged over the layers.
 fn loads(layout: &Layout, shares: &[Vec<f64>]) -> Vec<f64> {
     let mut sums = vec![0.0; layout.0[0].len()];
     for (layer, shares) in layout.0.iter().zip(shares) {
