--- a/crates/lockstep/tests/all/explore.rs
+++ b/crates/lockstep/tests/all/explore.rs
@@ -1,9 +1,8 @@
-//! All orders of events of a change, within bounds.
+//! Bounded model checking of a change over all interleavings of events.
 //!
-//! Orders wait in a set from which each may be carried out at any time, more than once, or never; the
-//! coordinator sees ranks one by one and at any time, and may be killed and started anew. The group
-//! begins a pass whenever no rank holds it. No pass may begin with two maps, and a group that is healed
-//! must settle.
+//! Orders wait in a set from which each may be carried out at any time, more than once, or never. The coordinator
+//! polls ranks one by one and at any time, and may be killed and restarted. The group begins a pass whenever no rank
+//! holds it. No pass may begin with two maps, and once no more faults occur a group must converge.
 
 mod world;
 
@@ -22,9 +21,9 @@
 use crate::explore::world::Fault;
 use crate::explore::world::World;
 
-/// States after which a search is cut off, unless the environment says another number.
+/// Number of states after which a search is cut off, unless the environment sets another one.
 const MOST_STATES: usize = 400_000;
-/// Variable with the number of states after which a search is cut off.
+/// Environment variable with the number of states after which a search is cut off.
 const STATES_VARIABLE: &str = "AUBURNLINE_STATES";
 
 struct Outcome {
@@ -110,7 +109,7 @@
     assert_safe(bounds(2, 2, 1));
 }
 
-/// Pattern: a lead that takes the running pass for longer or shorter than it is, and its successor differently.
+/// A leader estimates the running pass as longer or shorter than it is, and its successor estimates it differently.
 #[gtest]
 fn a_hold_of_the_next_pass_does_no_harm_with_one_killed_at_any_point() {
     assert_safe(Bounds {
@@ -129,26 +128,26 @@
     assert_that!((outcome.mixed, outcome.stuck), eq((0, 0)));
 }
 
-/// The search in breadth does not reach a switch of three ranks; those that dive do.
+/// The breadth-first search does not reach a switch of three ranks within its bound; random walks do.
 #[gtest]
 fn three_ranks_switch_together() {
-    dive_often(bounds(3, 2, 2));
+    assert_walks_safe(bounds(3, 2, 2));
 }
 
-/// Pattern: a lead freezes between a hold and its release, its deputy takes the change forward on looks of any
-/// age, and the lead wakes up and goes on.
+/// A leader freezes between a hold and its release, its standby completes the change on observations of any age, and the
+/// leader wakes up and continues.
 #[gtest]
 fn three_ranks_switch_together_with_a_deputy() {
-    dive_often(Bounds {
+    assert_walks_safe(Bounds {
         has_deputy: true,
         ..bounds(3, 2, 2)
     });
 }
 
-fn dive_often(bounds: Bounds) {
+fn assert_walks_safe(bounds: Bounds) {
     let mut switched = 0;
     for seed in 0..400 {
-        let world = dive(bounds, seed);
+        let world = random_walk(bounds, seed);
         assert_that!(world.is_mixed(), eq(false), "seed {seed}");
         switched += usize::from(world.engines[0].version > 0);
         assert_that!(world.converges(bounds), eq(true), "seed {seed}");
@@ -156,8 +155,8 @@
     assert_that!(switched, gt(50));
 }
 
-/// Takes one path at random, to the last pass or a number of events.
-fn dive(bounds: Bounds, seed: u64) -> World {
+/// Takes a random walk, until the last pass or for a bounded number of events.
+fn random_walk(bounds: Bounds, seed: u64) -> World {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut world = World::new(bounds);
     for _ in 0..400 {
@@ -168,7 +167,7 @@
         if next.is_mixed() {
             return next;
         }
-        // Passes come seldom beside the orders, as they do between processes.
+        // Passes are rare compared with orders, as they are between processes.
         let is_pass = next.step > world.step;
         if !is_pass || random.random_ratio(1, 6) {
             world = next;
@@ -177,23 +176,23 @@
     world
 }
 
-/// The search finds what a deputy that did not ask whether ranks may be armed would break.
+/// The search must detect a standby that ends a hold without checking whether ranks may be armed.
 #[gtest]
 fn ending_a_hold_for_which_ranks_may_be_armed_is_caught() {
-    let planted = Bounds {
+    let faulty = Bounds {
         has_deputy: true,
         injected: Some(Fault::EndsArmed),
         ..bounds(3, 2, 0)
     };
-    let caught = (0..400).filter(|seed| dive(planted, *seed).is_mixed());
+    let caught = (0..400).filter(|seed| random_walk(faulty, *seed).is_mixed());
     assert_that!(caught.count(), gt(0));
 }
 
 #[gtest]
 fn arming_without_a_hold_is_caught() {
-    let planted = Bounds {
+    let faulty = Bounds {
         injected: Some(Fault::ArmsUnheld),
         ..bounds(2, 1, 0)
     };
-    assert_that!(explore(planted).mixed, gt(0));
+    assert_that!(explore(faulty).mixed, gt(0));
 }
