--- a/crates/lockstep/tests/all/explore/world.rs
+++ b/crates/lockstep/tests/all/explore/world.rs
@@ -1,4 +1,4 @@
-//! One state of the exploration, and what may happen next in it.
+//! One state of the model, and its transitions.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,33 +18,33 @@
 
 use crate::support::Engine;
 
-/// Passes between the newest one seen and the one to hold, at most.
-const AHEAD: Step = 2;
-/// The same where the running pass leaves time to arm all; a coordinator may think so at any time.
-const AHEAD_IN_TIME: Step = 1;
-/// Passes that are explored.
+/// Most passes between the newest one seen and the one to hold.
+const PASSES_AHEAD: Step = 2;
+/// The same if the running pass leaves time to arm all ranks; a coordinator may estimate so at any time.
+const PASSES_AHEAD_IN_TIME: Step = 1;
+/// Last pass that is explored.
 const LAST_PASS: Step = 6;
 
-/// A fault that the search has to find.
+/// An injected fault that the search must detect.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
     /// Ranks are armed without a hold.
     ArmsUnheld,
-    /// The deputy ends holds for which ranks may be armed.
+    /// The standby ends holds for which ranks may be armed.
     EndsArmed,
 }
 
-/// What is explored.
+/// Bounds and options of an exploration.
 #[derive(Clone, Copy)]
 pub(crate) struct Bounds {
     pub(crate) ranks: Rank,
     pub(crate) changes: Version,
     pub(crate) kills: u8,
-    /// Whether a deputy acts at any time beside the coordinator, on what it saw at any time before.
+    /// Whether a standby acts concurrently with the coordinator, at any time and on observations of any age.
     pub(crate) has_deputy: bool,
-    /// Whether each hold stands one pass ahead or two, by choice.
+    /// Whether a hold may also be placed only one pass ahead, at any time.
     pub(crate) may_hold_next: bool,
-    /// Fault that is planted.
+    /// Fault that is injected, if any.
     pub(crate) injected: Option<Fault>,
 }
 
@@ -56,22 +56,22 @@
     sights: Vec<Option<Sight>>,
     change: Option<Change>,
     begun: Version,
-    /// Newest pass that a coordinator before may have held; zero until the ranks were seen.
+    /// Newest pass that a previous coordinator may have held; zero until all ranks were seen.
     floor: Step,
     kills: u8,
     deputy: Deputy,
-    /// The rank that holds, as the deputy saw it last.
+    /// The held rank, as the standby last saw it.
     holder: Option<Sight>,
 }
 
-/// An order in a form that can be sorted.
+/// An order in a form that implements `Ord`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Key {
     Prepare(Version),
     Hold(Step),
     Arm(Version, Step),
-    /// The same, once the deputy passed it on.
-    ArmPassed(Version, Step),
+    /// The same, once the standby has forwarded it.
+    ArmForwarded(Version, Step),
     Release(Step),
 }
 
@@ -89,7 +89,7 @@
         match self {
             Key::Prepare(version) => Order::Prepare(version),
             Key::Hold(step) => Order::Hold(step),
-            Key::Arm(version, step) | Key::ArmPassed(version, step) => {
+            Key::Arm(version, step) | Key::ArmForwarded(version, step) => {
                 Order::Arm(Switch { version, step })
             }
             Key::Release(step) => Order::Release(step),
@@ -108,7 +108,7 @@
             sights: vec![None; ranks],
             change: None,
             begun: 0,
-            floor: AHEAD,
+            floor: PASSES_AHEAD,
             kills: 0,
             deputy: Deputy::default(),
             holder: None,
@@ -122,20 +122,20 @@
             let mut world = self.clone();
             world.carry_out(*rank, *key, bounds);
             worlds.push(world.clone());
-            // Carried out and not to come again.
+            // Carried out, and not duplicated later.
             world.orders.remove(&(*rank, *key));
             worlds.push(world);
         }
         for rank in 0..bounds.ranks {
-            worlds.push(self.look(rank, bounds));
+            worlds.push(self.poll(rank, bounds));
         }
-        worlds.push(self.tick(bounds, AHEAD));
+        worlds.push(self.tick(bounds, PASSES_AHEAD));
         if bounds.may_hold_next {
-            worlds.push(self.tick(bounds, AHEAD_IN_TIME));
+            worlds.push(self.tick(bounds, PASSES_AHEAD_IN_TIME));
         }
         if bounds.has_deputy {
-            worlds.extend((0..bounds.ranks).map(|rank| self.deputy_looks(rank, bounds)));
-            worlds.push(self.stand_in());
+            worlds.extend((0..bounds.ranks).map(|rank| self.standby_polls(rank, bounds)));
+            worlds.push(self.complete_as_standby());
             worlds.push(self.end_hold(bounds));
         }
         if self.kills < bounds.kills {
@@ -150,12 +150,12 @@
         worlds
     }
 
-    /// Lets an order reach its engine; the deputy stands before the one that holds.
+    /// Delivers an order to its engine; an order to arm the held rank goes through the standby.
     fn carry_out(&mut self, rank: Rank, key: Key, bounds: Bounds) {
         match key {
             Key::Arm(version, step) if bounds.has_deputy && rank == HOLDER => {
                 if self.deputy.may_arm(1, Switch { version, step }) {
-                    self.orders.insert((rank, Key::ArmPassed(version, step)));
+                    self.orders.insert((rank, Key::ArmForwarded(version, step)));
                 } else {
                     self.orders.insert((rank, Key::Release(step)));
                 }
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Lets the deputy end the hold on what it saw, as if its lead were silent.
+    /// Lets the standby end the hold by its observations, as if the leader were silent.
     fn end_hold(&self, bounds: Bounds) -> World {
         let mut world = self.clone();
         let mut ended = self.holder.as_ref().and_then(|own| world.deputy.end(own));
@@ -191,7 +191,7 @@
         Some(world)
     }
 
-    fn look(&self, rank: Rank, bounds: Bounds) -> World {
+    fn poll(&self, rank: Rank, bounds: Bounds) -> World {
         let mut world = self.clone();
         let index = usize::from(rank);
         let sight = world.engines[index].sight(rank, bounds.ranks, self.step);
@@ -199,7 +199,7 @@
         world
     }
 
-    fn deputy_looks(&self, rank: Rank, bounds: Bounds) -> World {
+    fn standby_polls(&self, rank: Rank, bounds: Bounds) -> World {
         let mut world = self.clone();
         let sight = world.engines[usize::from(rank)].sight(rank, bounds.ranks, self.step);
         if rank == HOLDER {
@@ -210,8 +210,8 @@
         world
     }
 
-    /// Lets the deputy act on what it saw, as if its lead were silent.
-    fn stand_in(&self) -> World {
+    /// Lets the standby complete the change by its observations, as if the leader were silent.
+    fn complete_as_standby(&self) -> World {
         let mut world = self.clone();
         let Some(holder) = &self.holder else {
             return world;
@@ -222,7 +222,7 @@
         world
     }
 
-    /// Tells the deputy of a hold that is among `orders`.
+    /// Notifies the standby of a hold that is among `orders`.
     fn pledge(&mut self, version: Version, orders: &[(Rank, Order)]) {
         let Some((_, Order::Hold(step))) = orders.first() else {
             return;
@@ -239,7 +239,7 @@
         self.deputy.pledge(pledge, Duration::ZERO);
     }
 
-    /// Lets the coordinator decide on what it saw.
+    /// Lets the coordinator decide by its observations.
     fn tick(&self, bounds: Bounds, ahead: Step) -> World {
         let mut world = self.clone();
         let sights: Vec<Sight> = self.sights.iter().flatten().cloned().collect();
@@ -248,7 +248,7 @@
         }
         let seen: Vec<&Sight> = sights.iter().collect();
         if world.floor == 0 {
-            world.floor = seen.iter().map(|sight| sight.step).max().unwrap_or(0) + AHEAD;
+            world.floor = seen.iter().map(|sight| sight.step).max().unwrap_or(0) + PASSES_AHEAD;
         }
         if world.change.is_none() {
             world.change = Change::recover(&seen, HOLDER, world.floor);
@@ -257,10 +257,10 @@
             world.orders.insert((HOLDER, Key::Release(step)));
             return world;
         }
-        let is_calm = seen
+        let is_idle = seen
             .iter()
             .all(|sight| sight.armed.is_none() && sight.held.is_none());
-        if world.change.is_none() && is_calm && world.begun < bounds.changes {
+        if world.change.is_none() && is_idle && world.begun < bounds.changes {
             world.begun += 1;
             world.change = Some(Change::new(1, world.begun, world.floor));
         }
@@ -276,7 +276,7 @@
                 let keys = orders.iter().map(|(rank, order)| (*rank, Key::of(*order)));
                 world.orders.extend(keys);
                 if bounds.injected == Some(Fault::ArmsUnheld) {
-                    world.plant();
+                    world.arm_unheld();
                 }
             }
             Progress::Done | Progress::Aborted => world.change = None,
@@ -284,11 +284,11 @@
         world
     }
 
-    /// Plants the fault that ranks are armed as soon as the hold is ordered.
-    fn plant(&mut self) {
+    /// Injects the fault that ranks are armed as soon as the hold is ordered.
+    fn arm_unheld(&mut self) {
         let holds = self.orders.iter().filter_map(|(_, key)| match key {
             Key::Hold(step) => Some(*step),
-            Key::Prepare(_) | Key::Arm(..) | Key::ArmPassed(..) | Key::Release(_) => None,
+            Key::Prepare(_) | Key::Arm(..) | Key::ArmForwarded(..) | Key::Release(_) => None,
         });
         let arms: Vec<Key> = holds.map(|step| Key::Arm(self.begun, step)).collect();
         let ranks = Rank::try_from(self.engines.len()).expect("few ranks");
@@ -302,7 +302,8 @@
         self.engines.iter().any(|engine| engine.version != first)
     }
 
-    /// Carries out all that is ordered, looks at all and decides, until nothing changes.
+    /// Returns whether a bounded number of rounds without faults, each of which delivers all orders and polls all ranks,
+    /// leaves no hold and runs past the last pass on one map.
     pub(crate) fn converges(mut self, bounds: Bounds) -> bool {
         for _ in 0..64 {
             let orders: Vec<_> = std::mem::take(&mut self.orders).into_iter().collect();
@@ -310,9 +311,9 @@
                 self.carry_out(rank, key, bounds);
             }
             for rank in 0..bounds.ranks {
-                self = self.look(rank, bounds);
+                self = self.poll(rank, bounds);
             }
-            self = self.tick(bounds, AHEAD);
+            self = self.tick(bounds, PASSES_AHEAD);
             let pass = self.step + 1;
             if !self.engines.iter().any(|engine| engine.held == Some(pass)) {
                 self.step = pass;
