--- a/crates/lockstep/src/coordinator/ordering.rs
+++ b/crates/lockstep/src/coordinator/ordering.rs
@@ -1,4 +1,4 @@
-//! What a coordinator orders for the change under way.
+//! Orders of a coordinator for the change in progress.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,19 +12,19 @@
 use crate::coordinator::Coordinator;
 use crate::coordinator::HOLDER;
 use crate::coordinator::planning::Stage;
-use crate::given::Shown;
+use crate::outstanding::Observation;
 use crate::sight::Epoch;
 use crate::told::Note;
 use crate::told::Send;
 
-/// Longest time to prepare a change; then another one is planned.
-const LONGEST_PREPARATION: Duration = Duration::from_secs(3);
+/// Time after which a change that is still being prepared is abandoned and another one is planned.
+const PREPARE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Coordinator {
-    pub(super) fn release_stray(&mut self, step: Step, now: Monotonic) -> Vec<Send> {
+    pub(super) fn release_orphaned_hold(&mut self, step: Step, now: Monotonic) -> Vec<Send> {
         let order = (HOLDER, Order::Release(step));
         let epoch = self.epoch.filter(|_| self.is_due(order, now));
-        let send = epoch.and_then(|epoch| self.give(HOLDER, epoch, order.1, now));
+        let send = epoch.and_then(|epoch| self.issue(HOLDER, epoch, order.1, now));
         send.into_iter().collect()
     }
 
@@ -32,14 +32,14 @@
         let Some(mut change) = self.change.take() else {
             return Vec::new();
         };
-        let is_late = now.saturating_sub(self.began) > LONGEST_PREPARATION;
-        if change.may_end() && is_late {
+        let is_late = now.saturating_sub(self.change_started) > PREPARE_TIMEOUT;
+        if change.can_abort() && is_late {
             self.notes
                 .push(Note::Void(change.version(), "not prepared in time"));
             self.next = None;
             return Vec::new();
         }
-        let progress = change.advance(&self.sights(), HOLDER, self.ahead(now));
+        let progress = change.advance(&self.sights(), HOLDER, self.passes_ahead(now));
         let (epoch, version) = (change.epoch(), change.version());
         match progress {
             Progress::Orders(orders) => {
@@ -47,7 +47,7 @@
                 let due = orders.into_iter().filter(|order| self.is_due(*order, now));
                 let due: Vec<_> = due.collect();
                 due.into_iter()
-                    .filter_map(|(rank, order)| self.give(rank, epoch, order, now))
+                    .filter_map(|(rank, order)| self.issue(rank, epoch, order, now))
                     .collect()
             }
             Progress::Done => {
@@ -57,7 +57,7 @@
                 }
                 Vec::new()
             }
-            Progress::Void => {
+            Progress::Aborted => {
                 self.notes.push(Note::Void(version, "the group changed"));
                 self.next = None;
                 Vec::new()
@@ -65,18 +65,19 @@
         }
     }
 
-    /// Returns whether an order was not just given.
+    /// Returns whether an order is to be sent, or sent again.
     fn is_due(&self, (rank, order): (Rank, Order), now: Monotonic) -> bool {
         let member = self.members.get(&rank);
-        let shown = member.map(|member| Shown {
+        let observed = member.map(|member| Observation {
             at: member.seen,
             is_busy: member.sight.is_busy,
         });
-        self.given.is_due(rank, order, self.copying, shown, now)
+        self.outstanding
+            .is_due(rank, order, self.copy_time, observed, now)
     }
 
-    /// Gives an order; none if it would need a whole map, and others have just left.
-    fn give(&mut self, rank: Rank, epoch: Epoch, order: Order, now: Monotonic) -> Option<Send> {
+    /// Returns the order to send; none if it needs the full map and the link is still busy with earlier ones.
+    fn issue(&mut self, rank: Rank, epoch: Epoch, order: Order, now: Monotonic) -> Option<Send> {
         let mut send = Send {
             rank,
             epoch,
@@ -86,18 +87,18 @@
         };
         if let (Order::Prepare(_), Some(next)) = (order, &self.next) {
             send.layout = Some(Arc::clone(&next.layout));
-            // A rank that did not act on what differs may not know the map in force.
-            let is_repeated = self.given.is_repeated(rank, order);
+            // A rank that did not act on a delta may not know the map in force; a repeated order carries the full map.
+            let is_repeated = self.outstanding.is_repeated(rank, order);
             let known = self.in_force.as_ref().filter(|_| !is_repeated);
             send.base = known.map(|known| (known.version, Arc::clone(&known.layout)));
         }
         if let (Some(layout), None) = (&send.layout, &send.base) {
-            let time = self.link.map_time(layout.bytes());
-            if !self.maps.take(time, now) {
+            let time = self.link.map_time(layout.encoded_bytes());
+            if !self.full_maps.try_acquire(time, now) {
                 return None;
             }
         }
-        self.given.note(rank, order, now);
+        self.outstanding.record(rank, order, now);
         Some(send)
     }
 }
--- a/crates/lockstep/tests/all/change.rs
+++ b/crates/lockstep/tests/all/change.rs
@@ -1,4 +1,4 @@
-//! One change, step by step.
+//! Phases of one change.
 
 use auburnline_lockstep::change::Change;
 use auburnline_lockstep::change::Order;
@@ -76,7 +76,7 @@
     );
 }
 
-/// Until the rank that holds is told to arm, its own sidecar may end the hold.
+/// Until the held rank is ordered to arm, its own sidecar may end the hold.
 #[gtest]
 fn others_are_armed_only_after_the_rank_that_holds() {
     let mut change = Change::new(1, 7, 0);
@@ -90,7 +90,7 @@
     );
 }
 
-/// Pattern: a lead froze right after the hold, and its deputy ended that; the lead wakes up.
+/// A leader freezes right after it ordered the hold, and its standby ends the hold; then the leader wakes up.
 #[gtest]
 fn a_hold_that_was_ended_is_ordered_anew_for_a_later_pass() {
     let mut change = Change::new(1, 7, 0);
@@ -114,7 +114,7 @@
     let mut sights = sights(&[prepared(), prepared()]);
     sights[1].epoch = 2;
     let progress = change.advance(&sights.iter().collect::<Vec<_>>(), 0, 2);
-    assert_that!(progress, eq(&Progress::Void));
+    assert_that!(progress, eq(&Progress::Aborted));
 }
 
 #[gtest]
@@ -122,7 +122,7 @@
     let mut holder = prepared();
     holder.held = Some(12);
     let sights = sights(&[holder, prepared()]);
-    let found = Change::found(&sights.iter().collect::<Vec<_>>(), 0, 0);
+    let found = Change::recover(&sights.iter().collect::<Vec<_>>(), 0, 0);
     let found = found.expect("a change under way");
     assert_that!(found.phase(), eq(Phase::Arming(12)));
     assert_that!(found.version(), eq(7));
@@ -132,7 +132,7 @@
 fn nothing_is_found_where_nothing_is_under_way() {
     let sights = sights(&[prepared(), prepared()]);
     assert_that!(
-        Change::found(&sights.iter().collect::<Vec<_>>(), 0, 0),
+        Change::recover(&sights.iter().collect::<Vec<_>>(), 0, 0),
         none()
     );
 }
