--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,22 +1,22 @@
-//! Rate limits that upstreams name, held by all gateways together.
+//! Distributed enforcement of rate limits set by upstreams.
 //!
-//! An upstream in need names a limit in its answers: the requests a second that it takes from all gateways together. A
-//! [`book::Book`] keeps what was named and what gateways tell each other of it. Each gateway owns an equal share of each limit
-//! and lends it to the limit's home, the gateway that rendezvous hashing picks among the live ones
-//! ([`loan::Lender`]). The home permits single requests, as fast as the shares lent to it allow ([`home::Home`]).
+//! An upstream may advertise a limit in its responses: the number of requests per second that it accepts from all gateways
+//! combined. A [`book::Book`] stores the limits learned from responses and from other gateways. Each gateway owns an equal
+//! share of each limit and lends it to the limit's home, a live gateway chosen by rendezvous hashing ([`loan::Lender`]). The
+//! home grants permits for single requests, at the rate covered by the shares lent to it ([`home::Home`]).
 //!
-//! Gateways may disagree on who the home is, while they start, stop, freeze or are cut off from each other. A share is lent
-//! to one home at a time, so whatever they believe, all homes together permit no more than the limit.
+//! Gateways may disagree about which gateway is the home while some start, stop, freeze or are partitioned. Since a share is
+//! lent to only one home at a time, all homes combined never permit more than the limit.
 //!
-//! Nothing here sends, reads a clock or knows how a limit is spelled.
+//! This crate performs no I/O, reads no clock and does not know how a limit is encoded in a response.
 
 pub mod book;
 pub mod home;
 pub mod loan;
 
-/// Number of one start of an upstream, by which all gateways know it.
+/// Identifier of one process start of an upstream, identical on all gateways.
 pub type UpstreamTag = u64;
-/// Number of a gateway that lends its share.
+/// Identifier of a gateway that lends its share of a limit.
 pub type LenderTag = u64;
-/// Requests a second from all gateways together.
+/// Requests per second, summed over all gateways.
 pub type Rate = f64;
--- a/crates/quota/tests/all/main.rs
+++ b/crates/quota/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Rate limits that upstreams name.
+//! Distributed enforcement of rate limits set by upstreams.
 
 mod book;
 mod home;
