--- a/crates/quota/src/loan.rs
+++ b/crates/quota/src/loan.rs
@@ -1,8 +1,9 @@
-//! A gateway's own share of each limit, lent to one home at a time.
+//! Lending of a gateway's share of each limit to one home at a time.
 //!
-//! A loan names the last beat of the home that its lender heard, and lapses a [`LEASE`] after the home sent that beat. The home
-//! judges this by its own clock, however long the loan was on its way; the lender heard the beat later than it was
-//! sent, so it knows without asking when the home counts on the share no more. Only then the share goes to another home.
+//! A loan names the latest heartbeat of the home that the lender received, and expires a [`LEASE`] after the home sent that
+//! heartbeat. The home measures this on its own clock, so the loan's transit time does not extend it. The lender received the
+//! heartbeat after it was sent, so a lease after the reception, on its own clock, the home no longer counts the share.
+//! Only then is the share lent to another home.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,67 +19,66 @@
 use crate::UpstreamTag;
 use crate::book::Notice;
 
-/// Time from a home's beat for which a share that was lent on it counts: some beats more than news needs to pass through a fleet
-/// of hundreds.
+/// Time after a home's heartbeat for which a share lent in response to it is valid: several heartbeats longer than
+/// information takes to propagate through a fleet of hundreds of gateways.
 pub const LEASE: Duration = Duration::from_secs(2);
 
-/// What a gateway heard last of a home, by which it lends.
+/// The latest heartbeat of a home known to a lender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sign<'a> {
-    /// Home.
+    /// Name of the home's instance.
     pub home: &'a InstanceId,
     /// Incarnation of the home.
     pub incarnation: Incarnation,
-    /// Its last beat that was heard.
+    /// Sequence number of the heartbeat.
     pub beat: u64,
-    /// When that was heard.
+    /// When the heartbeat was received, on the lender's clock.
     pub heard: Monotonic,
-    /// Its address towards other gateways.
+    /// Address of the home for messages from other gateways.
     pub address: SocketAddr,
 }
 
-/// Shares of limits, lent to their home.
+/// Message that lends the sender's shares of one or more limits to their home.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Loan {
-    /// Lender.
+    /// Gateway whose shares these are.
     pub lender: LenderTag,
-    /// Most gateways that the lender saw live at once.
+    /// Largest number of gateways that the lender has seen live at the same time.
     pub fleet: u32,
-    /// Incarnation of the home.
+    /// Incarnation of the home that the loan is meant for; another one ignores the shares.
     pub incarnation: Incarnation,
-    /// Beat of the home that the loan rests on.
+    /// Heartbeat of the home from which the lease is measured.
     pub beat: u64,
-    /// Limits of which the share is lent.
+    /// Limits whose shares are lent, as the lender knows them.
     pub limits: Vec<Notice>,
 }
 
-/// Whether a share may be lent to a home.
+/// Result of an attempt to lend a share to a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It may not: it may still count at another home.
+    /// Not lent: another home may still count the share, or the lender started less than a lease ago.
     Held,
-    /// It is lent there for the first time, or after it was lent to another home.
+    /// Lent; before, the share was lent to another home or to none.
     Moved,
-    /// It was lent there before.
+    /// Lent again to the same home.
     Renewed,
 }
 
-/// A share that is lent.
 #[derive(Clone, Debug)]
-struct Lent {
+struct ActiveLoan {
     home: InstanceId,
     address: SocketAddr,
     until: Monotonic,
 }
 
-/// Shares that a gateway has lent.
+/// Shares that this gateway has lent, by upstream.
 #[derive(Clone, Debug, Default)]
-pub struct Lender(BTreeMap<UpstreamTag, Lent>);
+pub struct Lender(BTreeMap<UpstreamTag, ActiveLoan>);
 
 impl Lender {
-    /// Lends the share of a limit to a home on its sign of life, if it may be.
+    /// Lends the share of a limit to a home on the basis of its latest heartbeat, unless another home may still count it.
     pub fn lend(&mut self, upstream: UpstreamTag, sign: &Sign<'_>, now: Monotonic) -> Outcome {
-        // What this gateway lent before it started anew, it doesn't know.
+        // Loans made before a restart are not recorded, but expire within a lease.
         if now < LEASE {
             return Outcome::Held;
         }
@@ -94,7 +94,7 @@
                 return Outcome::Held;
             }
         }
-        let lent = Lent {
+        let lent = ActiveLoan {
             home: sign.home.clone(),
             address: sign.address,
             until,
@@ -103,15 +103,15 @@
         Outcome::Moved
     }
 
-    /// Returns the address of the home that counts on the share of a limit now: it permits requests until the share goes
-    /// elsewhere, also if another home comes first meanwhile.
+    /// Returns the address of the home that the share of a limit is currently lent to. This home is asked for permits until
+    /// the loan expires, even if rendezvous hashing prefers another gateway by then.
     #[must_use]
     pub fn home(&self, upstream: UpstreamTag, now: Monotonic) -> Option<SocketAddr> {
         let lent = self.0.get(&upstream).filter(|lent| now < lent.until)?;
         Some(lent.address)
     }
 
-    /// Forgets shares that are not lent any more.
+    /// Drops expired loans.
     pub fn forget(&mut self, now: Monotonic) {
         self.0.retain(|_, lent| now < lent.until);
     }
