--- a/crates/quota/src/book.rs
+++ b/crates/quota/src/book.rs
@@ -1,9 +1,9 @@
-//! Limits in force, as answers and other gateways tell them.
+//! Limits in force, learned from responses and from other gateways.
 //!
-//! A limit holds for one start of an upstream, from the answer that names it until an answer that does not. Answers overtake
-//! each other, so an answer ends a limit only if its request was sent after the limit was last named. Gateways tell each other
-//! what they know with its age, and the newest word wins. An ended limit is remembered for [`MEMORY`], so that older news
-//! doesn't bring it back.
+//! A limit applies to one process start of an upstream, from a response that carries the limit until a response that does
+//! not. Responses may be reordered, so a response ends a limit only if its request was sent after the limit was last seen.
+//! Gateways exchange limits together with their age, and the most recent statement wins. An ended limit is kept for
+//! [`ENDED_RETENTION`], so that an older notice does not reinstate it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,63 +16,62 @@
 use crate::Rate;
 use crate::UpstreamTag;
 
-/// Time for which an ended limit is remembered: far longer than news needs to reach all gateways.
-pub const MEMORY: Duration = Duration::from_mins(1);
-/// Limits that one message tells at most, so that it stays within one packet.
+/// Time for which an ended limit is kept: much longer than a notice takes to reach all gateways.
+pub const ENDED_RETENTION: Duration = Duration::from_mins(1);
+/// Maximum number of notices in one message, so that it fits into one packet.
 pub const MOST_NOTICES: usize = 56;
-/// Limits that are remembered at most.
-const MOST: usize = 4_096;
-/// Least rate that is kept: without an answer now and then nobody would learn that the limit ended.
-pub const LEAST_RATE: Rate = 0.2;
-
-/// Time since [`EARLIER`] before the start of the process: a limit may be older than this gateway.
-type Moment = Duration;
-/// Longest time before the start of the process that is told apart.
-const EARLIER: Duration = Duration::from_hours(24);
-
-fn moment(now: Monotonic) -> Moment {
-    now + EARLIER
+/// Maximum number of limits that are stored, including ended ones.
+const MAX_ENTRIES: usize = 4_096;
+/// Lower bound for a stored rate: without an occasional response, gateways would not learn that the limit has ended.
+pub const MIN_RATE: Rate = 0.2;
+
+/// Time since [`EPOCH_OFFSET`] before the start of the process, since a limit may be older than this gateway.
+type SinceEpoch = Duration;
+/// Longest time before the start of the process that can be represented; earlier times are clamped.
+const EPOCH_OFFSET: Duration = Duration::from_hours(24);
+
+fn since_epoch(now: Monotonic) -> SinceEpoch {
+    now + EPOCH_OFFSET
 }
 
-/// What one gateway tells others of a limit.
+/// A limit as sent to other gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Notice {
-    /// Upstream.
+    /// Upstream that set the limit.
     pub upstream: UpstreamTag,
-    /// Limit; none once it ended.
+    /// Limit in force; `None` once it has ended.
     pub rate: Option<Rate>,
-    /// Milliseconds since the upstream said so.
+    /// Milliseconds since the upstream stated this.
     pub age_ms: u32,
 }
 
-/// Where a gateway learned of a limit.
+/// Where a gateway learned a limit from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Teller {
-    /// From an answer to one of its own requests.
+    /// A response to one of its own requests.
     Upstream,
-    /// From another gateway.
+    /// Another gateway, with its address.
     Gateway(SocketAddr),
 }
 
 /// A limit in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Requests a second from all gateways together.
     pub rate: Rate,
-    /// Who told it.
+    /// Where the current rate was learned from.
     pub teller: Teller,
-    /// Time since the upstream last named it.
+    /// Time since the upstream last stated the limit.
     pub age: Duration,
 }
 
-/// A limit that was named, changed or ended, for the log.
+/// A limit that was set, changed or ended, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct News {
-    /// Upstream.
+    /// Upstream that set the limit.
     pub upstream: UpstreamTag,
-    /// Limit; none if it ended.
+    /// New limit; `None` if it ended.
     pub rate: Option<Rate>,
-    /// Who told it.
+    /// Where the change was learned from.
     pub teller: Teller,
 }
 
@@ -80,42 +79,42 @@
 struct Entry {
     rate: Option<Rate>,
     teller: Teller,
-    said: Moment,
+    stated_at: SinceEpoch,
 }
 
 impl Entry {
-    fn notice(&self, upstream: UpstreamTag, now: Moment) -> Notice {
+    fn notice(&self, upstream: UpstreamTag, now: SinceEpoch) -> Notice {
         Notice {
             upstream,
             rate: self.rate,
-            age_ms: millis(now.saturating_sub(self.said)),
+            age_ms: millis(now.saturating_sub(self.stated_at)),
         }
     }
 }
 
-/// All limits that a gateway knows.
+/// Limits known to a gateway, including recently ended ones.
 #[derive(Clone, Debug, Default)]
 pub struct Book {
     entries: BTreeMap<UpstreamTag, Entry>,
-    /// Where the next round of notices begins, if not all fit into one message.
+    /// First upstream of the next message, if the notices do not fit into one.
     next: UpstreamTag,
 }
 
 impl Book {
-    /// Returns whether nothing was heard of any limit.
+    /// Returns whether no limit is stored, not even an ended one.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Returns the limit of an upstream, if it named one.
+    /// Returns the limit in force for an upstream.
     #[must_use]
     pub fn limit(&self, upstream: UpstreamTag, now: Monotonic) -> Option<Limit> {
         let entry = self.entries.get(&upstream)?;
         Some(Limit {
             rate: entry.rate?,
             teller: entry.teller,
-            age: moment(now).saturating_sub(entry.said),
+            age: since_epoch(now).saturating_sub(entry.stated_at),
         })
     }
 
@@ -123,10 +122,10 @@
     pub fn in_force(&self, now: Monotonic) -> impl Iterator<Item = Notice> {
         let entries = self.entries.iter();
         let entries = entries.filter(|(_, entry)| entry.rate.is_some());
-        entries.map(move |(upstream, entry)| entry.notice(*upstream, moment(now)))
+        entries.map(move |(upstream, entry)| entry.notice(*upstream, since_epoch(now)))
     }
 
-    /// Takes what an answer says of its upstream's limit; its request was sent at `sent`.
+    /// Records the limit carried by a response to a request sent at `sent`, or its absence; returns what changed.
     pub fn answered(
         &mut self,
         upstream: UpstreamTag,
@@ -137,39 +136,46 @@
         if rate.is_none() && !self.entries.contains_key(&upstream) {
             return None;
         }
-        let said = if rate.is_some() { now } else { sent };
-        self.take(upstream, rate, Teller::Upstream, moment(said))
+        let stated_at = if rate.is_some() { now } else { sent };
+        self.take(upstream, rate, Teller::Upstream, since_epoch(stated_at))
     }
 
-    /// Takes what another gateway tells; returns what changed.
+    /// Merges notices from another gateway; returns what changed.
     pub fn hear(&mut self, notices: &[Notice], from: SocketAddr, now: Monotonic) -> Vec<News> {
         let heard = notices.iter().filter_map(|notice| {
             let age = Duration::from_millis(notice.age_ms.into());
-            let said = moment(now).saturating_sub(age);
-            self.take(notice.upstream, notice.rate, Teller::Gateway(from), said)
+            let stated_at = since_epoch(now).saturating_sub(age);
+            self.take(
+                notice.upstream,
+                notice.rate,
+                Teller::Gateway(from),
+                stated_at,
+            )
         });
         heard.collect()
     }
 
-    /// Returns what to tell other gateways; where that is too much for one message, the rest follows with the next ones.
+    /// Returns the notices for the next message to other gateways. If they do not all fit, successive calls rotate through them.
     pub fn notices(&mut self, now: Monotonic) -> Vec<Notice> {
-        let now = moment(now);
+        let now = since_epoch(now);
         let later = self.entries.range(self.next..);
         let earlier = self.entries.range(..self.next);
-        let told: Vec<_> = later.chain(earlier).take(MOST_NOTICES + 1).collect();
-        let next = told.get(MOST_NOTICES).map_or(0, |(upstream, _)| **upstream);
-        let notices = told.into_iter().take(MOST_NOTICES);
+        let selected: Vec<_> = later.chain(earlier).take(MOST_NOTICES + 1).collect();
+        let next = selected
+            .get(MOST_NOTICES)
+            .map_or(0, |(upstream, _)| **upstream);
+        let notices = selected.into_iter().take(MOST_NOTICES);
         let notices = notices.map(|(upstream, entry)| entry.notice(*upstream, now));
         let notices = notices.collect();
         self.next = next;
         notices
     }
 
-    /// Forgets limits of upstreams that are gone, and those that ended long ago.
+    /// Drops limits of upstreams that are gone, and those that ended more than [`ENDED_RETENTION`] ago.
     pub fn forget(&mut self, is_known: impl Fn(UpstreamTag) -> bool, now: Monotonic) {
-        let now = moment(now);
+        let now = since_epoch(now);
         self.entries.retain(|upstream, entry| {
-            let is_recent = now.saturating_sub(entry.said) < MEMORY;
+            let is_recent = now.saturating_sub(entry.stated_at) < ENDED_RETENTION;
             is_known(*upstream) && (entry.rate.is_some() || is_recent)
         });
     }
@@ -179,13 +185,13 @@
         upstream: UpstreamTag,
         rate: Option<Rate>,
         teller: Teller,
-        said: Moment,
+        stated_at: SinceEpoch,
     ) -> Option<News> {
         let rate = rate.filter(|rate| rate.is_finite());
-        let rate = rate.map(|rate| rate.max(LEAST_RATE));
+        let rate = rate.map(|rate| rate.max(MIN_RATE));
         let known = self.entries.get(&upstream);
-        let is_newer = known.is_none_or(|known| said > known.said);
-        if !is_newer || (known.is_none() && self.entries.len() >= MOST) {
+        let is_newer = known.is_none_or(|known| stated_at > known.stated_at);
+        if !is_newer || (known.is_none() && self.entries.len() >= MAX_ENTRIES) {
             return None;
         }
         let before = known.and_then(|known| known.rate);
@@ -194,7 +200,11 @@
             Some(known) if !is_change => known.teller,
             _ => teller,
         };
-        let entry = Entry { rate, teller, said };
+        let entry = Entry {
+            rate,
+            teller,
+            stated_at,
+        };
         self.entries.insert(upstream, entry);
         is_change.then_some(News {
             upstream,
--- a/crates/quota/tests/all/book.rs
+++ b/crates/quota/tests/all/book.rs
@@ -1,4 +1,4 @@
-//! Limits in force, as answers and other gateways tell them.
+//! Limits learned from responses and from other gateways.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use auburnline_quota::Rate;
 use auburnline_quota::UpstreamTag;
 use auburnline_quota::book::Book;
-use auburnline_quota::book::LEAST_RATE;
-use auburnline_quota::book::MEMORY;
+use auburnline_quota::book::ENDED_RETENTION;
+use auburnline_quota::book::MIN_RATE;
 use auburnline_quota::book::MOST_NOTICES;
 use auburnline_quota::book::Teller;
 use googletest::prelude::*;
@@ -22,7 +22,7 @@
     "10.0.0.2:7005".parse().expect("an address")
 }
 
-fn named(rate: Rate, at: u64) -> Book {
+fn book_with_limit(rate: Rate, at: u64) -> Book {
     let mut book = Book::default();
     book.answered(UPSTREAM, Some(rate), millis(at - 1), millis(at));
     book
@@ -34,50 +34,50 @@
 
 #[gtest]
 fn a_limit_holds_from_the_answer_that_names_it_until_one_that_does_not() {
-    let mut book = named(2.5, 100);
+    let mut book = book_with_limit(2.5, 100);
     expect_that!(rate(&book), some(eq(2.5)));
     book.answered(UPSTREAM, None, millis(150), millis(200));
     expect_that!(rate(&book), none());
 }
 
-/// Guards against a limit that is lifted by an answer that its upstream made before it named the limit.
+/// Guards against a limit that is ended by a delayed response that the upstream sent before it set the limit.
 #[gtest]
 fn an_answer_to_a_request_sent_before_the_limit_was_named_does_not_end_it() {
-    let mut book = named(2.5, 100);
+    let mut book = book_with_limit(2.5, 100);
     book.answered(UPSTREAM, None, millis(90), millis(200));
     expect_that!(rate(&book), some(eq(2.5)));
 }
 
 #[gtest]
 fn gateways_learn_of_limits_from_each_other_and_the_newest_word_wins() {
-    let mut first = named(2.0, 100);
-    let second = named(1.0, 300).notices(millis(300));
+    let mut first = book_with_limit(2.0, 100);
+    let second = book_with_limit(1.0, 300).notices(millis(300));
     let news = first.hear(&second, other(), millis(350));
     expect_that!(news, len(eq(1)));
     expect_that!(rate(&first), some(eq(1.0)));
     let limit = first.limit(UPSTREAM, millis(400)).expect("a limit");
     expect_that!(limit.teller, eq(Teller::Gateway(other())));
     expect_that!(limit.age, eq(millis(50)));
-    let old = named(9.0, 100).notices(millis(400));
+    let old = book_with_limit(9.0, 100).notices(millis(400));
     expect_that!(first.hear(&old, other(), millis(400)), is_empty());
 }
 
 #[gtest]
 fn an_ended_limit_is_not_brought_back_by_older_news() {
-    let mut book = named(2.0, 100);
-    let older = named(2.0, 110).notices(millis(300));
+    let mut book = book_with_limit(2.0, 100);
+    let older = book_with_limit(2.0, 110).notices(millis(300));
     book.answered(UPSTREAM, None, millis(150), millis(200));
     book.hear(&older, other(), millis(300));
     expect_that!(rate(&book), none());
     book.forget(|_| true, millis(300));
     expect_that!(book.is_empty(), eq(false));
-    book.forget(|_| true, millis(300) + MEMORY);
+    book.forget(|_| true, millis(300) + ENDED_RETENTION);
     expect_that!(book.is_empty(), eq(true));
 }
 
 #[gtest]
 fn a_gateway_that_just_started_takes_a_limit_older_than_itself() {
-    let notices = named(2.0, 100).notices(millis(50_000));
+    let notices = book_with_limit(2.0, 100).notices(millis(50_000));
     let mut book = Book::default();
     book.hear(&notices, other(), millis(10));
     expect_that!(rate(&book), some(eq(2.0)));
@@ -85,7 +85,7 @@
 
 #[gtest]
 fn a_limit_of_nothing_leaves_what_tells_that_it_ended() {
-    expect_that!(rate(&named(0.0, 100)), some(eq(LEAST_RATE)));
+    expect_that!(rate(&book_with_limit(0.0, 100)), some(eq(MIN_RATE)));
 }
 
 #[gtest]
@@ -95,15 +95,15 @@
     for upstream in 0..count {
         book.answered(upstream, Some(1.0), millis(1), millis(2));
     }
-    let mut told: Vec<_> = (0..4).flat_map(|_| book.notices(millis(3))).collect();
-    told.sort_by_key(|notice| notice.upstream);
-    told.dedup_by_key(|notice| notice.upstream);
-    expect_that!(told, len(eq(3 * MOST_NOTICES)));
+    let mut sent: Vec<_> = (0..4).flat_map(|_| book.notices(millis(3))).collect();
+    sent.sort_by_key(|notice| notice.upstream);
+    sent.dedup_by_key(|notice| notice.upstream);
+    expect_that!(sent, len(eq(3 * MOST_NOTICES)));
 }
 
 #[gtest]
 fn limits_of_upstreams_that_are_gone_are_forgotten() {
-    let mut book = named(2.0, 100);
+    let mut book = book_with_limit(2.0, 100);
     book.forget(|_| false, millis(200));
     expect_that!(book.is_empty(), eq(true));
 }
