--- a/crates/quota/src/home.rs
+++ b/crates/quota/src/home.rs
@@ -1,4 +1,4 @@
-//! The home's side: permits for single requests, paced by the shares that are lent.
+//! Permits for single requests, granted by a limit's home at the rate covered by the shares lent to it.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -15,100 +15,100 @@
 use crate::loan::LEASE;
 use crate::loan::Loan;
 
-/// Time whose requests may be permitted at once, since callers don't come evenly; one request always may.
-const BURST: Duration = Duration::from_millis(250);
-/// Time to ask again where no share is lent here.
-const NO_SHARES_RETURN: Duration = Duration::from_millis(300);
-/// Longest time to ask again: shares may have been lent meanwhile.
-const LONGEST_RETURN: Duration = Duration::from_secs(2);
+/// Burst size of the token bucket, as a time at the full rate, since requests arrive unevenly; at least one request.
+const BURST_WINDOW: Duration = Duration::from_millis(250);
+/// Retry delay returned while no share is lent to this gateway.
+const NO_SHARES_RETRY: Duration = Duration::from_millis(300);
+/// Longest retry delay: more shares may have been lent by then.
+const MAX_RETRY: Duration = Duration::from_secs(2);
 
-/// Question whether one request may be sent.
+/// Request to a limit's home for the permit to send one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Number that the reply bears.
+    /// Correlates the reply.
     pub number: u64,
-    /// Upstream.
+    /// Upstream that the request is to be sent to.
     pub upstream: UpstreamTag,
 }
 
-/// Whether one request may be sent now.
+/// Decision of a home on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Permit {
-    /// It may, at once.
+    /// The request may be sent now.
     Granted,
-    /// It may not.
+    /// The request must not be sent now.
     Denied {
-        /// Milliseconds after which another one may.
+        /// Milliseconds until a permit is expected to be available.
         retry_ms: u32,
     },
 }
 
-/// Reply to a question.
+/// Reply of a home to an [`Ask`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
-    /// Number of the question.
+    /// Number of the [`Ask`].
     pub number: u64,
-    /// Upstream.
+    /// Upstream of the [`Ask`].
     pub upstream: UpstreamTag,
-    /// Whether the request may be sent.
+    /// The home's decision.
     pub permit: Permit,
 }
 
-/// Permits of one limit.
+/// Token bucket of one limit.
 #[derive(Clone, Debug, Default)]
-struct Account {
-    /// Until when the share of each lender counts.
+struct TokenBucket {
+    /// When the share of each lender expires.
     shares: HashMap<LenderTag, Monotonic>,
-    /// Requests that may be sent at once.
+    /// Requests that may be permitted immediately.
     tokens: f64,
-    /// Time up to which tokens were added.
-    filled: Monotonic,
+    /// When tokens were last added.
+    refilled_at: Monotonic,
 }
 
-impl Account {
-    /// Adds tokens for the time since the last call, by the shares that still count.
-    fn fill(&mut self, rate: Rate, fleet: u32, now: Monotonic) {
+impl TokenBucket {
+    /// Drops expired shares and adds the tokens that the remaining ones cover since the last call.
+    fn refill(&mut self, rate: Rate, fleet: u32, now: Monotonic) {
         self.shares.retain(|_, until| now < *until);
-        let passed = now.saturating_sub(self.filled);
-        self.filled = now;
-        let most = (rate * BURST.as_secs_f64()).max(1.0);
-        let tokens = self.tokens + passed.as_secs_f64() * self.speed(rate, fleet);
-        self.tokens = tokens.min(most);
+        let elapsed = now.saturating_sub(self.refilled_at);
+        self.refilled_at = now;
+        let capacity = (rate * BURST_WINDOW.as_secs_f64()).max(1.0);
+        let tokens = self.tokens + elapsed.as_secs_f64() * self.refill_rate(rate, fleet);
+        self.tokens = tokens.min(capacity);
     }
 
-    /// Returns the requests a second that the shares allow.
-    fn speed(&self, rate: Rate, fleet: u32) -> f64 {
+    /// Returns the requests per second that the shares cover.
+    fn refill_rate(&self, rate: Rate, fleet: u32) -> f64 {
         let shares = u32::try_from(self.shares.len()).unwrap_or(u32::MAX);
         rate * f64::from(shares) / f64::from(fleet.max(shares).max(1))
     }
 
-    fn permit(&mut self, speed: f64) -> Permit {
+    fn permit(&mut self, refill_rate: f64) -> Permit {
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Permit::Granted;
         }
-        let wait = Duration::try_from_secs_f64((1.0 - self.tokens) / speed);
-        let wait = match wait {
-            Ok(wait) if !self.shares.is_empty() => wait.min(LONGEST_RETURN),
-            _ => NO_SHARES_RETURN,
+        let delay = Duration::try_from_secs_f64((1.0 - self.tokens) / refill_rate);
+        let delay = match delay {
+            Ok(delay) if !self.shares.is_empty() => delay.min(MAX_RETRY),
+            _ => NO_SHARES_RETRY,
         };
-        let retry_ms = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
+        let retry_ms = u32::try_from(delay.as_millis()).unwrap_or(u32::MAX);
         Permit::Denied { retry_ms }
     }
 }
 
-/// Limits of which shares are lent to this gateway.
+/// Limits for which shares are lent to this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Home {
-    accounts: BTreeMap<UpstreamTag, Account>,
-    /// Own beats within a lease, oldest first, with the time of each.
+    buckets: BTreeMap<UpstreamTag, TokenBucket>,
+    /// This gateway's heartbeats within the last [`LEASE`], oldest first, with the time each was sent.
     beats: VecDeque<(u64, Monotonic)>,
-    /// Most gateways that any lender saw live at once.
+    /// Largest number of gateways that any lender has seen live at the same time.
     fleet: u32,
 }
 
 impl Home {
-    /// Takes that this gateway sends a beat.
+    /// Records that this gateway sends a heartbeat, and drops limits without valid shares.
     pub fn sent(&mut self, beat: u64, now: Monotonic) {
         self.beats.push_back((beat, now));
         while let Some((_, at)) = self.beats.front()
@@ -116,12 +116,12 @@
         {
             self.beats.pop_front();
         }
-        self.accounts
-            .retain(|_, account| account.shares.values().any(|until| now < *until));
+        self.buckets
+            .retain(|_, bucket| bucket.shares.values().any(|until| now < *until));
     }
 
-    /// Takes shares that a gateway lends, of limits with the rates that `rate` tells. A loan that rests on an older beat has
-    /// lapsed.
+    /// Records the shares that a gateway lends, of limits whose rates `rate` returns. A loan based on a heartbeat older than
+    /// a lease has expired and is ignored.
     pub fn borrow(
         &mut self,
         loan: &Loan,
@@ -138,31 +138,28 @@
             let Some(rate) = rate(notice.upstream) else {
                 continue;
             };
-            let account = self.accounts.entry(notice.upstream).or_default();
-            account.fill(rate, self.fleet, now);
-            let share = account.shares.entry(loan.lender).or_default();
+            let bucket = self.buckets.entry(notice.upstream).or_default();
+            bucket.refill(rate, self.fleet, now);
+            let share = bucket.shares.entry(loan.lender).or_default();
             *share = until.max(*share);
         }
     }
 
-    /// Says whether a request may be sent to an upstream with a limit.
+    /// Decides whether a request may be sent to an upstream whose limit is `rate`.
     pub fn permit(&mut self, upstream: UpstreamTag, rate: Rate, now: Monotonic) -> Permit {
-        let Some(account) = self.accounts.get_mut(&upstream) else {
-            let retry_ms = u32::try_from(NO_SHARES_RETURN.as_millis()).unwrap_or(u32::MAX);
+        let Some(bucket) = self.buckets.get_mut(&upstream) else {
+            let retry_ms = u32::try_from(NO_SHARES_RETRY.as_millis()).unwrap_or(u32::MAX);
             return Permit::Denied { retry_ms };
         };
-        account.fill(rate, self.fleet, now);
-        let speed = account.speed(rate, self.fleet);
-        account.permit(speed)
+        bucket.refill(rate, self.fleet, now);
+        let refill_rate = bucket.refill_rate(rate, self.fleet);
+        bucket.permit(refill_rate)
     }
 
-    /// Returns how many gateways lend their share of a limit here, and how many there are.
+    /// Returns how many gateways lend their share of a limit to this one, and the size of the fleet.
     #[must_use]
     pub fn shares(&self, upstream: UpstreamTag) -> (usize, u32) {
-        let account = self.accounts.get(&upstream);
-        (
-            account.map_or(0, |account| account.shares.len()),
-            self.fleet,
-        )
+        let bucket = self.buckets.get(&upstream);
+        (bucket.map_or(0, |bucket| bucket.shares.len()), self.fleet)
     }
 }
