--- a/crates/quota/tests/all/home.rs
+++ b/crates/quota/tests/all/home.rs
@@ -1,4 +1,4 @@
-//! Permits of a home, paced by the shares that are lent.
+//! Permits granted by a home at the rate covered by the shares lent to it.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 const UPSTREAM: UpstreamTag = 7;
 const RATE: Rate = 8.0;
 const FLEET: u32 = 4;
-/// Milliseconds between two beats.
+/// Milliseconds between two heartbeats.
 const PERIOD: u64 = 300;
 
 fn millis(number: u64) -> Duration {
@@ -41,8 +41,8 @@
     (upstream == UPSTREAM).then_some(RATE)
 }
 
-/// Asks each ten milliseconds while some gateways lend with each beat; returns how many requests were permitted.
-fn press(home: &mut Home, lenders: u64, from: u64, until: u64) -> usize {
+/// Requests a permit every 10 ms while `lenders` gateways lend on every heartbeat; returns how many permits were granted.
+fn request_permits(home: &mut Home, lenders: u64, from: u64, until: u64) -> usize {
     let mut granted = 0;
     for now in (from..until).step_by(10) {
         if now % PERIOD == 0 {
@@ -61,18 +61,24 @@
 #[gtest]
 fn a_home_permits_the_limit_where_all_gateways_lend() {
     let mut home = Home::default();
-    expect_that!(press(&mut home, 4, 0, 9_000), all![ge(70), le(74)]);
+    expect_that!(
+        request_permits(&mut home, 4, 0, 9_000),
+        all![ge(70), le(74)]
+    );
     expect_that!(home.shares(UPSTREAM), eq((4, FLEET)));
 }
 
-/// Guards against a part of a fleet that permits as much as the whole.
+/// Guards against a home that permits the whole limit although only a part of the fleet lends to it.
 #[gtest]
 fn a_home_permits_its_part_where_some_gateways_lend() {
     let mut home = Home::default();
-    expect_that!(press(&mut home, 1, 0, 9_000), all![ge(17), le(20)]);
+    expect_that!(
+        request_permits(&mut home, 1, 0, 9_000),
+        all![ge(17), le(20)]
+    );
 }
 
-/// Guards against shares that go on counting after their lenders are out of touch.
+/// Guards against shares that stay valid after contact with their lenders is lost.
 #[gtest]
 fn shares_lapse_a_lease_after_the_beat_that_they_rest_on() {
     let mut home = Home::default();
@@ -85,20 +91,20 @@
     expect_that!(home.shares(UPSTREAM).0, eq(0));
 }
 
-/// Guards against loans that waited at a gateway while it stood still and are taken for new ones when it wakes.
+/// Guards against loans that were queued in the socket while the home was frozen and are treated as current when it resumes.
 #[gtest]
 fn a_loan_that_rests_on_an_old_beat_counts_for_nothing() {
     let mut home = Home::default();
     home.sent(1, millis(1_000));
-    let woken = millis(1_000) + LEASE;
-    home.sent(2, woken);
-    home.borrow(&loan(1, 1, 1), rate, woken);
+    let resumed = millis(1_000) + LEASE;
+    home.sent(2, resumed);
+    home.borrow(&loan(1, 1, 1), rate, resumed);
     expect_that!(home.shares(UPSTREAM).0, eq(0));
-    let denied = home.permit(UPSTREAM, RATE, woken + millis(900));
+    let denied = home.permit(UPSTREAM, RATE, resumed + millis(900));
     expect_that!(denied, not(eq(Permit::Granted)));
 }
 
-/// Guards against requests that were saved up for a long time and all go out at once.
+/// Guards against permits that accumulate over a long idle time and are then granted all at once.
 #[gtest]
 fn a_home_that_was_not_asked_saves_up_no_more_than_a_burst() {
     let mut home = Home::default();
