--- a/crates/quota/src/book.rs
+++ b/crates/quota/src/book.rs
@@ -57,6 +57,7 @@
 /// A limit in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
+    /// Requests per second that the upstream accepts from all gateways combined.
     pub rate: Rate,
     /// Where the current rate was learned from.
     pub teller: Teller,
