--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,9 +1,9 @@
-//! Input and output of a gateway.
+//! Network I/O of a gateway.
 //!
-//! Callers' requests come in over HTTP, go straight to upstreams and come back; other gateways are
-//! told by datagrams. What is decided is decided by `auburnline-gateway`; how a platform spells its
-//! messages is told by a [`Dialect`], and what it publishes comes through a [`Source`]. One thread
-//! does all of it: the instances have a part of one core, where a change of thread costs more than
+//! Callers' requests arrive over HTTP and are proxied to upstreams; gateways exchange state in UDP
+//! datagrams. All decisions are made by `auburnline-gateway`. A [`Dialect`] encodes and decodes the
+//! platform's messages, and a [`Source`] reads what the platform publishes. Everything runs on a
+//! single thread: an instance has a fraction of one core, where switching threads costs more than
 //! it gains.
 
 mod answer;
