--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to its answer.
+//! Proxying of one caller's request, from its head to its response.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -41,14 +41,15 @@
 use crate::tell::millis;
 use crate::tell::refuse;
 
-/// Bound on a body before a configuration tells one.
-const FIRST_BODY_BYTES: usize = 1 << 20;
-/// Longest time for a body to arrive before a configuration tells one.
-const FIRST_PATIENCE: Duration = Duration::from_secs(3);
-/// Sends that may fail before they reach an upstream; these run nowhere and cost no retry budget.
-const MAX_UNSENT: usize = 3;
+/// Maximum size of a request body while no configuration is loaded.
+const DEFAULT_MAX_BODY_BYTES: usize = 1 << 20;
+/// Maximum time for a request body to arrive while no configuration is loaded.
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Number of failed connection attempts after which a request is given up. Since nothing was sent, they do not count against the
+/// retry budget.
+const MAX_UNSENT_ATTEMPTS: usize = 3;
 
-/// A caller's request, whole.
+/// A caller's request after its body was read.
 pub(crate) struct Arrival {
     pub(crate) method: Method,
     pub(crate) path: String,
@@ -57,50 +58,57 @@
     pub(crate) call: Call,
 }
 
-/// One request on its way, with all that its sends need.
+/// A planned request and the state shared by its attempts.
 pub(crate) struct Exchange {
     pub(crate) shared: Rc<Shared>,
     pub(crate) arrival: Arrival,
     pub(crate) plan: Plan,
-    /// Upstreams that it was sent to or that could not be reached.
+    /// Upstreams of all attempts so far, including those that could not be reached.
     pub(crate) tried: Vec<UpstreamId>,
-    /// Sends that reached an upstream.
+    /// Attempts that reached an upstream.
     pub(crate) sends: u32,
-    /// Sends that reached nobody.
+    /// Attempts of which no byte was sent.
     unsent: usize,
-    /// Whether some upstream may have run it.
+    /// Whether an upstream may have executed the request.
     pub(crate) may_have_run: bool,
 }
 
-/// What became of one send.
+/// Result of one attempt.
 pub(crate) enum Sent {
-    /// An answer began.
+    /// The head of a response arrived.
     Began(Reply, Flight),
-    /// No answer; whether another send may follow.
+    /// The attempt failed without a response to pass on.
     Failed {
-        /// Whether another send may follow.
+        /// Whether another attempt is allowed.
         may_repeat: bool,
     },
-    /// No upstream is left.
+    /// No attempt was made: no upstream can take the request, or it is quarantined.
     Refused(Refusal),
 }
 
-/// Serves one request.
+/// Handles one request of a caller.
 pub(crate) async fn serve(shared: Rc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let arrived = shared.now();
     let (head, body) = request.into_parts();
     let call = match shared.dialect.call(&head.uri, &head.headers) {
         Ok(call) => call,
-        Err(kind) => return refuse(&shared, "", None, &Refusal::of(kind, "head not understood")),
+        Err(kind) => {
+            return refuse(
+                &shared,
+                "",
+                None,
+                &Refusal::of(kind, "malformed request head"),
+            );
+        }
     };
-    let body = match read(&shared, body).await {
+    let body = match read_body(&shared, body).await {
         Ok(body) => body,
         Err(kind) => {
             return refuse(
                 &shared,
                 &call.id,
                 None,
-                &Refusal::of(kind, "body not taken"),
+                &Refusal::of(kind, "request body not received"),
             );
         }
     };
@@ -128,11 +136,11 @@
     }
 }
 
-async fn read(shared: &Shared, body: Incoming) -> Result<Bytes, Kind> {
+async fn read_body(shared: &Shared, body: Incoming) -> Result<Bytes, Kind> {
     let limits = shared.gateway().table().map(|table| table.limits());
-    let most = limits.map_or(FIRST_BODY_BYTES, |limits| limits.body_bytes);
-    let patience = limits.map_or(FIRST_PATIENCE, |limits| limits.idle);
-    let collected = timeout(patience, Limited::new(body, most).collect()).await;
+    let max_bytes = limits.map_or(DEFAULT_MAX_BODY_BYTES, |limits| limits.body_bytes);
+    let patience = limits.map_or(DEFAULT_BODY_TIMEOUT, |limits| limits.idle);
+    let collected = timeout(patience, Limited::new(body, max_bytes).collect()).await;
     match collected {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Kind::TooLarge),
@@ -151,7 +159,7 @@
     shared.gateway().plan(&request, now)
 }
 
-/// Waits until the request may be sent.
+/// Waits until the request is admitted.
 async fn admit(shared: &Shared, plan: &Plan, call: &Call) -> Result<(), Refusal> {
     loop {
         let now = shared.now();
@@ -199,22 +207,23 @@
         }
     }
 
-    /// Returns the id of the caller's attempt.
+    /// Returns the caller's id for this attempt.
     pub(crate) fn id(&self) -> &str {
         &self.arrival.call.id
     }
 
-    /// Returns the time left until the final answer is due.
+    /// Returns the time left until the request's deadline.
     pub(crate) fn left(&self) -> Duration {
         self.plan.due.saturating_sub(self.shared.now())
     }
 
-    /// Sends once, and waits no longer than `patience` for the head of the answer.
+    /// Makes one attempt at an upstream of any group, and waits at most `patience` for the head of the response. `after` is the
+    /// event after which a stream is to resume.
     pub(crate) async fn send(&mut self, after: Option<EventId>, patience: Duration) -> Sent {
         self.send_within(None, after, patience).await
     }
 
-    /// Sends once to a rank of a group, or of any if none is given.
+    /// Makes one attempt as [`Exchange::send`] does, at a rank of `group` if one is given.
     pub(crate) async fn send_within(
         &mut self,
         group: Option<&GroupId>,
@@ -293,7 +302,7 @@
             Verdict::NotRun => {
                 self.sends += 1;
                 flight.refused();
-                self.log_failure("refused by the upstream, not run", &flight);
+                self.log_failure("refused by the upstream without executing it", &flight);
                 let now = self.shared.now();
                 let mut gateway = self.shared.gateway();
                 gateway.refused(&self.plan, flight.upstream(), flight.group(), now);
@@ -313,7 +322,7 @@
         self.log_failure(&failure.to_string(), flight);
         let may_repeat = if failure == Failure::NotSent {
             self.unsent += 1;
-            self.unsent < MAX_UNSENT
+            self.unsent < MAX_UNSENT_ATTEMPTS
         } else {
             self.sends += 1;
             self.may_have_run = true;
@@ -323,23 +332,24 @@
         Sent::Failed { may_repeat }
     }
 
-    /// Waits until the request may be sent once more.
+    /// Waits until the request is admitted, for its first attempt or for another one.
     pub(crate) async fn readmit(&self) -> Result<(), Refusal> {
         admit(&self.shared, &self.plan, &self.arrival.call).await
     }
 
-    /// Asks for leave to send once more what may have run.
+    /// Returns whether a request that may have been executed may be sent again, and takes a retry from the budget if so.
     pub(crate) fn may_run_again(&self) -> bool {
         self.may_run_after(self.sends)
     }
 
-    /// Asks the same for a request that was sent so many times.
+    /// Does the same as [`Exchange::may_run_again`] for a request that was sent `sends` times.
     pub(crate) fn may_run_after(&self, sends: u32) -> bool {
         let is_idempotent = self.plan.route.kind.is_idempotent();
         is_idempotent && self.hold_back().is_none() && self.may_repeat(sends)
     }
 
-    /// Asks for leave to send to one more upstream after so many sends.
+    /// Returns whether another attempt is allowed after `sends`, by the route, the deadline and the retry budget, and takes a
+    /// retry from the budget if so.
     fn may_repeat(&self, sends: u32) -> bool {
         if sends >= self.plan.route.max_attempts || self.left().is_zero() {
             return false;
@@ -351,15 +361,15 @@
         is_allowed
     }
 
-    /// Ends a request that can't be sent again, true to what may have run.
+    /// Ends a request that cannot be sent again. If it may have been executed, the answer says so instead of giving `refusal`.
     pub(crate) fn end(&self, refusal: &Refusal) -> Response<Body> {
         if self.may_have_run {
-            return self.give_up("no upstream is left");
+            return self.give_up("no upstream left to try");
         }
         refuse(&self.shared, self.id(), Some(&self.plan), refusal)
     }
 
-    /// Answers with a failure of the gateway's own, true to what may have run.
+    /// Answers with an error whose kind reflects whether the request may have been executed and whether its deadline passed.
     pub(crate) fn give_up(&self, reason: &'static str) -> Response<Body> {
         let is_late = self.left().is_zero();
         let kind = match (self.may_have_run, is_late) {
