--- a/crates/relay/src/callers.rs
+++ b/crates/relay/src/callers.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! HTTP server for callers.
 
 use std::convert::Infallible;
 use std::io;
@@ -17,41 +17,42 @@
 use crate::exchange::serve;
 use crate::shared::Shared;
 
-/// Pause after a connection that could not be taken, mostly for lack of descriptors.
+/// Pause after a failed `accept`, which is mostly due to a lack of file descriptors.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Bounds before a configuration tells them.
-const FIRST_IDLE: Duration = Duration::from_secs(15);
-/// Bytes of a head before a configuration tells the bound.
-const FIRST_HEADER_BYTES: usize = 16 << 10;
-/// Least buffer that the library takes.
-const LEAST_BUFFER: usize = 8 << 10;
+/// Idle timeout of a connection while no configuration is loaded.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Maximum size of a request head while no configuration is loaded.
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 << 10;
+/// Smallest read buffer that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// Takes connections for as long as the process runs.
-pub(crate) async fn listen(shared: Rc<Shared>, listener: TcpListener, most: usize) {
+/// Accepts callers' connections until the task is aborted, and closes new ones at once while
+/// `max_connections` are open.
+pub(crate) async fn listen(shared: Rc<Shared>, listener: TcpListener, max_connections: usize) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if shared.open() < most => {
+            Ok((stream, _)) if shared.open() < max_connections => {
                 spawn_local(connection(Rc::clone(&shared), stream));
             }
             Ok(_) => metrics::counter!("auburnline_connections_refused_total").increment(1),
-            Err(error) => pause(&error).await,
+            Err(error) => pause_after(&error).await,
         }
     }
 }
 
-async fn pause(error: &io::Error) {
-    log::warn!(target: "callers", cause = error.to_string().as_str(); "connection not taken");
+async fn pause_after(error: &io::Error) {
+    log::warn!(target: "callers", cause = error.to_string().as_str(); "failed to accept connection");
     sleep(ACCEPT_PAUSE).await;
 }
 
 async fn connection(shared: Rc<Shared>, stream: TcpStream) {
     shared.opened();
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(target: "callers", cause = error.to_string().as_str(); "no delay not set");
+        log::debug!(target: "callers", cause = error.to_string().as_str(); "failed to set TCP_NODELAY");
     }
     let limits = shared.gateway().table().map(|table| table.limits());
-    let idle = limits.map_or(FIRST_IDLE, |limits| limits.idle);
-    let header_bytes = limits.map_or(FIRST_HEADER_BYTES, |limits| limits.header_bytes);
+    let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle);
+    let header_bytes = limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.header_bytes);
     let service = {
         let shared = Rc::clone(&shared);
         service_fn(move |request| {
@@ -61,24 +62,24 @@
     };
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // The library has one bound for the time between requests and for the arrival of a head.
+        // hyper has a single timeout for the time between requests and for the arrival of a head.
         .header_read_timeout(idle)
-        .max_buf_size(header_bytes.max(LEAST_BUFFER))
+        .max_buf_size(header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let mut leaving = shared.leaving();
-    let told = async {
+    let shutdown = async {
         let _ = leaving.wait_for(|is_leaving| *is_leaving).await;
     };
     let result = tokio::select! {
         result = connection.as_mut() => result,
-        () = told => {
+        () = shutdown => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
     if let Err(error) = result {
-        log::debug!(target: "callers", cause = error.to_string().as_str(); "connection ended");
+        log::debug!(target: "callers", cause = error.to_string().as_str(); "connection closed with an error");
     }
     shared.closed();
 }
