--- a/crates/relay/src/condition.rs
+++ b/crates/relay/src/condition.rs
@@ -1,4 +1,4 @@
-//! What an answer says of the condition of its upstream.
+//! Upstream state carried by the headers of responses: rate limit, backoff, and shutdown.
 
 use auburnline_http::Reply;
 use http::StatusCode;
@@ -10,8 +10,8 @@
 use crate::tell::millis;
 
 impl Exchange {
-    /// Takes all that an answer says of its upstream. A misdirected request was answered by another upstream, of which nothing is
-    /// known here.
+    /// Records what a response says about its upstream. A 421 (Misdirected Request) response is ignored: it comes from
+    /// another upstream than the one that the request was sent to.
     pub(crate) fn take_condition(&self, reply: &Reply, flight: &Flight) {
         if reply.status == StatusCode::MISDIRECTED_REQUEST {
             return;
@@ -41,7 +41,7 @@
                 counter!("auburnline_backoffs_total").increment(1);
             }
             Backoff::Malformed => {
-                log::warn!(target: "backoff", request = self.id(), upstream; "malformed");
+                log::warn!(target: "backoff", request = self.id(), upstream; "malformed retry-after header");
                 counter!("auburnline_backoffs_malformed_total").increment(1);
             }
         }
@@ -58,7 +58,7 @@
             return;
         }
         self.shared.upstreams_changed(change.into_iter().collect());
-        log::info!(target: "upstreams", request = self.id(), upstream = &**flight.upstream(); "says it leaves");
+        log::info!(target: "upstreams", request = self.id(), upstream = &**flight.upstream(); "upstream is shutting down");
         counter!("auburnline_upstreams_leaving_total").increment(1);
     }
 }
