--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -1,8 +1,8 @@
-//! How a platform spells its messages.
+//! Encoding and decoding of a platform's HTTP headers and discovery messages.
 //!
-//! A [`Dialect`] decodes the head of a caller's request once into a [`Call`], writes the head of what
-//! goes on to an upstream, and reads from the head of an answer what the upstream says. It decides
-//! nothing and keeps nothing.
+//! A [`Dialect`] decodes the head of a caller's request once into a [`Call`], writes the head of the
+//! request to an upstream, and decodes the head of the upstream's response. It makes no routing
+//! decisions and holds no state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,107 +14,107 @@
 use http::HeaderMap;
 use http::Uri;
 
-/// What the head of a caller's request says.
+/// Decoded head of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Call {
-    /// Id of this attempt of the caller.
+    /// The caller's id for this attempt; empty if the caller sent none.
     pub id: String,
-    /// Host, without a port.
+    /// Host name without the port.
     pub host: String,
-    /// Key.
+    /// Key of the caller's workspace, if it sent one.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// Time that the caller waits for the response; `None` if it does not say.
     pub patience: Option<Duration>,
-    /// Event after which the caller wants a stream to go on.
+    /// Last event that the caller has received, if it resumes a stream.
     pub after: Option<EventId>,
 }
 
-/// What the head of a request to an upstream has to say.
+/// Values for the head of a request to an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Onward<'a> {
-    /// Incarnation of the upstream that may run the request.
+    /// Id of the upstream that may execute the request; any other one refuses it.
     pub upstream: &'a str,
-    /// Time left.
+    /// Time left until the request's deadline.
     pub left: Duration,
-    /// Workspace that the request belongs to.
+    /// Name of the workspace that the request belongs to, if any.
     pub workspace: Option<&'a str>,
-    /// Event after which a stream is to go on, if this send resumes one.
+    /// Event after which the stream is to continue, if this attempt resumes one.
     pub after: Option<EventId>,
 }
 
-/// What the head of an upstream's answer says.
+/// How the head of a response relates to the request that was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The upstream's answer to this request.
+    /// A response to this request.
     Answer,
-    /// The upstream says that it did not run the request.
+    /// The upstream states that it did not execute the request.
     NotRun,
-    /// Not an answer to this request, or not one that can be passed on.
+    /// Not a response to this request, or one that lacks what is needed to pass it on.
     Foreign,
 }
 
-/// What the head of an upstream's answer says of its rate limit.
+/// Rate limit carried by the head of a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Limit {
-    /// It has none.
+    /// No limit.
     Nothing,
-    /// It takes so many requests a second from all gateways together.
+    /// Requests per second that the upstream accepts from all gateways combined.
     Rate(Rate),
-    /// It names one that can't be understood.
+    /// A value that cannot be parsed.
     Malformed,
 }
 
-/// What the head of an upstream's answer says of when it takes requests of this gateway again.
+/// Backoff that the head of a response asks this gateway for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Backoff {
-    /// At any time.
+    /// None.
     Nothing,
-    /// Not before this time has passed.
+    /// No requests from this gateway for this time.
     For(Duration),
-    /// It says something that can't be understood.
+    /// A value that cannot be parsed.
     Malformed,
 }
 
-/// A caller's question which gateways to use.
+/// A discovery request: a caller asks which gateways to use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Question {
-    /// Failure domain of the caller.
+    /// Failure domain of the caller, if it names one.
     pub failure_domain: Option<String>,
 }
 
-/// Spelling of one platform's messages.
+/// Codec for one platform's messages.
 pub trait Dialect {
     /// Decodes the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// Returns the kind of answer if the head can't be understood.
+    /// Returns the kind of error to answer with if the head is malformed.
     fn call(&self, uri: &Uri, headers: &HeaderMap) -> Result<Call, Kind>;
 
-    /// Changes the end-to-end headers of a caller's request into those for an upstream.
+    /// Rewrites the end-to-end headers of a caller's request for an upstream.
     fn onward(&self, headers: &mut HeaderMap, onward: &Onward<'_>);
 
-    /// Reads what an upstream's answer says about the attempt `id`.
+    /// Classifies the head of a response to the attempt `id`.
     fn verdict(&self, status: http::StatusCode, headers: &HeaderMap, id: &str) -> Verdict;
 
-    /// Reads the rate limit that the head of an upstream's answer names.
+    /// Decodes the rate limit from the head of a response.
     fn limit(&self, headers: &HeaderMap) -> Limit;
 
-    /// Reads for how long the head of an upstream's answer asks this gateway to back off.
+    /// Decodes the requested backoff from the head of a response.
     fn backoff(&self, status: http::StatusCode, headers: &HeaderMap) -> Backoff;
 
-    /// Returns whether the head of an upstream's answer says that it is about to leave.
+    /// Returns whether the head of a response announces that the upstream is shutting down.
     fn is_leaving(&self, headers: &HeaderMap) -> bool;
 
-    /// Adds to the headers of an answer of the gateway's own.
+    /// Adds the platform's headers to a response that the gateway generates itself.
     fn own_answer(&self, headers: &mut HeaderMap, id: &str, retry_after: Option<Duration>);
 
-    /// Decodes a question which gateways to use; none if it is something else.
+    /// Decodes a discovery request; `None` if `uri` is for something else.
     fn question(&self, uri: &Uri) -> Option<Question>;
 
-    /// Writes which gateways a caller should use, and for how long.
+    /// Encodes the response to a discovery request: the gateways to use, and how long the caller may cache them.
     fn offer(&self, addresses: &[SocketAddr], lifetime: Duration) -> Bytes;
 
-    /// Path at which the platform asks whether this gateway is ready.
+    /// Returns the path of the platform's readiness probe.
     fn ready_path(&self) -> &'static str;
 }
