--- a/crates/relay/src/clock.rs
+++ b/crates/relay/src/clock.rs
@@ -1,7 +1,7 @@
-//! Time since the start of the process, suspensions included.
+//! Time since the start of the process, including time in which the system was suspended.
 //!
-//! A key that was taken away must not work because an instance slept: ages are taken from the boot
-//! clock, which counts that time, unlike the clock of the timers.
+//! A revoked key must not remain valid because an instance was suspended. Ages are therefore
+//! measured with `CLOCK_BOOTTIME`, which includes that time, unlike the clock used by timers.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-/// Clock of one process.
+/// Monotonic clock that starts at zero with the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Duration);
 
 impl Clock {
-    /// Starts a clock at zero.
+    /// Returns a clock whose zero is now.
     #[must_use]
     pub fn start() -> Clock {
         Clock(boot_time())
