--- a/crates/relay/src/flight.rs
+++ b/crates/relay/src/flight.rs
@@ -1,4 +1,4 @@
-//! A request in flight at an upstream.
+//! Accounting of requests in flight at upstreams.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 use crate::shared::Shared;
 
-/// A request in flight; counted at its upstream until it is dropped.
+/// An attempt in flight. It counts towards its upstream's load until it is dropped, which also reports its outcome.
 pub(crate) struct Flight {
     shared: Rc<Shared>,
     group: GroupId,
@@ -21,7 +21,7 @@
 }
 
 impl Flight {
-    /// Takes over a request that was counted when its upstream was chosen.
+    /// Takes over an attempt that was already counted when its upstream was chosen.
     pub(crate) fn new(shared: Rc<Shared>, upstream: Arc<Upstream>, group: GroupId) -> Flight {
         let began = shared.now();
         Flight {
@@ -29,43 +29,43 @@
             group,
             upstream,
             began,
-            // A drop without a word is a caller that left.
+            // Dropped without an explicit outcome, the caller has disconnected.
             outcome: Outcome::Cancelled,
         }
     }
 
-    /// Returns the upstream's group.
+    /// Returns the id of the upstream's group.
     pub(crate) fn group(&self) -> &GroupId {
         &self.group
     }
 
-    /// Returns the upstream's id.
+    /// Returns the id of the upstream.
     pub(crate) fn upstream(&self) -> &UpstreamId {
         &self.upstream.id
     }
 
-    /// Returns the upstream as it was published when it was chosen.
+    /// Returns the upstream's published entry as of when it was chosen.
     pub(crate) fn target(&self) -> &Arc<Upstream> {
         &self.upstream
     }
 
-    /// Returns when it was sent.
+    /// Returns when the attempt was started.
     pub(crate) fn began(&self) -> Monotonic {
         self.began
     }
 
-    /// Takes that the upstream answered.
+    /// Records a complete response, with the time that it took.
     pub(crate) fn answered(&mut self) {
         let took = self.shared.now().saturating_sub(self.began);
         self.outcome = Outcome::Answered(took);
     }
 
-    /// Takes that the upstream refused.
+    /// Records that the upstream refused to execute the request.
     pub(crate) fn refused(&mut self) {
         self.outcome = Outcome::Refused;
     }
 
-    /// Takes that the upstream failed.
+    /// Records that the upstream failed, or that its response was lost.
     pub(crate) fn failed(&mut self) {
         self.outcome = Outcome::Failed;
     }
