--- a/crates/relay/src/assign.rs
+++ b/crates/relay/src/assign.rs
@@ -1,4 +1,4 @@
-//! Which upstream the next send of a request goes to.
+//! Choice of the upstream for the next attempt of a request.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::exchange::Exchange;
 
 impl Exchange {
-    /// Chooses where the next send goes, among upstreams whose limits allow it, and counts it there.
+    /// Chooses an upstream whose rate limit allows the request, and counts the attempt as in flight there.
     pub(crate) async fn assign(
         &self,
         group: Option<&GroupId>,
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Asks for the permit of an upstream's limit; the upstream may say that it leaves, or ask for backoff, before that is there.
+    /// Returns whether the upstream's limit permits the request. The upstream is checked again once the permit is there, since
+    /// it may have announced its shutdown or asked for backoff meanwhile.
     async fn is_permitted(&self, upstream: &Arc<Upstream>) -> bool {
         let is_within_limit = self.is_within_limit(upstream).await;
         let now = self.shared.now();
