--- a/crates/relay/src/moving.rs
+++ b/crates/relay/src/moving.rs
@@ -1,7 +1,7 @@
-//! Requests that leave a rank that turned slow.
+//! Migration of requests away from straggler ranks.
 //!
-//! All ranks of a group wait in each pass for the slowest one that runs anything. So a stream goes on at another rank, and a
-//! request that waits for its first event is sent anew, as soon as the lead tells that their rank is slow.
+//! In each pass, all ranks of a group wait for the slowest one that has work. As soon as the group's lead reports that a rank
+//! has become slow, a stream there is resumed at another rank, and a request that has received no event yet is sent again.
 
 use auburnline_gateway::upstream::Upstream;
 use metrics::counter;
@@ -11,8 +11,8 @@
 use crate::flight::Flight;
 
 impl Exchange {
-    /// Waits until an upstream turns so slow that its whole group waits for what runs there, and the request has leave to run
-    /// elsewhere after so many sends; mostly that is never.
+    /// Completes when an upstream has become so slow that it holds up its whole group, and a retry of the request is allowed
+    /// after `sends`, which is then taken from the retry budget. Usually never completes.
     pub(crate) async fn leave_for(&self, upstream: &Upstream, sends: u32) {
         loop {
             self.shared.slowed.notified().await;
@@ -27,9 +27,9 @@
         }
     }
 
-    /// Takes a request back from a rank that turned slow before it began to answer.
+    /// Abandons an attempt at a rank that became slow before its response began.
     pub(crate) fn leave(&mut self, flight: &Flight) -> Sent {
-        self.log_failure("its rank turned slow before it answered", flight);
+        self.log_failure("rank became a straggler before it answered", flight);
         counter!("auburnline_moved_streams_total").increment(1);
         self.sends += 1;
         self.may_have_run = true;
