--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -1,7 +1,7 @@
-//! Answers of plain services: taken whole, then passed on.
+//! Buffered responses of services that do not stream.
 //!
-//! An answer that breaks off on its way never begins at the caller, so that it can still come from
-//! another upstream, or be told as a failure.
+//! Nothing is sent to the caller until the whole response has arrived. If it is truncated, the
+//! request can still be retried at another upstream or answered with an error.
 
 use std::time::Duration;
 
@@ -15,32 +15,32 @@
 use crate::head::Body;
 use crate::tell::Pace;
 
-/// Largest answer that is taken whole.
+/// Maximum size of a buffered response body.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// Part of the time left that the first of several sends gets: an upstream that hangs leaves half of
-/// it to another one.
-const FIRST_PART: f64 = 0.5;
+/// Fraction of the remaining time given to an attempt that may be followed by another one, so that
+/// an upstream that hangs leaves the other half for a retry.
+const RETRYABLE_TIMEOUT_FRACTION: f64 = 0.5;
 
-/// Serves a request of a plain service.
+/// Handles a request to a service that does not stream.
 pub(crate) async fn serve(mut exchange: Exchange) -> Response<Body> {
     loop {
-        let patience = patience(&exchange);
-        match exchange.send(None, patience).await {
+        let attempt_timeout = attempt_timeout(&exchange);
+        match exchange.send(None, attempt_timeout).await {
             Sent::Began(reply, mut flight) => {
-                let body = timeout(patience, reply.body.whole(MAX_ANSWER_BYTES)).await;
+                let body = timeout(attempt_timeout, reply.body.whole(MAX_ANSWER_BYTES)).await;
                 let Ok(Ok(body)) = body else {
                     flight.failed();
-                    exchange.log_failure("the answer broke off", &flight);
+                    exchange.log_failure("response body truncated or timed out", &flight);
                     exchange.look_for_crash(&flight).await;
                     if !exchange.may_run_again() {
-                        return exchange.give_up("the answer broke off");
+                        return exchange.give_up("response body truncated or timed out");
                     }
                     continue;
                 };
                 if reply.status.is_server_error() {
                     flight.failed();
                     if exchange.may_run_again() {
-                        exchange.log_failure("the upstream failed, repeating", &flight);
+                        exchange.log_failure("upstream returned a server error; retrying", &flight);
                         continue;
                     }
                 } else {
@@ -52,18 +52,18 @@
                 return head::whole(reply.status, headers, body);
             }
             Sent::Failed { may_repeat: true } => {}
-            Sent::Failed { may_repeat: false } => return exchange.give_up("no send succeeded"),
+            Sent::Failed { may_repeat: false } => return exchange.give_up("all attempts failed"),
             Sent::Refused(refusal) => return exchange.end(&refusal),
         }
     }
 }
 
-/// Returns how long the next send may take.
-fn patience(exchange: &Exchange) -> Duration {
+/// Returns the time limit of the next attempt.
+fn attempt_timeout(exchange: &Exchange) -> Duration {
     let left = exchange.left();
     let is_last = exchange.sends + 1 >= exchange.plan.route.max_attempts;
     if exchange.plan.route.kind == Kind::Safe && !is_last {
-        left.mul_f64(FIRST_PART)
+        left.mul_f64(RETRYABLE_TIMEOUT_FRACTION)
     } else {
         left
     }
