--- a/crates/relay/src/crash.rs
+++ b/crates/relay/src/crash.rs
@@ -1,7 +1,7 @@
-//! Whether an upstream crashed under a request, and what is made of that.
+//! Detection of upstream crashes, and quarantine of the requests that cause them.
 //!
-//! A broken connection alone tells no crash: answers are lost on the way, too. An upstream whose address takes no connection
-//! right after it broke one off is gone.
+//! A broken connection alone does not indicate a crash, since responses are also lost on the network. An upstream that
+//! refuses connections right after it broke one is considered crashed.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -23,10 +23,10 @@
 use crate::shared::Shared;
 use crate::tell::millis;
 
-/// Longest wait for an address to take or refuse a connection; a caller waits for its next upstream meanwhile.
-const LOOK: Duration = Duration::from_millis(100);
-/// Gateways that are told at once of a request that is held back from now on; beats tell the others.
-const MOST_TOLD: usize = 64;
+/// Maximum time for an address to accept or refuse a connection; the caller's retry waits meanwhile.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum number of gateways that are notified immediately of a newly quarantined request; the others learn of it by gossip.
+const MAX_NOTIFIED: usize = 64;
 
 impl Exchange {
     fn fingerprint(&self) -> Fingerprint {
@@ -35,7 +35,7 @@
         fingerprint(arrival.method.as_str(), &arrival.path, key, &arrival.body)
     }
 
-    /// Returns the refusal of a request that crashes what runs it; none if it may be sent.
+    /// Returns the refusal for a quarantined request; `None` if it may be sent.
     pub(crate) fn hold_back(&self) -> Option<Refusal> {
         let gateway = self.shared.gateway();
         if gateway.quarantine.is_empty() {
@@ -44,14 +44,17 @@
         let held = gateway
             .quarantine
             .held_for(self.fingerprint(), self.shared.now())?;
-        let refusal = Refusal::of(Kind::Quarantined, "it crashed the upstreams that ran it");
+        let refusal = Refusal::of(
+            Kind::Quarantined,
+            "quarantined: it crashed the upstreams that executed it",
+        );
         Some(refusal.after(held))
     }
 
-    /// Takes that the answer broke off: finds out whether the upstream crashed, and if so that this request ran there.
+    /// Checks after a lost response whether the upstream has crashed, and if so records that this request was running there.
     pub(crate) async fn look_for_crash(&self, flight: &Flight) {
         let upstream = flight.target();
-        if !is_gone(upstream.address).await {
+        if !refuses_connections(upstream.address).await {
             return;
         }
         let now = self.shared.now();
@@ -71,11 +74,11 @@
         );
         counter!("auburnline_crashes_total").increment(1);
         if is_held {
-            tell(&self.shared);
+            notify_gateways(&self.shared);
         }
     }
 
-    /// Takes that the request was answered.
+    /// Records that the request was answered, which ends its suspicion.
     pub(crate) fn clear(&self) {
         let now = self.shared.now();
         let mut gateway = self.shared.gateway();
@@ -85,31 +88,31 @@
     }
 }
 
-/// Returns whether nobody takes connections at an address.
-async fn is_gone(address: SocketAddr) -> bool {
-    let connected = timeout(LOOK, TcpStream::connect(address)).await;
+/// Returns whether connections to an address are refused.
+async fn refuses_connections(address: SocketAddr) -> bool {
+    let connected = timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// Tells other gateways at once: the caller comes back to any of them.
-fn tell(shared: &Shared) {
+/// Notifies other gateways immediately, since the caller may retry at any of them.
+fn notify_gateways(shared: &Shared) {
     let now = shared.now();
     let gateway = shared.gateway();
     let message = Datagram::Crashes(gateway.quarantine.marks(now));
-    let others = gateway.roster.addresses(now, MOST_TOLD);
+    let others = gateway.roster.addresses(now, MAX_NOTIFIED);
     drop(gateway);
     for other in others.into_iter().skip(1) {
         shared.tell(&message, other);
     }
 }
 
-/// Takes what another gateway tells.
+/// Merges crash reports from another gateway, and logs the requests that are quarantined as a result.
 pub(crate) fn hear(shared: &Shared, marks: &[Mark]) {
     let now = shared.now();
     let held = shared.gateway().quarantine.hear(marks, now);
     for request in held {
         let left = shared.gateway().quarantine.held_for(request, now);
         let left_ms = millis(left.unwrap_or_default());
-        log::info!(target: "crashes", fingerprint = request, left_ms; "held back");
+        log::info!(target: "crashes", fingerprint = request, left_ms; "request quarantined");
     }
 }
