--- a/crates/relay/src/beats.rs
+++ b/crates/relay/src/beats.rs
@@ -1,4 +1,4 @@
-//! Datagrams between gateways.
+//! Gossip between gateways: periodic heartbeats, and handling of the datagrams received.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,14 +28,14 @@
 use crate::shared::Shared;
 use crate::source::Feed;
 
-/// Time between two ticks from which on this process counts as having stood still.
-const PAUSE: Duration = Duration::from_secs(1);
+/// Time between two ticks beyond which this process is considered to have been suspended.
+const SUSPENSION_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Beats after which the readers of the store are asked: 0.6 s, so that knowledge stays some seconds younger
-/// than the bound on revocation, and removals are known well within the bound on draining.
-const QUESTION_BEATS: u64 = 2;
+/// Heartbeats between two queries to the readers of the store: 0.6 s, so that the state known stays some seconds
+/// younger than the revocation bound, and removals are known well within the draining bound.
+const BEATS_PER_QUERY: u64 = 2;
 
-/// Sends beats at a steady pace and takes those of others.
+/// Sends a heartbeat every [`PERIOD`] and handles messages as they arrive, for as long as the process runs.
 pub(crate) async fn run(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
     let mut rng = SmallRng::from_os_rng();
     let mut ticks = interval(PERIOD);
@@ -46,21 +46,21 @@
         tokio::select! {
             _ = ticks.tick() => {
                 let now = shared.now();
-                tell_pause(&shared, now.saturating_sub(last));
+                record_suspension(&shared, now.saturating_sub(last));
                 last = now;
                 tick(&shared, &mut rng);
             }
             received = socket.recv_from(&mut bytes) => match received {
-                Ok((length, from)) => hear(&shared, &bytes[..length], from),
-                Err(error) => log::debug!(target: "neighbours", cause = error.to_string().as_str(); "no datagram"),
+                Ok((length, from)) => handle_message(&shared, &bytes[..length], from),
+                Err(error) => log::debug!(target: "neighbours", cause = error.to_string().as_str(); "failed to receive datagram"),
             }
         }
     }
 }
 
-fn tell_pause(shared: &Shared, gap: Duration) {
-    if gap > PAUSE {
-        log::warn!(target: "neighbours", gap_ms = crate::tell::millis(gap); "stood still");
+fn record_suspension(shared: &Shared, gap: Duration) {
+    if gap > SUSPENSION_THRESHOLD {
+        log::warn!(target: "neighbours", gap_ms = crate::tell::millis(gap); "process did not run for longer than expected");
         shared.gateway().roster.pause(gap);
     }
 }
@@ -73,7 +73,7 @@
     let now = shared.now();
     for change in shared.gateway().groups.look(now) {
         let silent_ms = crate::tell::millis(change.silent);
-        log::info!(target: "groups", group = &*change.group, is_still = change.is_still, silent_ms; "stillness");
+        log::info!(target: "groups", group = &*change.group, is_still = change.is_still, silent_ms; "group stall state changed");
     }
     let (beat, targets) = {
         let mut gateway = shared.gateway();
@@ -94,28 +94,29 @@
         present.for_each(|message| shared.tell(message, target));
     }
     limit::lend(shared);
-    catch_up(shared, now);
+    request_newer_configuration(shared, now);
     let is_awaiting = shared.gateway().spread.awaits_configuration();
-    if is_awaiting || beats.is_multiple_of(QUESTION_BEATS) {
-        ask(shared, now);
+    if is_awaiting || beats.is_multiple_of(BEATS_PER_QUERY) {
+        query_readers(shared, now);
     }
 }
 
-/// Asks a gateway that serves by a newer configuration for it.
-fn catch_up(shared: &Shared, now: Monotonic) {
+/// Requests a newer configuration from a gateway that has one in force, if the store or its readers are not expected to deliver
+/// it.
+fn request_newer_configuration(shared: &Shared, now: Monotonic) {
     let mut gateway = shared.gateway();
     let Some(ahead) = gateway.catch_up(now) else {
         return;
     };
     let version = gateway.version();
     drop(gateway);
-    log::info!(target: "store", version:?, ahead:?; "behind another gateway");
+    log::info!(target: "store", version:?, ahead:?; "configuration is older than another gateway's; requesting it");
     metrics::counter!("auburnline_configurations_behind_total").increment(1);
     shared.tell(&Datagram::Behind(version), ahead);
 }
 
-/// Asks the readers what changed, unless this gateway is one.
-fn ask(shared: &Shared, now: Monotonic) {
+/// Queries the readers of the store for changes, unless this gateway is one of them.
+fn query_readers(shared: &Shared, now: Monotonic) {
     let mut gateway = shared.gateway();
     let (readers, is_reader) = gateway.roster.readers(now);
     if is_reader {
@@ -126,7 +127,7 @@
     let Some(question) = question else {
         return;
     };
-    // Each in turn is asked for the configuration: it is by far the longest answer.
+    // Only one reader, in rotation, is asked for the configuration, which is by far the longest answer.
     let turn = usize::try_from(question.number).unwrap_or(0) % readers.len().max(1);
     for (index, reader) in readers.into_iter().enumerate() {
         let configuration = question.configuration.filter(|_| index == turn);
@@ -138,24 +139,24 @@
     }
 }
 
-fn hear(shared: &Rc<Shared>, bytes: &[u8], from: SocketAddr) {
+fn handle_message(shared: &Rc<Shared>, bytes: &[u8], from: SocketAddr) {
     match postcard::from_bytes(bytes) {
         Ok(Datagram::Beat(beat)) => {
             let is_back = shared.gateway().roster.is_back(&beat, shared.now());
             let is_back = is_back && beat.from.peers == from;
-            take(shared, beat);
+            handle_beat(shared, beat);
             if is_back {
                 introduce(shared, from);
             }
         }
-        Ok(Datagram::Introduction(beat)) => take(shared, beat),
+        Ok(Datagram::Introduction(beat)) => handle_beat(shared, beat),
         Ok(Datagram::Ask(ask)) => {
             let members = shared.gateway().members(&ask, shared.now());
             shared.tell(&Message::Members(members), from);
         }
-        Ok(Datagram::Group(digest)) => take_group(shared, &digest),
+        Ok(Datagram::Group(digest)) => handle_digest(shared, &digest),
         Ok(Datagram::Forwarded(Forwarded { to, digest })) => {
-            take_group(shared, &digest);
+            handle_digest(shared, &digest);
             let message = Datagram::Group(digest);
             for gateway in to.into_iter().take(MOST_PASSED_ON) {
                 shared.tell(&message, gateway);
@@ -180,13 +181,13 @@
         Ok(Datagram::LimitReply(reply)) => limit::take_reply(shared, reply),
         Err(error) => {
             let cause = error.to_string();
-            log::debug!(target: "neighbours", cause = cause.as_str(); "message not understood");
+            log::debug!(target: "neighbours", cause = cause.as_str(); "malformed message");
             metrics::counter!("auburnline_messages_malformed_total").increment(1);
         }
     }
 }
 
-fn take_group(shared: &Shared, digest: &Digest) {
+fn handle_digest(shared: &Shared, digest: &Digest) {
     let now = shared.now();
     let heard = shared.gateway().hear(digest, now);
     if heard.has_slowed {
@@ -200,7 +201,7 @@
     }
 }
 
-fn take(shared: &Shared, beat: Beat) {
+fn handle_beat(shared: &Shared, beat: Beat) {
     let now = shared.now();
     let mut gateway = shared.gateway();
     for news in gateway.roster.hear(&beat, now) {
@@ -211,12 +212,13 @@
     let waits_to_serve = gateway.waits_to_serve(now);
     drop(gateway);
     if waits_to_serve {
-        catch_up(shared, now);
+        request_newer_configuration(shared, now);
         shared.refresh();
     }
 }
 
-/// Tells a gateway that is back of this one and some others, so that it need not wait for their beats.
+/// Sends a gateway that has just started or reappeared the state of this one and of some others, so that it need not wait for
+/// their heartbeats.
 fn introduce(shared: &Shared, to: SocketAddr) {
     let now = shared.now();
     let gateway = shared.gateway();
