--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -1,4 +1,4 @@
-//! A gateway from its start to its end.
+//! Startup, operation and graceful shutdown of a gateway.
 
 use std::io;
 use std::path::Path;
@@ -30,23 +30,24 @@
 use crate::source::Feed;
 use crate::source::Source;
 
-/// Part of the grace period for which a leaving gateway takes new connections: callers keep an answer
-/// of discovery for seconds, and what they send then must still end within the period.
-const TAKING_PART: f64 = 0.35;
-/// Part of the grace period after which the process ends with whatever is open.
-const LAST_PART: f64 = 0.95;
-/// Time between two looks whether all is done.
-const LOOK: Duration = Duration::from_millis(100);
-/// Time between two looks at the settings file.
-const SETTINGS_LOOK: Duration = Duration::from_secs(2);
-/// Part of the descriptors that callers' connections may take; each needs another one upstream.
-const CALLERS_PART: usize = 3;
+/// Fraction of the grace period for which a gateway that is shutting down accepts new connections: callers cache discovery
+/// responses for seconds, and the requests that they send meanwhile must still complete within the period.
+const ACCEPT_FRACTION: f64 = 0.35;
+/// Fraction of the grace period after which the process exits even if connections are still open.
+const EXIT_FRACTION: f64 = 0.95;
+/// Interval at which a shutdown checks whether all connections are closed.
+const SHUTDOWN_POLL: Duration = Duration::from_millis(100);
+/// Interval at which the settings file is read again.
+const SETTINGS_POLL: Duration = Duration::from_secs(2);
+/// Divisor of the descriptor limit that gives the maximum number of caller connections; each of them needs another descriptor
+/// for its upstream.
+const DESCRIPTORS_PER_CALLER: usize = 3;
 
-/// Runs a gateway until it is told to end.
+/// Runs a gateway until SIGTERM or SIGINT, and shuts it down gracefully.
 ///
 /// # Errors
 ///
-/// Returns the system's error if an address can't be had, or the logs or metrics can't start.
+/// Returns an error if an address cannot be bound, or if logging, metrics or a signal handler cannot be set up.
 pub fn run<S: Source + 'static>(
     settings: Settings,
     path: &Path,
@@ -89,7 +90,7 @@
         settings:?;
         "start"
     );
-    let taking = listen(&shared, &settings, metrics).await?;
+    let acceptor = listen(&shared, &settings, metrics).await?;
     spawn_local(source.run(Feed(Rc::clone(&shared))));
     spawn_local(watch_settings(
         Rc::clone(&shared),
@@ -102,12 +103,12 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    leave(&shared, Duration::from_millis(settings.grace_ms), &taking).await;
+    leave(&shared, Duration::from_millis(settings.grace_ms), &acceptor).await;
     log::info!(target: "process", open = shared.open(), reason = "signal"; "stop");
     Ok(())
 }
 
-/// Opens all addresses; returns the task that takes callers' connections.
+/// Binds all addresses and starts the servers; returns the task that accepts callers' connections.
 async fn listen(
     shared: &Rc<Shared>,
     settings: &Settings,
@@ -118,7 +119,7 @@
     shared.set_socket(Rc::clone(&socket));
     let site = Rc::new(Site {
         shared: Rc::clone(shared),
-        longest: Duration::from_millis(settings.longest_answer_ms),
+        max_lifetime: Duration::from_millis(settings.longest_answer_ms),
     });
     for address in [settings.readiness, settings.discovery] {
         let listener = TcpListener::bind(address).await?;
@@ -127,43 +128,44 @@
     let listener = TcpListener::bind(settings.metrics).await?;
     spawn_local(scrape::serve(listener, metrics));
     spawn_local(beats::run(Rc::clone(shared), socket));
-    let most = settings.descriptors / CALLERS_PART;
+    let max_connections = settings.descriptors / DESCRIPTORS_PER_CALLER;
     Ok(spawn_local(callers::listen(
         Rc::clone(shared),
         callers,
-        most,
+        max_connections,
     )))
 }
 
-/// Leaves: says so, takes new connections a while longer, and ends once all is answered.
-async fn leave(shared: &Shared, grace: Duration, taking: &tokio::task::JoinHandle<()>) {
+/// Shuts down gracefully: announces it, accepts new connections for a while longer, and returns once all connections are closed
+/// or the grace period is nearly over.
+async fn leave(shared: &Shared, grace: Duration, acceptor: &tokio::task::JoinHandle<()>) {
     log::info!(target: "process", open = shared.open(), grace_ms = crate::tell::millis(grace); "leaving");
     shared.leave();
     loop {
         let leaving_for = shared.leaving_for().unwrap_or_default();
-        if leaving_for >= grace.mul_f64(TAKING_PART) {
-            taking.abort();
+        if leaving_for >= grace.mul_f64(ACCEPT_FRACTION) {
+            acceptor.abort();
             if shared.open() == 0 {
                 return;
             }
         }
-        if leaving_for >= grace.mul_f64(LAST_PART) {
+        if leaving_for >= grace.mul_f64(EXIT_FRACTION) {
             return;
         }
-        sleep(LOOK).await;
+        sleep(SHUTDOWN_POLL).await;
     }
 }
 
-/// Takes changes of the settings file, told by a signal or not.
+/// Applies changes of the settings file, on SIGHUP and on a timer.
 async fn watch_settings(shared: Rc<Shared>, path: PathBuf, mut known: Settings) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
-        log::error!(target: "process", "the signal to read the settings can't be waited for");
+        log::error!(target: "process", "failed to install the SIGHUP handler; settings will not be reloaded");
         return;
     };
     loop {
         let is_told = tokio::select! {
             told = hangup.recv() => told.is_some(),
-            () = sleep(SETTINGS_LOOK) => false,
+            () = sleep(SETTINGS_POLL) => false,
         };
         match auburnline_settings::read::<Settings>(&path) {
             Ok(settings) => {
@@ -178,7 +180,7 @@
             }
             Err(error) => {
                 let cause = format!("{error:?}");
-                log::error!(target: "process", cause = cause.as_str(); "settings refused, the old ones hold");
+                log::error!(target: "process", cause = cause.as_str(); "invalid settings; keeping the previous ones");
             }
         }
     }
--- a/crates/relay/src/site.rs
+++ b/crates/relay/src/site.rs
@@ -1,4 +1,4 @@
-//! Small questions over HTTP: is this gateway ready, and which gateways to use.
+//! HTTP endpoints for readiness probes and for discovery of gateways.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -27,20 +27,20 @@
 use crate::head::Body;
 use crate::shared::Shared;
 
-/// Longest time that a connection may stay idle.
-const IDLE: Duration = Duration::from_secs(10);
-/// Time for which an answer to a caller holds: a little more than a gateway that died takes to be
-/// noticed, so that callers drop it soon.
-const ANSWER_LIFETIME: Duration = Duration::from_secs(2);
+/// Maximum idle time of a connection, and maximum time for a request head to arrive.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time for which callers may cache a discovery response: slightly longer than it takes to detect a dead gateway,
+/// so that callers stop using it soon.
+const DISCOVERY_LIFETIME: Duration = Duration::from_secs(2);
 
-/// What the small questions are answered from.
+/// State shared by the endpoints.
 pub(crate) struct Site {
     pub(crate) shared: Rc<Shared>,
-    /// Longest time for which the platform lets an answer hold.
-    pub(crate) longest: Duration,
+    /// Maximum lifetime of a discovery response that the platform allows.
+    pub(crate) max_lifetime: Duration,
 }
 
-/// Answers questions for as long as the process runs.
+/// Accepts connections for as long as the process runs.
 pub(crate) async fn listen(site: Rc<Site>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -49,7 +49,7 @@
             }
             Err(error) => {
                 let cause = error.to_string();
-                log::warn!(target: "site", cause = cause.as_str(); "connection not taken");
+                log::warn!(target: "site", cause = cause.as_str(); "failed to accept connection");
                 sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -63,10 +63,10 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE)
+        .header_read_timeout(IDLE_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = connection.await {
-        log::debug!(target: "site", cause = error.to_string().as_str(); "connection ended");
+        log::debug!(target: "site", cause = error.to_string().as_str(); "connection closed with an error");
     }
 }
 
@@ -75,11 +75,11 @@
         let dialect = &self.shared.dialect;
         if uri.path() == dialect.ready_path() {
             let is_ready = self.shared.gateway().roster.is_ready();
-            return text(ready_status(is_ready), "text/plain", Bytes::new());
+            return respond(ready_status(is_ready), "text/plain", Bytes::new());
         }
         match dialect.question(uri) {
             Some(question) => self.offer(question.failure_domain.as_deref()),
-            None => text(StatusCode::NOT_FOUND, "text/plain", Bytes::new()),
+            None => respond(StatusCode::NOT_FOUND, "text/plain", Bytes::new()),
         }
     }
 
@@ -89,11 +89,11 @@
         let offer = self.shared.gateway().roster.offer(domain, seed, now);
         let addresses: Vec<_> = offer.entries.iter().map(|entry| entry.address).collect();
         if addresses.is_empty() {
-            return text(StatusCode::SERVICE_UNAVAILABLE, "text/plain", Bytes::new());
+            return respond(StatusCode::SERVICE_UNAVAILABLE, "text/plain", Bytes::new());
         }
-        let lifetime = ANSWER_LIFETIME.min(self.longest);
+        let lifetime = DISCOVERY_LIFETIME.min(self.max_lifetime);
         let body = self.shared.dialect.offer(&addresses, lifetime);
-        text(StatusCode::OK, "application/json", body)
+        respond(StatusCode::OK, "application/json", body)
     }
 }
 
@@ -105,8 +105,8 @@
     }
 }
 
-fn text(status: StatusCode, kind: &'static str, body: Bytes) -> Response<Body> {
+fn respond(status: StatusCode, content_type: &'static str, body: Bytes) -> Response<Body> {
     let mut headers = HeaderMap::new();
-    headers.insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     head::whole(status, headers, body)
 }
