--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -9,8 +9,8 @@
 use auburnline_settings::Reason;
 use serde::Deserialize;
 
-/// Fewest descriptors that a gateway can work with.
-const LEAST_DESCRIPTORS: usize = 64;
+/// Minimum number of file descriptors that a gateway needs.
+const MIN_DESCRIPTORS: usize = 64;
 
 const fn heartbeat_ms() -> u64 {
     1_200
@@ -19,47 +19,47 @@
 /// Settings of a gateway, read from JSON.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Settings {
-    /// Name of the instance.
+    /// Name of the instance; must not be empty.
     pub instance: String,
-    /// Failure domain.
+    /// Failure domain of the instance; must not be empty.
     pub failure_domain: String,
-    /// Address towards callers.
+    /// Address at which callers' requests are served.
     pub callers: SocketAddr,
-    /// Address at which the platform asks whether this gateway is ready.
+    /// Address of the readiness probe.
     pub readiness: SocketAddr,
-    /// Address at which callers ask which gateways to use.
+    /// Address at which callers discover the gateways to use.
     pub discovery: SocketAddr,
-    /// Address towards other gateways.
+    /// UDP address for messages of other gateways and of sidecars.
     pub peers: SocketAddr,
-    /// Address at which metrics are read.
+    /// Address at which metrics are scraped.
     pub metrics: SocketAddr,
-    /// Addresses of a few other gateways.
+    /// Peer addresses of a few other gateways, used to join the fleet.
     pub seeds: Vec<SocketAddr>,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Most descriptors of the process.
+    /// Maximum number of file descriptors of the process; at least 64.
     pub descriptors: usize,
-    /// Longest time for which a revoked key may work, in ms.
+    /// Maximum time in ms for which a revoked key may still be accepted.
     pub revocation_ms: u64,
-    /// Time between a signal to end and the kill, in ms.
+    /// Time in ms between the termination signal and the kill by the platform.
     pub grace_ms: u64,
-    /// Repetitions for each request, in the whole fleet.
+    /// Retries allowed per request in the whole fleet, from 0 to 1.
     pub retry_ratio: f64,
-    /// Repetitions beyond that in a window, in the whole fleet.
+    /// Retries allowed beyond that per window in the whole fleet; at least 0.
     pub retry_slack: f64,
-    /// That window, in ms.
+    /// Length of the window of `retry_slack`, in ms.
     pub retry_window_ms: u64,
-    /// Milliseconds for which the ranks of a group stall before they give up one that is gone.
+    /// Time in ms for which the ranks of a group stall before they give up on a lost rank.
     pub stall_ms: u64,
-    /// Time within which an upstream writes its entry again, in ms.
+    /// Interval in ms at which an upstream renews its entry in the store; 1200 if absent.
     #[serde(default = "heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// Longest time for which an answer of discovery may hold, in ms.
+    /// Maximum lifetime of a discovery response, in ms.
     pub longest_answer_ms: u64,
 }
 
 impl Settings {
-    /// Returns the bounds for the decisions.
+    /// Returns the bounds for the gateway's decisions.
     #[must_use]
     pub fn bounds(&self) -> Bounds {
         Bounds {
@@ -84,18 +84,38 @@
                 });
             }
         };
-        refuse("instance", self.instance.is_empty(), "is empty");
-        refuse("failure_domain", self.failure_domain.is_empty(), "is empty");
-        refuse("revocation_ms", self.revocation_ms == 0, "is zero");
-        refuse("heartbeat_ms", self.heartbeat_ms == 0, "is zero");
-        refuse("grace_ms", self.grace_ms == 0, "is zero");
-        refuse("retry_window_ms", self.retry_window_ms == 0, "is zero");
+        refuse("instance", self.instance.is_empty(), "must not be empty");
+        refuse(
+            "failure_domain",
+            self.failure_domain.is_empty(),
+            "must not be empty",
+        );
+        refuse(
+            "revocation_ms",
+            self.revocation_ms == 0,
+            "must be greater than zero",
+        );
+        refuse(
+            "heartbeat_ms",
+            self.heartbeat_ms == 0,
+            "must be greater than zero",
+        );
+        refuse("grace_ms", self.grace_ms == 0, "must be greater than zero");
+        refuse(
+            "retry_window_ms",
+            self.retry_window_ms == 0,
+            "must be greater than zero",
+        );
         let is_share = (0.0..=1.0).contains(&self.retry_ratio);
-        refuse("retry_ratio", !is_share, "is no share from 0 to 1");
+        refuse("retry_ratio", !is_share, "must be between 0 and 1");
         let is_slack = self.retry_slack.is_finite() && self.retry_slack >= 0.0;
-        refuse("retry_slack", !is_slack, "is no positive number");
-        let is_few = self.descriptors < LEAST_DESCRIPTORS;
-        refuse("descriptors", is_few, "is too small");
+        refuse(
+            "retry_slack",
+            !is_slack,
+            "must be a finite number of at least 0",
+        );
+        let is_few = self.descriptors < MIN_DESCRIPTORS;
+        refuse("descriptors", is_few, "must be at least 64");
         if faults.is_empty() {
             Ok(())
         } else {
