--- a/crates/relay/src/tell.rs
+++ b/crates/relay/src/tell.rs
@@ -1,4 +1,4 @@
-//! What the log and the metrics are told of a request.
+//! Log lines and metrics of requests.
 
 use std::time::Duration;
 
@@ -16,21 +16,21 @@
 use crate::head::Body;
 use crate::shared::Shared;
 
-/// Upstreams of each cause that the line of a refusal names at most.
-const MOST_CLOSED: usize = 4;
+/// Maximum number of upstreams listed per cause in the log line of a refusal.
+const MAX_LISTED_UPSTREAMS: usize = 4;
 
-/// How a stream's events came.
+/// Timing of a stream's events.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Pace {
     pub(crate) events: u64,
     /// Time from the request to its first event.
     pub(crate) first: Duration,
     pub(crate) longest_pause: Duration,
-    /// Mean pass of its group when it ended.
+    /// Mean pass time of the stream's group when the stream ended.
     pub(crate) mean_pass: Duration,
 }
 
-/// Answers a request that is not served, and says why in the log.
+/// Answers a request with an error of the gateway's own, and logs and counts the refusal.
 pub(crate) fn refuse(
     shared: &Shared,
     id: &str,
@@ -43,14 +43,14 @@
     let age = gateway.knowledge.age(now).unwrap_or_default();
     let basis = refusal.basis;
     let limited = plan.filter(|_| refusal.is_closed).map(|plan| {
-        let limited = gateway.limited(&plan.service, MOST_CLOSED, now);
+        let limited = gateway.limited(&plan.service, MAX_LISTED_UPSTREAMS, now);
         let limited = limited.into_iter();
         limited
             .map(|one| (one.upstream.id.clone(), one.limit, one.home))
             .collect::<Vec<_>>()
     });
     let backing_off = plan.filter(|_| refusal.is_closed).map(|plan| {
-        let backing_off = gateway.backing_off(&plan.service, MOST_CLOSED, now);
+        let backing_off = gateway.backing_off(&plan.service, MAX_LISTED_UPSTREAMS, now);
         backing_off
             .into_iter()
             .map(|(upstream, left)| (upstream, millis(left)))
@@ -95,7 +95,7 @@
     workspace.map_or("", |workspace| &*workspace.name)
 }
 
-/// Returns whole milliseconds, for the log.
+/// Converts to whole milliseconds for the log, rounding down.
 pub(crate) fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
@@ -123,7 +123,7 @@
         counter!("auburnline_sends_total").increment(1);
     }
 
-    /// Says in the log why a send has no answer.
+    /// Logs and counts a failed or abandoned attempt.
     pub(crate) fn log_failure(&self, cause: &str, flight: &Flight) {
         log::info!(
             target: "gateway",
@@ -136,7 +136,7 @@
         counter!("auburnline_failures_total").increment(1);
     }
 
-    /// Says in the log how the request ended.
+    /// Logs and counts the end of a request that was answered by an upstream.
     pub(crate) fn log_answer(&self, status: u16, pace: &Pace) {
         let took = self.shared.now().saturating_sub(self.plan.arrived);
         log::info!(
