--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits that upstreams name, as they come in, go on to other gateways, and hold requests back.
+//! Rate limits set by upstreams: learning them from responses, gossip about them, and permits for requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,11 +24,11 @@
 use crate::flight::Flight;
 use crate::shared::Shared;
 
-/// Longest wait for the reply of a limit's home: some round trips within a region.
-const REPLY: Duration = Duration::from_millis(100);
+/// Maximum wait for a reply from a limit's home: several round trips within a region.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl Exchange {
-    /// Takes what an answer says of its upstream's rate limit. A refusal or failure without one doesn't say that it ended.
+    /// Records the rate limit carried by a response. Only a successful response without a limit ends the limit.
     pub(crate) fn take_limit(&self, reply: &Reply, flight: &Flight) {
         let rate = match self.shared.dialect.limit(&reply.headers) {
             Limit::Nothing if !reply.status.is_success() => return,
@@ -36,7 +36,7 @@
             Limit::Rate(rate) => Some(rate),
             Limit::Malformed => {
                 let upstream = &**flight.upstream();
-                log::warn!(target: "limits", request = self.id(), upstream; "malformed");
+                log::warn!(target: "limits", request = self.id(), upstream; "malformed rate limit header");
                 counter!("auburnline_limits_malformed_total").increment(1);
                 return;
             }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns whether the limit of an upstream, if it named one, lets the request be sent there now.
+    /// Returns whether the upstream's rate limit, if any, permits sending the request there now.
     pub(crate) async fn is_within_limit(&self, upstream: &Arc<Upstream>) -> bool {
         let now = self.shared.now();
         let consent = self.shared.gateway().consent(upstream, now);
@@ -76,7 +76,7 @@
         false
     }
 
-    /// Says in the log that the limit of an upstream kept the request away, and which home said so; none if this gateway did.
+    /// Logs that the upstream's limit denied the request; `home` is the home that decided, or `None` if this gateway did.
     fn log_denial(&self, upstream: &Upstream, home: Option<SocketAddr>) {
         let now = self.shared.now();
         let limit = self.shared.gateway().limit(upstream, now);
@@ -91,18 +91,18 @@
     }
 }
 
-/// Asks a limit's home whether a request may be sent; none if it does not reply.
+/// Asks a limit's home for a permit; returns `None` if it does not reply in time.
 async fn ask_home(shared: &Shared, home: SocketAddr, ask: Ask) -> Option<Permit> {
     let asked = shared.now();
     let reply = shared.await_permit(ask.number);
     shared.tell(&Datagram::LimitAsk(ask), home);
-    let permit = timeout(REPLY, reply).await.ok()?.ok();
+    let permit = timeout(REPLY_TIMEOUT, reply).await.ok()?.ok();
     let took = shared.now().saturating_sub(asked);
     histogram!("auburnline_limit_ask_seconds").record(took);
     permit
 }
 
-/// Replies to another gateway that asks whether it may send a request.
+/// Replies to another gateway's request for a permit.
 pub(crate) fn answer(shared: &Shared, ask: Ask, from: SocketAddr) {
     let now = shared.now();
     let reply = shared.gateway().reply(ask, now);
@@ -114,12 +114,12 @@
     shared.tell(&Datagram::LimitReply(reply), from);
 }
 
-/// Takes the reply of a limit's home.
+/// Handles the reply of a limit's home.
 pub(crate) fn take_reply(shared: &Shared, reply: home::Reply) {
     shared.permit(reply.number, reply.permit);
 }
 
-/// Takes what another gateway tells of limits.
+/// Merges limit notices from another gateway.
 pub(crate) fn hear(shared: &Shared, notices: &[Notice], from: SocketAddr) {
     let now = shared.now();
     let heard = shared.gateway().hear_limits(notices, from, now);
@@ -128,7 +128,7 @@
     }
 }
 
-/// Takes the shares that another gateway lends, and answers with the last beat, on which it lends anew.
+/// Accepts the shares lent by another gateway, and replies with the latest heartbeat, on the basis of which it lends again.
 pub(crate) fn hear_loan(shared: &Shared, loan: &Loan, from: SocketAddr) {
     let now = shared.now();
     let mut gateway = shared.gateway();
@@ -142,7 +142,7 @@
     }
 }
 
-/// Sends this gateway's shares to the homes of the limits.
+/// Lends this gateway's shares to the homes of their limits, and logs each change of home.
 pub(crate) fn lend(shared: &Shared) {
     let now = shared.now();
     let mut gateway = shared.gateway();
@@ -158,7 +158,7 @@
     }
 }
 
-/// Says in the log that a limit was named, changed or ended, and by which request it became known, if by one.
+/// Logs that a limit was set, changed or ended; `request` is the id of the request that revealed it, or empty.
 fn log_news(news: &News, request: &str) {
     let outcome = if news.rate.is_some() {
         "named"
