--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -1,8 +1,8 @@
-//! Streams: events passed on as they come, and gone on with after a break.
+//! Streaming responses: events are passed on as they arrive, and a broken stream is resumed.
 //!
-//! Only whole events are passed on, so that a run that breaks off leaves no torn event, and another
-//! run can go on after the last whole one. A stream that can't go on breaks off at the caller too,
-//! so that it never looks complete.
+//! Only whole events are passed on, so that an interrupted response leaves no partial event, and
+//! another attempt can resume after the last whole one. A stream that cannot be resumed is aborted
+//! towards the caller too, so that it never looks complete.
 
 use auburnline_core::id::GroupId;
 use auburnline_core::time::Monotonic;
@@ -27,10 +27,10 @@
 use crate::head::Broken;
 use crate::tell::Pace;
 
-/// A stream on its way.
-struct Passage {
+/// A stream being passed on to a caller.
+struct Transfer {
     exchange: Exchange,
-    /// Answer of the newest send; none while the stream moves.
+    /// Response body of the latest attempt; `None` while the stream migrates.
     body: Option<Incoming>,
     flight: Flight,
     splitter: Splitter,
@@ -39,19 +39,19 @@
     is_over: bool,
 }
 
-/// What the upstream gave next.
+/// Next item of the upstream's response.
 enum Next {
     /// Whole events.
     Events(Bytes),
-    /// The end.
+    /// The response is complete.
     End,
-    /// A break.
+    /// The response was interrupted, for this reason.
     Break(&'static str),
-    /// The upstream turned so slow that the stream is better off elsewhere.
+    /// The rank has become a straggler, and the stream should migrate.
     Slow,
 }
 
-/// Serves a request whose answer is a stream.
+/// Handles a request whose response is a stream.
 pub(crate) async fn serve(mut exchange: Exchange) -> Response<Body> {
     let after = exchange.arrival.call.after;
     loop {
@@ -63,27 +63,27 @@
                 if status.is_server_error() {
                     flight.failed();
                     if exchange.may_run_again() {
-                        exchange.log_failure("the upstream failed, repeating", &flight);
+                        exchange.log_failure("upstream returned a server error; retrying", &flight);
                         continue;
                     }
                 }
-                let passage = Passage::new(exchange, reply.body, flight, after);
-                return head::streamed(status, headers, passage.events());
+                let transfer = Transfer::new(exchange, reply.body, flight, after);
+                return head::streamed(status, headers, transfer.events());
             }
             Sent::Failed { may_repeat: true } => {
                 if let Err(refusal) = exchange.readmit().await {
                     return exchange.end(&refusal);
                 }
             }
-            Sent::Failed { may_repeat: false } => return exchange.give_up("no send succeeded"),
+            Sent::Failed { may_repeat: false } => return exchange.give_up("all attempts failed"),
             Sent::Refused(refusal) => return exchange.end(&refusal),
         }
     }
 }
 
-impl Passage {
-    fn new(exchange: Exchange, body: Incoming, flight: Flight, after: Option<EventId>) -> Passage {
-        Passage {
+impl Transfer {
+    fn new(exchange: Exchange, body: Incoming, flight: Flight, after: Option<EventId>) -> Transfer {
+        Transfer {
             exchange,
             body: Some(body),
             flight,
@@ -94,33 +94,33 @@
         }
     }
 
-    /// Returns the events as a body.
+    /// Returns the stream of frames for the response body.
     fn events(self) -> head::Events {
-        stream::unfold(self, |mut passage| async move {
-            let frame = passage.frame().await?;
-            Some((frame, passage))
+        stream::unfold(self, |mut transfer| async move {
+            let frame = transfer.frame().await?;
+            Some((frame, transfer))
         })
         .boxed_local()
     }
 
-    /// Returns the next frame, or none after the end.
+    /// Returns the next frame, or `None` after the end.
     async fn frame(&mut self) -> Option<Result<Frame<Bytes>, Broken>> {
         while !self.is_over {
             match self.next().await {
                 Next::Events(bytes) => return Some(Ok(Frame::data(bytes))),
                 Next::End => return self.end(),
                 Next::Slow => {
-                    if !self.leave_rank().await {
+                    if !self.migrate().await {
                         self.is_over = true;
                         self.log("broken");
-                        return Some(Err(Broken("no rank took the stream over")));
+                        return Some(Err(Broken("no rank could resume the stream")));
                     }
                 }
                 Next::Break(cause) => {
                     self.flight.failed();
                     self.exchange.log_failure(cause, &self.flight);
                     self.exchange.look_for_crash(&self.flight).await;
-                    self.broke();
+                    self.record_interruption();
                     if !self.resume().await {
                         self.is_over = true;
                         self.log("broken");
@@ -136,7 +136,7 @@
         loop {
             let left = self.exchange.left();
             let Some(body) = &mut self.body else {
-                return Next::Break("no upstream took the stream over");
+                return Next::Break("no upstream could resume the stream");
             };
             let part = tokio::select! {
                 part = timeout(left, body.next()) => part,
@@ -146,9 +146,9 @@
             };
             let part = match part {
                 Ok(Some(Ok(part))) => part,
-                Ok(Some(Err(_))) => return Next::Break("the stream broke off"),
+                Ok(Some(Err(_))) => return Next::Break("stream interrupted before its end"),
                 Ok(None) => return Next::End,
-                Err(_) => return Next::Break("the time is over"),
+                Err(_) => return Next::Break("request deadline exceeded"),
             };
             let events = self.splitter.push(&part);
             if events.count > 0 {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Learns from the time of an event.
+    /// Updates the stream's timing and the pass times of its group with the arrival of events.
     fn observe(&mut self) {
         let now = self.exchange.shared.now();
         let plan = &self.exchange.plan;
@@ -181,13 +181,13 @@
         }
     }
 
-    /// Takes that the stream broke off, which may tell of its whole group.
-    fn broke(&self) {
+    /// Records that the stream was interrupted, which may indicate a failure of the whole group.
+    fn record_interruption(&self) {
         let (group, upstream) = (self.flight.group(), self.flight.upstream());
         let now = self.exchange.shared.now();
         let mut gateway = self.exchange.shared.gateway();
         if gateway.groups.broke(group, upstream, now) {
-            log::info!(target: "groups", group = &**group, upstream = &**upstream; "seems broken");
+            log::info!(target: "groups", group = &**group, upstream = &**upstream; "streams of two ranks interrupted at once; group suspected");
         }
     }
 
@@ -200,24 +200,27 @@
         (!rest.is_empty()).then(|| Ok(Frame::data(rest.into())))
     }
 
-    /// Goes on at another rank of the group, so that this one need not wait for its own; returns whether it could.
-    async fn leave_rank(&mut self) -> bool {
+    /// Migrates the stream to another rank of its group, so that the group no longer waits for the straggler; returns whether
+    /// that succeeded.
+    async fn migrate(&mut self) -> bool {
         let group = self.flight.group().clone();
-        self.exchange
-            .log_failure("its rank turned slow, going on at another", &self.flight);
+        self.exchange.log_failure(
+            "rank became a straggler; resuming at another rank",
+            &self.flight,
+        );
         counter!("auburnline_moved_streams_total").increment(1);
-        // The upstream stops when its answer is dropped, and the group waits for it no longer.
+        // Dropping the response cancels the request at the straggler, so that the group no longer waits for it.
         self.body = None;
-        self.go_on(Some(&group)).await
+        self.resume_within(Some(&group)).await
     }
 
-    /// Goes on at another upstream; returns whether it could.
+    /// Resumes the stream at another upstream after a failure; returns whether that succeeded.
     async fn resume(&mut self) -> bool {
-        self.exchange.may_run_again() && self.go_on(None).await
+        self.exchange.may_run_again() && self.resume_within(None).await
     }
 
-    /// Sends the request once more, for the events after the last whole one; returns whether another answer began.
-    async fn go_on(&mut self, group: Option<&GroupId>) -> bool {
+    /// Sends the request again for the events after the last whole one; returns whether a successful response began.
+    async fn resume_within(&mut self, group: Option<&GroupId>) -> bool {
         let after = self.splitter.last();
         loop {
             let patience = self.exchange.left();
