--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a gateway share.
+//! State shared by all tasks of a gateway.
 
 use std::cell::Cell;
 use std::cell::OnceCell;
@@ -33,18 +33,18 @@
 use crate::source::log_changes;
 use crate::tell::millis;
 
-/// Longest wait for a connection to an upstream: many times a round trip between failure domains,
-/// and short beside the aims of callers, so that another upstream can still answer in time.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Bound on waits within an exchange that the request's own deadline does not bound sooner.
-const LONGEST: Duration = Duration::from_mins(1);
+/// Connect timeout for upstreams: many times a round trip between failure domains, and short relative to
+/// callers' latency targets, so that another upstream can still answer in time.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Upper bound for waits within an exchange that the request's own deadline does not end earlier.
+const MAX_EXCHANGE: Duration = Duration::from_mins(1);
 
-/// Longest message to another process: a configuration of some hundred routes, and within one datagram.
+/// Maximum size of a message to another process: enough for a configuration of some hundred routes, and within one UDP datagram.
 pub(crate) const MAX_DATAGRAM_BYTES: usize = 60 << 10;
-/// Age of a question after which its sender is told nothing unasked.
-const ASKER_AGE: Duration = Duration::from_secs(3);
+/// Time after its latest query for which a gateway is sent changes without asking.
+const SUBSCRIPTION_AGE: Duration = Duration::from_secs(3);
 
-/// State of one gateway.
+/// State of one gateway process.
 pub(crate) struct Shared {
     clock: Clock,
     gateway: RefCell<Gateway>,
@@ -52,15 +52,15 @@
     clients: RefCell<HashMap<UpstreamId, Client>>,
     places: RefCell<HashMap<ServiceId, Rc<Notify>>>,
     leaving: watch::Sender<bool>,
-    left_at: Cell<Option<Monotonic>>,
+    leaving_since: Cell<Option<Monotonic>>,
     open: Cell<usize>,
-    /// Tells the source that there may be something to read.
+    /// Wakes the source when there may be something to read.
     pub(crate) news: Notify,
-    /// Tells streams that a rank turned slow.
+    /// Wakes requests in flight when a rank has become a straggler.
     pub(crate) slowed: Notify,
-    /// Gateways that asked for changes, and when.
-    askers: RefCell<HashMap<SocketAddr, Monotonic>>,
-    /// Requests that wait for the permit of a limit's home, by the number of the question.
+    /// Gateways that queried this one for changes, with the time of the latest query.
+    subscribers: RefCell<HashMap<SocketAddr, Monotonic>>,
+    /// Requests that wait for a reply from a limit's home, by the number of the [`Ask`](auburnline_quota::home::Ask).
     permits: RefCell<HashMap<u64, oneshot::Sender<Permit>>>,
     socket: OnceCell<Rc<UdpSocket>>,
 }
@@ -74,45 +74,45 @@
             clients: RefCell::default(),
             places: RefCell::default(),
             leaving: watch::Sender::new(false),
-            left_at: Cell::new(None),
+            leaving_since: Cell::new(None),
             open: Cell::new(0),
             news: Notify::new(),
             slowed: Notify::new(),
-            askers: RefCell::default(),
+            subscribers: RefCell::default(),
             permits: RefCell::default(),
             socket: OnceCell::new(),
         }
     }
 
-    /// Sets the socket towards other gateways and sidecars.
+    /// Sets the socket for messages to other gateways and sidecars; called once.
     pub(crate) fn set_socket(&self, socket: Rc<UdpSocket>) {
         let is_new = self.socket.set(socket).is_ok();
         debug_assert!(is_new, "the socket is set once");
     }
 
-    /// Sends a message to another process; one that can't be sent is lost, as on the way.
+    /// Sends a message to another process. Delivery is best effort: a message that cannot be sent is dropped.
     pub(crate) fn tell(&self, message: &impl Serialize, to: SocketAddr) {
         let Some(socket) = self.socket.get() else {
             return;
         };
         let Ok(bytes) = postcard::to_stdvec(message) else {
-            log::error!(target: "neighbours", "a message can't be written");
+            log::error!(target: "neighbours", "failed to encode message");
             return;
         };
         if bytes.len() > MAX_DATAGRAM_BYTES {
-            log::debug!(target: "neighbours", bytes = bytes.len(); "message too long to be sent");
+            log::debug!(target: "neighbours", bytes = bytes.len(); "message exceeds the maximum datagram size");
             return;
         }
         if let Err(error) = socket.try_send_to(&bytes, to) {
             let cause = error.to_string();
-            log::debug!(target: "neighbours", cause = cause.as_str(); "message not sent");
+            log::debug!(target: "neighbours", cause = cause.as_str(); "failed to send message");
         }
     }
 
-    /// Answers another gateway's question what changed.
+    /// Answers another gateway's query for changes.
     pub(crate) fn answer(&self, question: Question, from: SocketAddr) {
         let now = self.now();
-        self.askers.borrow_mut().insert(from, now);
+        self.subscribers.borrow_mut().insert(from, now);
         let gateway = self.gateway();
         let Some(age) = gateway.knowledge.age(now) else {
             return;
@@ -120,7 +120,7 @@
         let answer = gateway.spread.answer(question, age);
         let told = gateway.spread.told(question).cloned();
         drop(gateway);
-        // First what the configuration that is asked for is part of.
+        // The changes go first: the configuration that is asked for is one of them.
         if let Some(answer) = answer {
             self.tell(&Datagram::Answer(answer), from);
         }
@@ -129,11 +129,11 @@
         }
     }
 
-    /// Tells those who ask what changed after `since`, without waiting for their next question.
+    /// Sends the changes after `since` to the gateways that query this one, without waiting for their next query.
     pub(crate) fn push(&self, since: Revision) {
         let now = self.now();
-        let mut askers = self.askers.borrow_mut();
-        askers.retain(|_, asked| now.saturating_sub(*asked) < ASKER_AGE);
+        let mut subscribers = self.subscribers.borrow_mut();
+        subscribers.retain(|_, asked| now.saturating_sub(*asked) < SUBSCRIPTION_AGE);
         let gateway = self.gateway();
         let age = gateway.knowledge.age(now).unwrap_or_default();
         let Some(answer) = gateway.spread.since(since, age) else {
@@ -141,57 +141,63 @@
         };
         drop(gateway);
         let message = Datagram::Answer(answer);
-        askers.keys().for_each(|asker| self.tell(&message, *asker));
+        subscribers
+            .keys()
+            .for_each(|subscriber| self.tell(&message, *subscriber));
     }
 
-    /// Returns what yields the reply to a question to a limit's home.
+    /// Registers a request that waits for a reply from a limit's home; the receiver yields the reply.
     pub(crate) fn await_permit(&self, number: u64) -> oneshot::Receiver<Permit> {
         let (sender, receiver) = oneshot::channel();
         let mut permits = self.permits.borrow_mut();
-        // Questions whose reply was lost, or whose caller left.
+        // Drops requests that no longer wait, because the reply timed out or the caller disconnected.
         permits.retain(|_, sender| !sender.is_closed());
         permits.insert(number, sender);
         receiver
     }
 
-    /// Passes the reply of a limit's home on to the request that waits for it; without one it is late.
+    /// Delivers the reply of a limit's home to the request that waits for it. If none does, the reply is late and is counted
+    /// as such.
     pub(crate) fn permit(&self, number: u64, permit: Permit) {
         let waiting = self.permits.borrow_mut().remove(&number);
-        let is_taken = waiting.is_some_and(|sender| sender.send(permit).is_ok());
-        if !is_taken {
+        let is_delivered = waiting.is_some_and(|sender| sender.send(permit).is_ok());
+        if !is_delivered {
             metrics::counter!("auburnline_limit_replies_late_total").increment(1);
         }
     }
 
-    /// Returns the time.
+    /// Returns the time since the start of the process.
     pub(crate) fn now(&self) -> Monotonic {
         self.clock.now()
     }
 
-    /// Returns the decisions; never held across a wait.
+    /// Borrows the gateway's decision state. The borrow must not be held across an `await`.
     pub(crate) fn gateway(&self) -> RefMut<'_, Gateway> {
         self.gateway.borrow_mut()
     }
 
-    /// Returns the client of an upstream.
+    /// Returns the HTTP client of an upstream, created on first use.
     pub(crate) fn client(&self, upstream: &Upstream) -> Client {
         let mut clients = self.clients.borrow_mut();
         let client = clients.entry(upstream.id.clone());
         let client = client.or_insert_with(|| {
             let timeouts = Timeouts::new();
-            let timeouts = timeouts.connect(CONNECT).silence(LONGEST).whole(LONGEST);
+            let timeouts = timeouts
+                .connect(CONNECT_TIMEOUT)
+                .silence(MAX_EXCHANGE)
+                .whole(MAX_EXCHANGE);
             Client::new(upstream.address, timeouts)
         });
         client.clone()
     }
 
-    /// Returns what tells that a place at a service may be free.
+    /// Returns the notification for requests that wait for capacity at a service.
     pub(crate) fn place(&self, service: &ServiceId) -> Rc<Notify> {
         let mut places = self.places.borrow_mut();
         Rc::clone(places.entry(service.clone()).or_default())
     }
 
-    /// Takes changes of the pool.
+    /// Logs changes of the upstream pool, and drops the clients of upstreams that are gone.
     pub(crate) fn upstreams_changed(&self, changes: Vec<upstream::Change>) {
         log_changes(&changes);
         let mut clients = self.clients.borrow_mut();
@@ -202,7 +208,8 @@
         }
     }
 
-    /// Removes upstreams that are missing, and takes those that were doubted long enough.
+    /// Removes upstreams missing from the store, and adds those whose entries were doubted after a restore of the store and have
+    /// not expired since. Returns the changes.
     pub(crate) fn expire(&self) -> Vec<upstream::Change> {
         let now = self.now();
         let mut gateway = self.gateway();
@@ -212,7 +219,7 @@
         changes
     }
 
-    /// Sets readiness anew from what is known.
+    /// Updates readiness from the current state, and logs a change.
     pub(crate) fn refresh(&self) {
         let now = self.now();
         let mut gateway = self.gateway();
@@ -228,7 +235,7 @@
         }
     }
 
-    /// Serves which revisions of the store are known.
+    /// Exports the known revisions of the store as metrics.
     pub(crate) fn measure(&self) {
         let gateway = self.gateway();
         let known = gateway.spread.revision().unwrap_or_default();
@@ -244,48 +251,48 @@
         }
     }
 
-    /// Begins to leave.
+    /// Starts the shutdown: withdraws readiness and notifies connections.
     pub(crate) fn leave(&self) {
-        if self.left_at.get().is_none() {
-            self.left_at.set(Some(self.now()));
+        if self.leaving_since.get().is_none() {
+            self.leaving_since.set(Some(self.now()));
             self.leaving.send_replace(true);
             self.refresh();
         }
     }
 
-    /// Returns whether this gateway is leaving.
+    /// Returns whether the shutdown has started.
     pub(crate) fn is_leaving(&self) -> bool {
-        self.left_at.get().is_some()
+        self.leaving_since.get().is_some()
     }
 
-    /// Returns for how long this gateway has been leaving.
+    /// Returns the time since the shutdown started; `None` before that.
     pub(crate) fn leaving_for(&self) -> Option<Duration> {
-        let since = self.left_at.get()?;
+        let since = self.leaving_since.get()?;
         Some(self.now().saturating_sub(since))
     }
 
-    /// Returns what tells that this gateway begins to leave.
+    /// Returns a receiver that becomes true when the shutdown starts.
     pub(crate) fn leaving(&self) -> watch::Receiver<bool> {
         self.leaving.subscribe()
     }
 
-    /// Counts an open connection of a caller.
+    /// Counts a new caller connection.
     pub(crate) fn opened(&self) {
         self.open.set(self.open.get() + 1);
     }
 
-    /// Counts a connection of a caller that ended.
+    /// Counts a closed caller connection.
     pub(crate) fn closed(&self) {
         self.open.set(self.open.get() - 1);
     }
 
-    /// Returns how many connections of callers are open.
+    /// Returns the number of open caller connections.
     pub(crate) fn open(&self) -> usize {
         self.open.get()
     }
 }
 
-/// Logs that the store answers again.
+/// Logs that the store answers again after a failure.
 pub(crate) fn tell_regained(gateway: &Gateway, now: Monotonic) {
     let age_ms = millis(gateway.knowledge.age(now).unwrap_or_default());
     log::info!(target: "store", age_ms; "regained");
