--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -1,4 +1,4 @@
-//! What a platform publishes, as it comes in and goes on to other gateways.
+//! Input of the state that a platform publishes, and its distribution to other gateways.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,53 +22,53 @@
 use crate::shared::tell_regained;
 use crate::tell::millis;
 
-/// Time between two looks whether there is something to read.
-const LOOK: Duration = Duration::from_millis(300);
-/// Time between two tries of a gateway that the store does not answer, while others read for it.
-const PROBE: Duration = Duration::from_secs(2);
-/// Age of knowledge up to which a failed call alone is no loss: others read for this gateway.
-const STILL_TOLD: Duration = Duration::from_millis(2_500);
+/// Interval at which a source checks whether there is something to read.
+const NEED_POLL: Duration = Duration::from_millis(300);
+/// Interval at which a gateway that the store does not answer tries again, while others read for it.
+const PROBE_INTERVAL: Duration = Duration::from_secs(2);
+/// Age of the known state up to which a failed call does not count as a loss of the store: others read for this gateway.
+const MAX_RELAYED_AGE: Duration = Duration::from_millis(2_500);
 
-/// Reader of what a platform publishes; runs until the process ends.
+/// Reader of the state that a platform publishes.
 pub trait Source {
-    /// Reads and passes on what is published.
+    /// Reads the published state and passes it to `feed`, for as long as the process runs.
     fn run(self, feed: Feed) -> impl Future<Output = ()>;
 }
 
-/// One change, as a source reads it.
+/// One change of the published state.
 #[derive(Debug)]
 pub enum Change {
-    /// An upstream was written.
+    /// An upstream's entry was written.
     Upstream(Upstream),
-    /// An upstream was removed.
+    /// An upstream's entry was removed.
     Missing(UpstreamId),
-    /// A configuration was written; none if it can't be understood.
+    /// A configuration was written; `None` if it cannot be decoded.
     Configuration(Option<Content>),
 }
 
-/// All that is published.
+/// Snapshot of the published state.
 #[derive(Debug)]
 pub struct All {
-    /// Revision before which nothing is missing.
+    /// Revision up to which the snapshot is complete.
     pub revision: Revision,
-    /// Upstreams.
+    /// All upstreams that could be decoded.
     pub upstreams: Vec<Upstream>,
-    /// Configuration with the revision at which it was written.
+    /// Configuration with the revision at which it was written; `None` if there is none or it cannot be decoded.
     pub configuration: Option<(Revision, Content)>,
 }
 
-/// Where a source puts what it reads.
+/// Interface through which a source delivers what it reads.
 #[derive(Clone)]
 pub struct Feed(pub(crate) Rc<Shared>);
 
 impl Feed {
-    /// Returns the time.
+    /// Returns the time since the start of the process.
     #[must_use]
     pub fn now(&self) -> Monotonic {
         self.0.now()
     }
 
-    /// Waits until there is something to read, and says what.
+    /// Waits until this gateway has to read something, and returns what.
     pub async fn need(&self) -> Need {
         let mut waited = Duration::ZERO;
         loop {
@@ -76,16 +76,16 @@
             if need != Need::Nothing {
                 return need;
             }
-            if waited >= PROBE && self.0.gateway().roster.is_cut() {
+            if waited >= PROBE_INTERVAL && self.0.gateway().roster.is_cut() {
                 let revision = self.0.gateway().spread.revision();
                 return revision.map_or(Need::All, Need::Changes);
             }
-            let _ = timeout(LOOK, self.0.news.notified()).await;
-            waited += LOOK;
+            let _ = timeout(NEED_POLL, self.0.news.notified()).await;
+            waited += NEED_POLL;
         }
     }
 
-    /// Takes all that is published, as asked for at `asked`.
+    /// Applies a snapshot that was requested at `asked`.
     pub fn all(&self, all: All, asked: Monotonic) {
         let written = all
             .configuration
@@ -102,11 +102,11 @@
         self.0.upstreams_changed(changes);
         self.confirm(asked);
         self.expire();
-        // Those who know an earlier generation learn of this one.
+        // Gateways that know an earlier generation learn of this one.
         self.0.push(Revision::default());
     }
 
-    /// Takes a configuration written at `revision`.
+    /// Applies a configuration written at `revision`; `None` if it could not be decoded.
     pub fn configuration(&self, revision: Revision, content: Option<Content>) {
         if let Some(content) = content {
             self.take(revision, content);
@@ -114,13 +114,13 @@
         self.0.gateway().spread.read_configuration(revision);
     }
 
-    /// Takes the configuration that another gateway tells.
+    /// Applies a configuration received from another gateway.
     pub(crate) fn told(&self, told: Told) {
         metrics::counter!("auburnline_configurations_told_total").increment(1);
         self.configuration(told.revision, Some(told.content));
     }
 
-    /// Takes changes up to `until`, as asked for at `asked`, and tells others.
+    /// Applies all changes up to `until`, which were requested at `asked`, and sends them on to other gateways.
     pub fn changes(&self, changes: Vec<(Revision, Change)>, until: Revision, asked: Monotonic) {
         self.enter(until.generation);
         let since = self.0.gateway().spread.revision().unwrap_or_default();
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Takes that the store is of this generation, as it says itself.
+    /// Records the generation that the store reports for itself. After a change, the whole state is read again.
     pub fn enter(&self, generation: Generation) {
         let mut gateway = self.0.gateway();
         let before = gateway.spread.revision();
@@ -153,30 +153,30 @@
         let version = gateway.version();
         drop(gateway);
         if is_other && before.is_some() {
-            log::info!(target: "store", generation, before:?, version:?; "came back from a copy, reading all anew");
+            log::info!(target: "store", generation, before:?, version:?; "store was restored from a backup; reading the whole state again");
             metrics::counter!("auburnline_store_restores_total").increment(1);
         }
     }
 
-    /// Takes that another gateway knows this generation of the store.
+    /// Records the generation of the store that another gateway knows. If it is newer, the whole state is read again.
     pub(crate) fn hint(&self, generation: Generation) {
         let mut gateway = self.0.gateway();
         let before = gateway.spread.revision();
         let is_news = gateway.spread.hint(generation);
         drop(gateway);
         if is_news {
-            log::info!(target: "store", generation, before:?; "told of another generation, reading all anew");
+            log::info!(target: "store", generation, before:?; "another gateway knows a newer generation of the store; reading the whole state again");
             self.0.news.notify_one();
         }
     }
 
-    /// Takes that the changes after the known revision are gone.
+    /// Records that the store no longer has the changes after the known revision, so that the whole state is read again.
     pub fn forget(&self) {
-        log::info!(target: "store", "history gone, reading all anew");
+        log::info!(target: "store", "store no longer has the changes needed; reading the whole state again");
         self.0.gateway().spread.forget();
     }
 
-    /// Takes the answer of another gateway that reads the store.
+    /// Applies the answer of a gateway that reads the store.
     pub(crate) fn hear(&self, answer: Answer) {
         self.hint(answer.until.generation);
         let (new, known_at) = self.0.gateway().spread.hear(answer);
@@ -187,7 +187,7 @@
         self.0.news.notify_one();
     }
 
-    /// Takes that a question asked at `asked` was answered by the store.
+    /// Records that the store answered a request sent at `asked`.
     fn confirm(&self, asked: Monotonic) {
         let mut gateway = self.0.gateway();
         gateway.roster.set_cut(false);
@@ -196,7 +196,7 @@
         self.know(asked);
     }
 
-    /// Takes that nothing older than `known_at` is unknown.
+    /// Records that all changes up to `known_at` are known.
     fn know(&self, known_at: Monotonic) {
         let now = self.now();
         let mut gateway = self.0.gateway();
@@ -208,7 +208,7 @@
         self.0.refresh();
     }
 
-    /// Takes that a question to the store had no answer; returns when to ask it again.
+    /// Records that a request to the store failed; returns the delay before the next one.
     #[must_use]
     pub fn miss(&self, cause: &str) -> Duration {
         metrics::counter!("auburnline_store_failures_total").increment(1);
@@ -217,7 +217,7 @@
         let was_cut = gateway.roster.is_cut();
         gateway.roster.set_cut(true);
         let age = gateway.knowledge.age(now);
-        let is_told = age.is_some_and(|age| age < STILL_TOLD);
+        let is_told = age.is_some_and(|age| age < MAX_RELAYED_AGE);
         if !is_told {
             gateway.knowledge.miss();
         }
@@ -231,7 +231,7 @@
         pause
     }
 
-    /// Puts a configuration in force if it is newer, and keeps it for gateways that ask.
+    /// Puts a configuration in force if its version is newer, and keeps it for gateways that request it.
     fn take(&self, revision: Revision, content: Content) {
         let table = Table::new(content.clone());
         let version = table.version();
@@ -267,7 +267,7 @@
     }
 }
 
-/// Logs changes of the pool.
+/// Logs changes of the upstream pool.
 pub(crate) fn log_changes(changes: &[upstream::Change]) {
     for change in changes {
         let (word, upstream) = match change {
