--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -8,7 +8,6 @@
 
 mod answer;
 mod assign;
-mod beats;
 mod callers;
 mod clock;
 mod condition;
@@ -16,6 +15,7 @@
 mod dialect;
 mod exchange;
 mod flight;
+mod gossip;
 mod head;
 mod limit;
 mod moving;
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -19,10 +19,10 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::beats;
 use crate::callers;
 use crate::clock::Clock;
 use crate::dialect::Dialect;
+use crate::gossip;
 use crate::settings::Settings;
 use crate::shared::Shared;
 use crate::site;
@@ -127,7 +127,7 @@
     }
     let listener = TcpListener::bind(settings.metrics).await?;
     spawn_local(scrape::serve(listener, metrics));
-    spawn_local(beats::run(Rc::clone(shared), socket));
+    spawn_local(gossip::run(Rc::clone(shared), socket));
     let max_connections = settings.descriptors / DESCRIPTORS_PER_CALLER;
     Ok(spawn_local(callers::listen(
         Rc::clone(shared),
