--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -13,7 +13,7 @@
 use crate::exchange::Sent;
 use crate::head;
 use crate::head::Body;
-use crate::tell::Pace;
+use crate::telemetry::Pace;
 
 /// Maximum size of a buffered response body.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
--- a/crates/relay/src/condition.rs
+++ b/crates/relay/src/condition.rs
@@ -7,7 +7,7 @@
 use crate::dialect::Backoff;
 use crate::exchange::Exchange;
 use crate::flight::Flight;
-use crate::tell::millis;
+use crate::telemetry::millis;
 
 impl Exchange {
     /// Records what a response says about its upstream. A 421 (Misdirected Request) response is ignored: it comes from
--- a/crates/relay/src/crash.rs
+++ b/crates/relay/src/crash.rs
@@ -21,7 +21,7 @@
 use crate::exchange::Exchange;
 use crate::flight::Flight;
 use crate::shared::Shared;
-use crate::tell::millis;
+use crate::telemetry::millis;
 
 /// Maximum time for an address to accept or refuse a connection; the caller's retry waits meanwhile.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -38,8 +38,8 @@
 use crate::head::Body;
 use crate::shared::Shared;
 use crate::stream;
-use crate::tell::millis;
-use crate::tell::refuse;
+use crate::telemetry::millis;
+use crate::telemetry::refuse;
 
 /// Maximum size of a request body while no configuration is loaded.
 const DEFAULT_MAX_BODY_BYTES: usize = 1 << 20;
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -60,7 +60,7 @@
 
 fn record_suspension(shared: &Shared, gap: Duration) {
     if gap > SUSPENSION_THRESHOLD {
-        log::warn!(target: "neighbours", gap_ms = crate::tell::millis(gap); "process did not run for longer than expected");
+        log::warn!(target: "neighbours", gap_ms = crate::telemetry::millis(gap); "process did not run for longer than expected");
         shared.gateway().roster.pause(gap);
     }
 }
@@ -72,7 +72,7 @@
     shared.upstreams_changed(changes);
     let now = shared.now();
     for change in shared.gateway().groups.look(now) {
-        let silent_ms = crate::tell::millis(change.silent);
+        let silent_ms = crate::telemetry::millis(change.silent);
         log::info!(target: "groups", group = &*change.group, is_still = change.is_still, silent_ms; "group stall state changed");
     }
     let (beat, targets) = {
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -25,7 +25,7 @@
 mod site;
 mod source;
 mod stream;
-mod tell;
+mod telemetry;
 
 pub use clock::Clock;
 pub use dialect::Backoff;
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -139,7 +139,7 @@
 /// Shuts down gracefully: announces it, accepts new connections for a while longer, and returns once all connections are closed
 /// or the grace period is nearly over.
 async fn leave(shared: &Shared, grace: Duration, acceptor: &tokio::task::JoinHandle<()>) {
-    log::info!(target: "process", open = shared.open(), grace_ms = crate::tell::millis(grace); "leaving");
+    log::info!(target: "process", open = shared.open(), grace_ms = crate::telemetry::millis(grace); "leaving");
     shared.leave();
     loop {
         let leaving_for = shared.leaving_for().unwrap_or_default();
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -31,7 +31,7 @@
 use crate::clock::Clock;
 use crate::dialect::Dialect;
 use crate::source::log_changes;
-use crate::tell::millis;
+use crate::telemetry::millis;
 
 /// Connect timeout for upstreams: many times a round trip between failure domains, and short relative to
 /// callers' latency targets, so that another upstream can still answer in time.
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -20,7 +20,7 @@
 
 use crate::shared::Shared;
 use crate::shared::tell_regained;
-use crate::tell::millis;
+use crate::telemetry::millis;
 
 /// Interval at which a source checks whether there is something to read.
 const NEED_POLL: Duration = Duration::from_millis(300);
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -25,7 +25,7 @@
 use crate::head;
 use crate::head::Body;
 use crate::head::Broken;
-use crate::tell::Pace;
+use crate::telemetry::Pace;
 
 /// A stream being passed on to a caller.
 struct Transfer {
