--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -18,7 +18,7 @@
 mod gossip;
 mod head;
 mod limit;
-mod moving;
+mod migration;
 mod run;
 mod settings;
 mod shared;
