--- a/crates/relay/src/site.rs
+++ b/crates/relay/src/endpoints.rs
@@ -34,18 +34,18 @@
 const DISCOVERY_LIFETIME: Duration = Duration::from_secs(2);
 
 /// State shared by the endpoints.
-pub(crate) struct Site {
+pub(crate) struct Endpoints {
     pub(crate) shared: Rc<Shared>,
     /// Maximum lifetime of a discovery response that the platform allows.
     pub(crate) max_lifetime: Duration,
 }
 
 /// Accepts connections for as long as the process runs.
-pub(crate) async fn listen(site: Rc<Site>, listener: TcpListener) {
+pub(crate) async fn listen(endpoints: Rc<Endpoints>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                spawn_local(connection(Rc::clone(&site), stream));
+                spawn_local(connection(Rc::clone(&endpoints), stream));
             }
             Err(error) => {
                 let cause = error.to_string();
@@ -56,10 +56,10 @@
     }
 }
 
-async fn connection(site: Rc<Site>, stream: TcpStream) {
+async fn connection(endpoints: Rc<Endpoints>, stream: TcpStream) {
     let service = service_fn(move |request: Request<Incoming>| {
-        let site = Rc::clone(&site);
-        async move { Ok::<_, Infallible>(site.answer(request.uri())) }
+        let endpoints = Rc::clone(&endpoints);
+        async move { Ok::<_, Infallible>(endpoints.answer(request.uri())) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -70,7 +70,7 @@
     }
 }
 
-impl Site {
+impl Endpoints {
     fn answer(&self, uri: &Uri) -> Response<Body> {
         let dialect = &self.shared.dialect;
         if uri.path() == dialect.ready_path() {
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -22,11 +22,11 @@
 use crate::callers;
 use crate::clock::Clock;
 use crate::dialect::Dialect;
+use crate::endpoints;
+use crate::endpoints::Endpoints;
 use crate::gossip;
 use crate::settings::Settings;
 use crate::shared::Shared;
-use crate::site;
-use crate::site::Site;
 use crate::source::Feed;
 use crate::source::Source;
 
@@ -117,13 +117,13 @@
     let callers = TcpListener::bind(settings.callers).await?;
     let socket = Rc::new(UdpSocket::bind(settings.peers).await?);
     shared.set_socket(Rc::clone(&socket));
-    let site = Rc::new(Site {
+    let endpoints = Rc::new(Endpoints {
         shared: Rc::clone(shared),
         max_lifetime: Duration::from_millis(settings.longest_answer_ms),
     });
     for address in [settings.readiness, settings.discovery] {
         let listener = TcpListener::bind(address).await?;
-        spawn_local(site::listen(Rc::clone(&site), listener));
+        spawn_local(endpoints::listen(Rc::clone(&endpoints), listener));
     }
     let listener = TcpListener::bind(settings.metrics).await?;
     spawn_local(scrape::serve(listener, metrics));
