--- a/crates/relay/src/crash.rs
+++ b/crates/relay/src/crash.rs
@@ -102,7 +102,7 @@
     let others = gateway.roster.addresses(now, MAX_NOTIFIED);
     drop(gateway);
     for other in others.into_iter().skip(1) {
-        shared.tell(&message, other);
+        shared.send(&message, other);
     }
 }
 
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -91,7 +91,7 @@
     let messages = [Some(message), crashes, limits];
     for target in targets {
         let present = messages.iter().flatten();
-        present.for_each(|message| shared.tell(message, target));
+        present.for_each(|message| shared.send(message, target));
     }
     limit::lend(shared);
     request_newer_configuration(shared, now);
@@ -112,7 +112,7 @@
     drop(gateway);
     log::info!(target: "store", version:?, ahead:?; "configuration is older than another gateway's; requesting it");
     metrics::counter!("auburnline_configurations_behind_total").increment(1);
-    shared.tell(&Datagram::Behind(version), ahead);
+    shared.send(&Datagram::Behind(version), ahead);
 }
 
 /// Queries the readers of the store for changes, unless this gateway is one of them.
@@ -135,7 +135,7 @@
             configuration,
             ..question
         };
-        shared.tell(&Datagram::Question(question), reader);
+        shared.send(&Datagram::Question(question), reader);
     }
 }
 
@@ -152,14 +152,14 @@
         Ok(Datagram::Introduction(beat)) => handle_beat(shared, beat),
         Ok(Datagram::Ask(ask)) => {
             let members = shared.gateway().members(&ask, shared.now());
-            shared.tell(&Message::Members(members), from);
+            shared.send(&Message::Members(members), from);
         }
         Ok(Datagram::Group(digest)) => handle_digest(shared, &digest),
         Ok(Datagram::Forwarded(Forwarded { to, digest })) => {
             handle_digest(shared, &digest);
             let message = Datagram::Group(digest);
             for gateway in to.into_iter().take(MOST_PASSED_ON) {
-                shared.tell(&message, gateway);
+                shared.send(&message, gateway);
             }
         }
         Ok(Datagram::Question(question)) => {
@@ -169,7 +169,7 @@
         Ok(Datagram::Behind(version)) => {
             let told = shared.gateway().spread.newer(version).cloned();
             if let Some(told) = told {
-                shared.tell(&Datagram::Configuration(Box::new(told)), from);
+                shared.send(&Datagram::Configuration(Box::new(told)), from);
             }
         }
         Ok(Datagram::Answer(answer)) => Feed(Rc::clone(shared)).hear(answer),
@@ -224,5 +224,5 @@
     let gateway = shared.gateway();
     let word = gateway.introduction(now, &mut SmallRng::from_os_rng());
     drop(gateway);
-    shared.tell(&Datagram::Introduction(word), to);
+    shared.send(&Datagram::Introduction(word), to);
 }
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -95,7 +95,7 @@
 async fn ask_home(shared: &Shared, home: SocketAddr, ask: Ask) -> Option<Permit> {
     let asked = shared.now();
     let reply = shared.await_permit(ask.number);
-    shared.tell(&Datagram::LimitAsk(ask), home);
+    shared.send(&Datagram::LimitAsk(ask), home);
     let permit = timeout(REPLY_TIMEOUT, reply).await.ok()?.ok();
     let took = shared.now().saturating_sub(asked);
     histogram!("auburnline_limit_ask_seconds").record(took);
@@ -111,7 +111,7 @@
         Permit::Denied { .. } => "denied",
     };
     counter!("auburnline_limit_permits_total", "outcome" => outcome).increment(1);
-    shared.tell(&Datagram::LimitReply(reply), from);
+    shared.send(&Datagram::LimitReply(reply), from);
 }
 
 /// Handles the reply of a limit's home.
@@ -136,7 +136,7 @@
     let counts = gateway.pool.counts(MAX_COUNTS);
     let word = gateway.roster.word(counts, now);
     drop(gateway);
-    shared.tell(&Datagram::Beat(word), from);
+    shared.send(&Datagram::Beat(word), from);
     for news in &heard {
         log_news(news, "");
     }
@@ -154,7 +154,7 @@
         log::info!(target: "limits", upstream, rate, home:? = limited.home; "home");
     }
     for (home, loan) in loans {
-        shared.tell(&Datagram::Loan(loan), home);
+        shared.send(&Datagram::Loan(loan), home);
     }
 }
 
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -91,7 +91,7 @@
     }
 
     /// Sends a message to another process. Delivery is best effort: a message that cannot be sent is dropped.
-    pub(crate) fn tell(&self, message: &impl Serialize, to: SocketAddr) {
+    pub(crate) fn send(&self, message: &impl Serialize, to: SocketAddr) {
         let Some(socket) = self.socket.get() else {
             return;
         };
@@ -122,10 +122,10 @@
         drop(gateway);
         // The changes go first: the configuration that is asked for is one of them.
         if let Some(answer) = answer {
-            self.tell(&Datagram::Answer(answer), from);
+            self.send(&Datagram::Answer(answer), from);
         }
         if let Some(told) = told {
-            self.tell(&Datagram::Configuration(Box::new(told)), from);
+            self.send(&Datagram::Configuration(Box::new(told)), from);
         }
     }
 
@@ -143,7 +143,7 @@
         let message = Datagram::Answer(answer);
         subscribers
             .keys()
-            .for_each(|subscriber| self.tell(&message, *subscriber));
+            .for_each(|subscriber| self.send(&message, *subscriber));
     }
 
     /// Registers a request that waits for a reply from a limit's home; the receiver yields the reply.
