--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -225,7 +225,7 @@
         let mut gateway = self.gateway();
         let change = gateway.settle(now);
         if change == knowledge::Change::Regained {
-            tell_regained(&gateway, now);
+            log_regained(&gateway, now);
         }
         let is_ready = gateway.is_able(now) && !self.is_leaving();
         if gateway.roster.set_ready(is_ready) {
@@ -293,7 +293,7 @@
 }
 
 /// Logs that the store answers again after a failure.
-pub(crate) fn tell_regained(gateway: &Gateway, now: Monotonic) {
+pub(crate) fn log_regained(gateway: &Gateway, now: Monotonic) {
     let age_ms = millis(gateway.knowledge.age(now).unwrap_or_default());
     log::info!(target: "store", age_ms; "regained");
 }
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -19,7 +19,7 @@
 use tokio::time::timeout;
 
 use crate::shared::Shared;
-use crate::shared::tell_regained;
+use crate::shared::log_regained;
 use crate::telemetry::millis;
 
 /// Interval at which a source checks whether there is something to read.
@@ -202,7 +202,7 @@
         let mut gateway = self.0.gateway();
         let change = gateway.confirm(known_at, now);
         if change == knowledge::Change::Regained {
-            tell_regained(&gateway, now);
+            log_regained(&gateway, now);
         }
         drop(gateway);
         self.0.refresh();
