--- a/crates/relay/src/crash.rs
+++ b/crates/relay/src/crash.rs
@@ -36,7 +36,7 @@
     }
 
     /// Returns the refusal for a quarantined request; `None` if it may be sent.
-    pub(crate) fn hold_back(&self) -> Option<Refusal> {
+    pub(crate) fn quarantine_refusal(&self) -> Option<Refusal> {
         let gateway = self.shared.gateway();
         if gateway.quarantine.is_empty() {
             return None;
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -126,7 +126,7 @@
         call,
     };
     let exchange = Exchange::new(shared, arrival, plan);
-    let admitted = match exchange.hold_back() {
+    let admitted = match exchange.quarantine_refusal() {
         Some(refusal) => Err(refusal),
         None => exchange.readmit().await,
     };
@@ -230,7 +230,7 @@
         after: Option<EventId>,
         patience: Duration,
     ) -> Sent {
-        if let Some(refusal) = self.hold_back() {
+        if let Some(refusal) = self.quarantine_refusal() {
             return Sent::Refused(refusal);
         }
         let (choice, group) = match self.assign(group).await {
@@ -345,7 +345,7 @@
     /// Does the same as [`Exchange::may_run_again`] for a request that was sent `sends` times.
     pub(crate) fn may_run_after(&self, sends: u32) -> bool {
         let is_idempotent = self.plan.route.kind.is_idempotent();
-        is_idempotent && self.hold_back().is_none() && self.may_repeat(sends)
+        is_idempotent && self.quarantine_refusal().is_none() && self.may_repeat(sends)
     }
 
     /// Returns whether another attempt is allowed after `sends`, by the route, the deadline and the retry budget, and takes a
