--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -31,7 +31,7 @@
                 let Ok(Ok(body)) = body else {
                     flight.failed();
                     exchange.log_failure("response body truncated or timed out", &flight);
-                    exchange.look_for_crash(&flight).await;
+                    exchange.detect_crash(&flight).await;
                     if !exchange.may_run_again() {
                         return exchange.give_up("response body truncated or timed out");
                     }
@@ -45,7 +45,7 @@
                     }
                 } else {
                     flight.answered();
-                    exchange.clear();
+                    exchange.clear_suspicion();
                 }
                 exchange.log_answer(reply.status.as_u16(), &Pace::default());
                 let headers = head::end_to_end(&reply.headers);
--- a/crates/relay/src/crash.rs
+++ b/crates/relay/src/crash.rs
@@ -52,7 +52,7 @@
     }
 
     /// Checks after a lost response whether the upstream has crashed, and if so records that this request was running there.
-    pub(crate) async fn look_for_crash(&self, flight: &Flight) {
+    pub(crate) async fn detect_crash(&self, flight: &Flight) {
         let upstream = flight.target();
         if !refuses_connections(upstream.address).await {
             return;
@@ -79,7 +79,7 @@
     }
 
     /// Records that the request was answered, which ends its suspicion.
-    pub(crate) fn clear(&self) {
+    pub(crate) fn clear_suspicion(&self) {
         let now = self.shared.now();
         let mut gateway = self.shared.gateway();
         if !gateway.quarantine.is_empty() {
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -326,7 +326,7 @@
         } else {
             self.sends += 1;
             self.may_have_run = true;
-            self.look_for_crash(flight).await;
+            self.detect_crash(flight).await;
             self.may_run_again()
         };
         Sent::Failed { may_repeat }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -119,7 +119,7 @@
                 Next::Break(cause) => {
                     self.flight.failed();
                     self.exchange.log_failure(cause, &self.flight);
-                    self.exchange.look_for_crash(&self.flight).await;
+                    self.exchange.detect_crash(&self.flight).await;
                     self.record_interruption();
                     if !self.resume().await {
                         self.is_over = true;
@@ -194,7 +194,7 @@
     fn end(&mut self) -> Option<Result<Frame<Bytes>, Broken>> {
         self.is_over = true;
         self.flight.answered();
-        self.exchange.clear();
+        self.exchange.clear_suspicion();
         self.log("complete");
         let rest = self.splitter.rest();
         (!rest.is_empty()).then(|| Ok(Frame::data(rest.into())))
