--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -247,7 +247,7 @@
                 let sent = client.send_within(request, Connection::Fresh, patience);
                 tokio::select! {
                     sent = timeout(patience, sent) => sent,
-                    () = self.leave_for(&upstream, self.sends + 1) => return self.leave(&flight),
+                    () = self.straggler_detected(&upstream, self.sends + 1) => return self.abandon(&flight),
                 }
             }
             Err(failure) => Ok(Err(error_stack::Report::new(failure))),
--- a/crates/relay/src/migration.rs
+++ b/crates/relay/src/migration.rs
@@ -13,7 +13,7 @@
 impl Exchange {
     /// Completes when an upstream has become so slow that it holds up its whole group, and a retry of the request is allowed
     /// after `sends`, which is then taken from the retry budget. Usually never completes.
-    pub(crate) async fn leave_for(&self, upstream: &Upstream, sends: u32) {
+    pub(crate) async fn straggler_detected(&self, upstream: &Upstream, sends: u32) {
         loop {
             self.shared.slowed.notified().await;
             let now = self.shared.now();
@@ -28,7 +28,7 @@
     }
 
     /// Abandons an attempt at a rank that became slow before its response began.
-    pub(crate) fn leave(&mut self, flight: &Flight) -> Sent {
+    pub(crate) fn abandon(&mut self, flight: &Flight) -> Sent {
         self.log_failure("rank became a straggler before it answered", flight);
         counter!("auburnline_moved_streams_total").increment(1);
         self.sends += 1;
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -140,7 +140,7 @@
             };
             let part = tokio::select! {
                 part = timeout(left, body.next()) => part,
-                () = self.exchange.leave_for(self.flight.target(), self.exchange.sends) => {
+                () = self.exchange.straggler_detected(self.flight.target(), self.exchange.sends) => {
                     return Next::Slow;
                 }
             };
