--- a/crates/relay/src/condition.rs
+++ b/crates/relay/src/condition.rs
@@ -12,16 +12,16 @@
 impl Exchange {
     /// Records what a response says about its upstream. A 421 (Misdirected Request) response is ignored: it comes from
     /// another upstream than the one that the request was sent to.
-    pub(crate) fn take_condition(&self, reply: &Reply, flight: &Flight) {
+    pub(crate) fn record_condition(&self, reply: &Reply, flight: &Flight) {
         if reply.status == StatusCode::MISDIRECTED_REQUEST {
             return;
         }
-        self.take_limit(reply, flight);
-        self.take_backoff(reply, flight);
-        self.take_leaving(reply, flight);
+        self.record_limit(reply, flight);
+        self.record_backoff(reply, flight);
+        self.record_leaving(reply, flight);
     }
 
-    fn take_backoff(&self, reply: &Reply, flight: &Flight) {
+    fn record_backoff(&self, reply: &Reply, flight: &Flight) {
         let upstream = &**flight.upstream();
         match self.shared.dialect.backoff(reply.status, &reply.headers) {
             Backoff::Nothing => {}
@@ -47,7 +47,7 @@
         }
     }
 
-    fn take_leaving(&self, reply: &Reply, flight: &Flight) {
+    fn record_leaving(&self, reply: &Reply, flight: &Flight) {
         if !self.shared.dialect.is_leaving(&reply.headers) {
             return;
         }
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -290,7 +290,7 @@
     }
 
     async fn began(&mut self, reply: Reply, mut flight: Flight) -> Sent {
-        self.take_condition(&reply, &flight);
+        self.record_condition(&reply, &flight);
         let dialect = &self.shared.dialect;
         match dialect.verdict(reply.status, &reply.headers, self.id()) {
             Verdict::Answer => {
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -29,7 +29,7 @@
 
 impl Exchange {
     /// Records the rate limit carried by a response. Only a successful response without a limit ends the limit.
-    pub(crate) fn take_limit(&self, reply: &Reply, flight: &Flight) {
+    pub(crate) fn record_limit(&self, reply: &Reply, flight: &Flight) {
         let rate = match self.shared.dialect.limit(&reply.headers) {
             Limit::Nothing if !reply.status.is_success() => return,
             Limit::Nothing => None,
