--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -128,7 +128,7 @@
     let exchange = Exchange::new(shared, arrival, plan);
     let admitted = match exchange.quarantine_refusal() {
         Some(refusal) => Err(refusal),
-        None => exchange.readmit().await,
+        None => exchange.wait_for_admission().await,
     };
     match admitted {
         Ok(()) => exchange.run().await,
@@ -333,7 +333,7 @@
     }
 
     /// Waits until the request is admitted, for its first attempt or for another one.
-    pub(crate) async fn readmit(&self) -> Result<(), Refusal> {
+    pub(crate) async fn wait_for_admission(&self) -> Result<(), Refusal> {
         admit(&self.shared, &self.plan, &self.arrival.call).await
     }
 
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -71,7 +71,7 @@
                 return head::streamed(status, headers, transfer.events());
             }
             Sent::Failed { may_repeat: true } => {
-                if let Err(refusal) = exchange.readmit().await {
+                if let Err(refusal) = exchange.wait_for_admission().await {
                     return exchange.end(&refusal);
                 }
             }
