--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -32,14 +32,14 @@
                     flight.failed();
                     exchange.log_failure("response body truncated or timed out", &flight);
                     exchange.detect_crash(&flight).await;
-                    if !exchange.may_run_again() {
+                    if !exchange.may_rerun() {
                         return exchange.give_up("response body truncated or timed out");
                     }
                     continue;
                 };
                 if reply.status.is_server_error() {
                     flight.failed();
-                    if exchange.may_run_again() {
+                    if exchange.may_rerun() {
                         exchange.log_failure("upstream returned a server error; retrying", &flight);
                         continue;
                     }
@@ -51,8 +51,8 @@
                 let headers = head::end_to_end(&reply.headers);
                 return head::whole(reply.status, headers, body);
             }
-            Sent::Failed { may_repeat: true } => {}
-            Sent::Failed { may_repeat: false } => return exchange.give_up("all attempts failed"),
+            Sent::Failed { may_retry: true } => {}
+            Sent::Failed { may_retry: false } => return exchange.give_up("all attempts failed"),
             Sent::Refused(refusal) => return exchange.end(&refusal),
         }
     }
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -80,7 +80,7 @@
     /// The attempt failed without a response to pass on.
     Failed {
         /// Whether another attempt is allowed.
-        may_repeat: bool,
+        may_retry: bool,
     },
     /// No attempt was made: no upstream can take the request, or it is quarantined.
     Refused(Refusal),
@@ -308,7 +308,7 @@
                 gateway.refused(&self.plan, flight.upstream(), flight.group(), now);
                 drop(gateway);
                 Sent::Failed {
-                    may_repeat: self.may_repeat(self.sends),
+                    may_retry: self.may_retry(self.sends),
                 }
             }
             Verdict::Foreign => {
@@ -320,16 +320,16 @@
 
     async fn failed(&mut self, failure: Failure, flight: &Flight) -> Sent {
         self.log_failure(&failure.to_string(), flight);
-        let may_repeat = if failure == Failure::NotSent {
+        let may_retry = if failure == Failure::NotSent {
             self.unsent += 1;
             self.unsent < MAX_UNSENT_ATTEMPTS
         } else {
             self.sends += 1;
             self.may_have_run = true;
             self.detect_crash(flight).await;
-            self.may_run_again()
+            self.may_rerun()
         };
-        Sent::Failed { may_repeat }
+        Sent::Failed { may_retry }
     }
 
     /// Waits until the request is admitted, for its first attempt or for another one.
@@ -338,19 +338,19 @@
     }
 
     /// Returns whether a request that may have been executed may be sent again, and takes a retry from the budget if so.
-    pub(crate) fn may_run_again(&self) -> bool {
-        self.may_run_after(self.sends)
+    pub(crate) fn may_rerun(&self) -> bool {
+        self.may_rerun_after(self.sends)
     }
 
-    /// Does the same as [`Exchange::may_run_again`] for a request that was sent `sends` times.
-    pub(crate) fn may_run_after(&self, sends: u32) -> bool {
+    /// Does the same as [`Exchange::may_rerun`] for a request that was sent `sends` times.
+    pub(crate) fn may_rerun_after(&self, sends: u32) -> bool {
         let is_idempotent = self.plan.route.kind.is_idempotent();
-        is_idempotent && self.quarantine_refusal().is_none() && self.may_repeat(sends)
+        is_idempotent && self.quarantine_refusal().is_none() && self.may_retry(sends)
     }
 
     /// Returns whether another attempt is allowed after `sends`, by the route, the deadline and the retry budget, and takes a
     /// retry from the budget if so.
-    fn may_repeat(&self, sends: u32) -> bool {
+    fn may_retry(&self, sends: u32) -> bool {
         if sends >= self.plan.route.max_attempts || self.left().is_zero() {
             return false;
         }
--- a/crates/relay/src/migration.rs
+++ b/crates/relay/src/migration.rs
@@ -21,7 +21,7 @@
                 let gateway = self.shared.gateway();
                 gateway.is_better_off_elsewhere(&self.plan, upstream, now)
             };
-            if is_better && self.may_run_after(sends) {
+            if is_better && self.may_rerun_after(sends) {
                 return;
             }
         }
@@ -33,6 +33,6 @@
         counter!("auburnline_moved_streams_total").increment(1);
         self.sends += 1;
         self.may_have_run = true;
-        Sent::Failed { may_repeat: true }
+        Sent::Failed { may_retry: true }
     }
 }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -62,7 +62,7 @@
                 let status = reply.status;
                 if status.is_server_error() {
                     flight.failed();
-                    if exchange.may_run_again() {
+                    if exchange.may_rerun() {
                         exchange.log_failure("upstream returned a server error; retrying", &flight);
                         continue;
                     }
@@ -70,12 +70,12 @@
                 let transfer = Transfer::new(exchange, reply.body, flight, after);
                 return head::streamed(status, headers, transfer.events());
             }
-            Sent::Failed { may_repeat: true } => {
+            Sent::Failed { may_retry: true } => {
                 if let Err(refusal) = exchange.wait_for_admission().await {
                     return exchange.end(&refusal);
                 }
             }
-            Sent::Failed { may_repeat: false } => return exchange.give_up("all attempts failed"),
+            Sent::Failed { may_retry: false } => return exchange.give_up("all attempts failed"),
             Sent::Refused(refusal) => return exchange.end(&refusal),
         }
     }
@@ -216,7 +216,7 @@
 
     /// Resumes the stream at another upstream after a failure; returns whether that succeeded.
     async fn resume(&mut self) -> bool {
-        self.exchange.may_run_again() && self.resume_within(None).await
+        self.exchange.may_rerun() && self.resume_within(None).await
     }
 
     /// Sends the request again for the events after the last whole one; returns whether a successful response began.
@@ -232,7 +232,7 @@
                     counter!("auburnline_resumed_streams_total").increment(1);
                     return true;
                 }
-                Sent::Failed { may_repeat: true } => {}
+                Sent::Failed { may_retry: true } => {}
                 Sent::Began(..) | Sent::Failed { .. } | Sent::Refused(_) => return false,
             }
         }
