--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -163,7 +163,7 @@
 async fn admit(shared: &Shared, plan: &Plan, call: &Call) -> Result<(), Refusal> {
     loop {
         let now = shared.now();
-        let place = shared.place(&plan.service);
+        let capacity_freed = shared.capacity_freed(&plan.service);
         let admission = shared.gateway().admit(plan, now);
         match admission {
             Admission::Go(basis) => {
@@ -179,7 +179,7 @@
                 return Ok(());
             }
             Admission::Wait(until) => {
-                let _ = timeout(until.saturating_sub(now), place.notified()).await;
+                let _ = timeout(until.saturating_sub(now), capacity_freed.notified()).await;
             }
             Admission::Refuse(refusal) => return Err(refusal),
         }
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -197,7 +197,7 @@
         let (group, is_open) = (digest.group.as_str(), digest.is_open);
         log::info!(target: "groups", group, is_open, ranks = digest.engines.len(); "heard");
         let service = ServiceId::from(digest.service.as_str());
-        shared.place(&service).notify_waiters();
+        shared.capacity_freed(&service).notify_waiters();
     }
 }
 
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -50,7 +50,7 @@
     gateway: RefCell<Gateway>,
     pub(crate) dialect: Rc<dyn Dialect>,
     clients: RefCell<HashMap<UpstreamId, Client>>,
-    places: RefCell<HashMap<ServiceId, Rc<Notify>>>,
+    capacity_freed: RefCell<HashMap<ServiceId, Rc<Notify>>>,
     leaving: watch::Sender<bool>,
     leaving_since: Cell<Option<Monotonic>>,
     open: Cell<usize>,
@@ -72,7 +72,7 @@
             gateway: RefCell::new(gateway),
             dialect,
             clients: RefCell::default(),
-            places: RefCell::default(),
+            capacity_freed: RefCell::default(),
             leaving: watch::Sender::new(false),
             leaving_since: Cell::new(None),
             open: Cell::new(0),
@@ -192,9 +192,9 @@
     }
 
     /// Returns the notification for requests that wait for capacity at a service.
-    pub(crate) fn place(&self, service: &ServiceId) -> Rc<Notify> {
-        let mut places = self.places.borrow_mut();
-        Rc::clone(places.entry(service.clone()).or_default())
+    pub(crate) fn capacity_freed(&self, service: &ServiceId) -> Rc<Notify> {
+        let mut capacity_freed = self.capacity_freed.borrow_mut();
+        Rc::clone(capacity_freed.entry(service.clone()).or_default())
     }
 
     /// Logs changes of the upstream pool, and drops the clients of upstreams that are gone.
