--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -191,7 +191,7 @@
     let now = shared.now();
     let heard = shared.gateway().hear(digest, now);
     if heard.has_slowed {
-        shared.slowed.notify_waiters();
+        shared.straggler_reported.notify_waiters();
     }
     if heard.is_changed {
         let (group, is_open) = (digest.group.as_str(), digest.is_open);
--- a/crates/relay/src/migration.rs
+++ b/crates/relay/src/migration.rs
@@ -15,7 +15,7 @@
     /// after `sends`, which is then taken from the retry budget. Usually never completes.
     pub(crate) async fn straggler_detected(&self, upstream: &Upstream, sends: u32) {
         loop {
-            self.shared.slowed.notified().await;
+            self.shared.straggler_reported.notified().await;
             let now = self.shared.now();
             let is_better = {
                 let gateway = self.shared.gateway();
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -55,9 +55,9 @@
     leaving_since: Cell<Option<Monotonic>>,
     open: Cell<usize>,
     /// Wakes the source when there may be something to read.
-    pub(crate) news: Notify,
+    pub(crate) source_wakeup: Notify,
     /// Wakes requests in flight when a rank has become a straggler.
-    pub(crate) slowed: Notify,
+    pub(crate) straggler_reported: Notify,
     /// Gateways that queried this one for changes, with the time of the latest query.
     subscribers: RefCell<HashMap<SocketAddr, Monotonic>>,
     /// Requests that wait for a reply from a limit's home, by the number of the [`Ask`](auburnline_quota::home::Ask).
@@ -76,8 +76,8 @@
             leaving: watch::Sender::new(false),
             leaving_since: Cell::new(None),
             open: Cell::new(0),
-            news: Notify::new(),
-            slowed: Notify::new(),
+            source_wakeup: Notify::new(),
+            straggler_reported: Notify::new(),
             subscribers: RefCell::default(),
             permits: RefCell::default(),
             socket: OnceCell::new(),
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -80,7 +80,7 @@
                 let revision = self.0.gateway().spread.revision();
                 return revision.map_or(Need::All, Need::Changes);
             }
-            let _ = timeout(NEED_POLL, self.0.news.notified()).await;
+            let _ = timeout(NEED_POLL, self.0.source_wakeup.notified()).await;
             waited += NEED_POLL;
         }
     }
@@ -166,7 +166,7 @@
         drop(gateway);
         if is_news {
             log::info!(target: "store", generation, before:?; "another gateway knows a newer generation of the store; reading the whole state again");
-            self.0.news.notify_one();
+            self.0.source_wakeup.notify_one();
         }
     }
 
@@ -184,7 +184,7 @@
             self.know(known_at);
         }
         self.apply(new);
-        self.0.news.notify_one();
+        self.0.source_wakeup.notify_one();
     }
 
     /// Records that the store answered a request sent at `asked`.
