--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -66,8 +66,8 @@
 }
 
 fn tick(shared: &Shared, rng: &mut SmallRng) {
-    shared.refresh();
-    shared.measure();
+    shared.update_readiness();
+    shared.export_revisions();
     let changes = shared.expire();
     shared.upstreams_changed(changes);
     let now = shared.now();
@@ -213,7 +213,7 @@
     drop(gateway);
     if waits_to_serve {
         request_newer_configuration(shared, now);
-        shared.refresh();
+        shared.update_readiness();
     }
 }
 
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -130,7 +130,7 @@
     }
 
     /// Sends the changes after `since` to the gateways that query this one, without waiting for their next query.
-    pub(crate) fn push(&self, since: Revision) {
+    pub(crate) fn push_changes(&self, since: Revision) {
         let now = self.now();
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.retain(|_, asked| now.saturating_sub(*asked) < SUBSCRIPTION_AGE);
@@ -220,7 +220,7 @@
     }
 
     /// Updates readiness from the current state, and logs a change.
-    pub(crate) fn refresh(&self) {
+    pub(crate) fn update_readiness(&self) {
         let now = self.now();
         let mut gateway = self.gateway();
         let change = gateway.settle(now);
@@ -236,7 +236,7 @@
     }
 
     /// Exports the known revisions of the store as metrics.
-    pub(crate) fn measure(&self) {
+    pub(crate) fn export_revisions(&self) {
         let gateway = self.gateway();
         let known = gateway.spread.revision().unwrap_or_default();
         let (heard, read) = gateway.spread.configurations();
@@ -256,7 +256,7 @@
         if self.leaving_since.get().is_none() {
             self.leaving_since.set(Some(self.now()));
             self.leaving.send_replace(true);
-            self.refresh();
+            self.update_readiness();
         }
     }
 
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -103,7 +103,7 @@
         self.confirm(asked);
         self.expire();
         // Gateways that know an earlier generation learn of this one.
-        self.0.push(Revision::default());
+        self.0.push_changes(Revision::default());
     }
 
     /// Applies a configuration written at `revision`; `None` if it could not be decoded.
@@ -141,7 +141,7 @@
         self.confirm(asked);
         self.apply(new);
         if is_news {
-            self.0.push(since);
+            self.0.push_changes(since);
         }
     }
 
@@ -205,7 +205,7 @@
             log_regained(&gateway, now);
         }
         drop(gateway);
-        self.0.refresh();
+        self.0.update_readiness();
     }
 
     /// Records that a request to the store failed; returns the delay before the next one.
@@ -243,7 +243,7 @@
         let outcome = if is_newer { "in_force" } else { "not_newer" };
         log::info!(target: "store", version, before:?, outcome; "configuration");
         metrics::counter!("auburnline_configuration_version").absolute(version);
-        self.0.refresh();
+        self.0.update_readiness();
     }
 
     fn apply(&self, changes: Vec<Published>) {
