--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -94,7 +94,7 @@
 /// Asks a limit's home for a permit; returns `None` if it does not reply in time.
 async fn ask_home(shared: &Shared, home: SocketAddr, ask: Ask) -> Option<Permit> {
     let asked = shared.now();
-    let reply = shared.await_permit(ask.number);
+    let reply = shared.register_permit(ask.number);
     shared.send(&Datagram::LimitAsk(ask), home);
     let permit = timeout(REPLY_TIMEOUT, reply).await.ok()?.ok();
     let took = shared.now().saturating_sub(asked);
@@ -116,7 +116,7 @@
 
 /// Handles the reply of a limit's home.
 pub(crate) fn take_reply(shared: &Shared, reply: home::Reply) {
-    shared.permit(reply.number, reply.permit);
+    shared.deliver_permit(reply.number, reply.permit);
 }
 
 /// Merges limit notices from another gateway.
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -147,7 +147,7 @@
     }
 
     /// Registers a request that waits for a reply from a limit's home; the receiver yields the reply.
-    pub(crate) fn await_permit(&self, number: u64) -> oneshot::Receiver<Permit> {
+    pub(crate) fn register_permit(&self, number: u64) -> oneshot::Receiver<Permit> {
         let (sender, receiver) = oneshot::channel();
         let mut permits = self.permits.borrow_mut();
         // Drops requests that no longer wait, because the reply timed out or the caller disconnected.
@@ -158,7 +158,7 @@
 
     /// Delivers the reply of a limit's home to the request that waits for it. If none does, the reply is late and is counted
     /// as such.
-    pub(crate) fn permit(&self, number: u64, permit: Permit) {
+    pub(crate) fn deliver_permit(&self, number: u64, permit: Permit) {
         let waiting = self.permits.borrow_mut().remove(&number);
         let is_delivered = waiting.is_some_and(|sender| sender.send(permit).is_ok());
         if !is_delivered {
