--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -172,8 +172,8 @@
                 shared.send(&Datagram::Configuration(Box::new(told)), from);
             }
         }
-        Ok(Datagram::Answer(answer)) => Feed(Rc::clone(shared)).hear(answer),
-        Ok(Datagram::Configuration(told)) => Feed(Rc::clone(shared)).told(*told),
+        Ok(Datagram::Answer(answer)) => Feed(Rc::clone(shared)).apply_answer(answer),
+        Ok(Datagram::Configuration(told)) => Feed(Rc::clone(shared)).apply_relayed(*told),
         Ok(Datagram::Crashes(marks)) => crash::hear(shared, &marks),
         Ok(Datagram::Limits(notices)) => limit::hear(shared, &notices, from),
         Ok(Datagram::Loan(loan)) => limit::hear_loan(shared, &loan, from),
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -92,7 +92,7 @@
             .as_ref()
             .map_or_else(Revision::default, |(revision, _)| *revision);
         if let Some((revision, content)) = all.configuration {
-            self.take(revision, content);
+            self.apply_configuration(revision, content);
         }
         self.enter(all.revision.generation);
         let now = self.now();
@@ -100,7 +100,7 @@
         let changes = gateway.read_all(all.upstreams, all.revision, written, now);
         drop(gateway);
         self.0.upstreams_changed(changes);
-        self.confirm(asked);
+        self.record_answer(asked);
         self.expire();
         // Gateways that know an earlier generation learn of this one.
         self.0.push_changes(Revision::default());
@@ -109,13 +109,13 @@
     /// Applies a configuration written at `revision`; `None` if it could not be decoded.
     pub fn configuration(&self, revision: Revision, content: Option<Content>) {
         if let Some(content) = content {
-            self.take(revision, content);
+            self.apply_configuration(revision, content);
         }
         self.0.gateway().spread.read_configuration(revision);
     }
 
     /// Applies a configuration received from another gateway.
-    pub(crate) fn told(&self, told: Told) {
+    pub(crate) fn apply_relayed(&self, told: Told) {
         metrics::counter!("auburnline_configurations_told_total").increment(1);
         self.configuration(told.revision, Some(told.content));
     }
@@ -138,7 +138,7 @@
         }
         let is_news = !published.is_empty();
         let new = self.0.gateway().spread.take(published, until);
-        self.confirm(asked);
+        self.record_answer(asked);
         self.apply(new);
         if is_news {
             self.0.push_changes(since);
@@ -177,27 +177,27 @@
     }
 
     /// Applies the answer of a gateway that reads the store.
-    pub(crate) fn hear(&self, answer: Answer) {
+    pub(crate) fn apply_answer(&self, answer: Answer) {
         self.hint(answer.until.generation);
         let (new, known_at) = self.0.gateway().spread.hear(answer);
         if let Some(known_at) = known_at {
-            self.know(known_at);
+            self.record_known(known_at);
         }
         self.apply(new);
         self.0.source_wakeup.notify_one();
     }
 
     /// Records that the store answered a request sent at `asked`.
-    fn confirm(&self, asked: Monotonic) {
+    fn record_answer(&self, asked: Monotonic) {
         let mut gateway = self.0.gateway();
         gateway.roster.set_cut(false);
         gateway.spread.reach();
         drop(gateway);
-        self.know(asked);
+        self.record_known(asked);
     }
 
     /// Records that all changes up to `known_at` are known.
-    fn know(&self, known_at: Monotonic) {
+    fn record_known(&self, known_at: Monotonic) {
         let now = self.now();
         let mut gateway = self.0.gateway();
         let change = gateway.confirm(known_at, now);
@@ -232,7 +232,7 @@
     }
 
     /// Puts a configuration in force if its version is newer, and keeps it for gateways that request it.
-    fn take(&self, revision: Revision, content: Content) {
+    fn apply_configuration(&self, revision: Revision, content: Content) {
         let table = Table::new(content.clone());
         let version = table.version();
         let mut gateway = self.0.gateway();
