--- a/crates/relay/src/crash.rs
+++ b/crates/relay/src/crash.rs
@@ -107,7 +107,7 @@
 }
 
 /// Merges crash reports from another gateway, and logs the requests that are quarantined as a result.
-pub(crate) fn hear(shared: &Shared, marks: &[Mark]) {
+pub(crate) fn merge_marks(shared: &Shared, marks: &[Mark]) {
     let now = shared.now();
     let held = shared.gateway().quarantine.hear(marks, now);
     for request in held {
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -174,11 +174,11 @@
         }
         Ok(Datagram::Answer(answer)) => Feed(Rc::clone(shared)).apply_answer(answer),
         Ok(Datagram::Configuration(told)) => Feed(Rc::clone(shared)).apply_relayed(*told),
-        Ok(Datagram::Crashes(marks)) => crash::hear(shared, &marks),
-        Ok(Datagram::Limits(notices)) => limit::hear(shared, &notices, from),
-        Ok(Datagram::Loan(loan)) => limit::hear_loan(shared, &loan, from),
+        Ok(Datagram::Crashes(marks)) => crash::merge_marks(shared, &marks),
+        Ok(Datagram::Limits(notices)) => limit::merge_notices(shared, &notices, from),
+        Ok(Datagram::Loan(loan)) => limit::accept_loan(shared, &loan, from),
         Ok(Datagram::LimitAsk(ask)) => limit::answer(shared, ask, from),
-        Ok(Datagram::LimitReply(reply)) => limit::take_reply(shared, reply),
+        Ok(Datagram::LimitReply(reply)) => limit::deliver_reply(shared, reply),
         Err(error) => {
             let cause = error.to_string();
             log::debug!(target: "neighbours", cause = cause.as_str(); "malformed message");
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -115,12 +115,12 @@
 }
 
 /// Handles the reply of a limit's home.
-pub(crate) fn take_reply(shared: &Shared, reply: home::Reply) {
+pub(crate) fn deliver_reply(shared: &Shared, reply: home::Reply) {
     shared.deliver_permit(reply.number, reply.permit);
 }
 
 /// Merges limit notices from another gateway.
-pub(crate) fn hear(shared: &Shared, notices: &[Notice], from: SocketAddr) {
+pub(crate) fn merge_notices(shared: &Shared, notices: &[Notice], from: SocketAddr) {
     let now = shared.now();
     let heard = shared.gateway().hear_limits(notices, from, now);
     for news in &heard {
@@ -129,7 +129,7 @@
 }
 
 /// Accepts the shares lent by another gateway, and replies with the latest heartbeat, on the basis of which it lends again.
-pub(crate) fn hear_loan(shared: &Shared, loan: &Loan, from: SocketAddr) {
+pub(crate) fn accept_loan(shared: &Shared, loan: &Loan, from: SocketAddr) {
     let now = shared.now();
     let mut gateway = shared.gateway();
     let heard = gateway.hear_loan(loan, from, now);
