--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -60,7 +60,7 @@
 
 /// Returns the time limit of the next attempt.
 fn attempt_timeout(exchange: &Exchange) -> Duration {
-    let left = exchange.left();
+    let left = exchange.time_left();
     let is_last = exchange.sends + 1 >= exchange.plan.route.max_attempts;
     if exchange.plan.route.kind == Kind::Safe && !is_last {
         left.mul_f64(RETRYABLE_TIMEOUT_FRACTION)
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -213,7 +213,7 @@
     }
 
     /// Returns the time left until the request's deadline.
-    pub(crate) fn left(&self) -> Duration {
+    pub(crate) fn time_left(&self) -> Duration {
         self.plan.due.saturating_sub(self.shared.now())
     }
 
@@ -277,7 +277,7 @@
         let workspace = self.plan.workspace.as_ref();
         let onward = Onward {
             upstream,
-            left: self.left(),
+            left: self.time_left(),
             workspace: workspace.map(|workspace| &*workspace.name),
             after,
         };
@@ -351,7 +351,7 @@
     /// Returns whether another attempt is allowed after `sends`, by the route, the deadline and the retry budget, and takes a
     /// retry from the budget if so.
     fn may_retry(&self, sends: u32) -> bool {
-        if sends >= self.plan.route.max_attempts || self.left().is_zero() {
+        if sends >= self.plan.route.max_attempts || self.time_left().is_zero() {
             return false;
         }
         let now = self.shared.now();
@@ -371,7 +371,7 @@
 
     /// Answers with an error whose kind reflects whether the request may have been executed and whether its deadline passed.
     pub(crate) fn give_up(&self, reason: &'static str) -> Response<Body> {
-        let is_late = self.left().is_zero();
+        let is_late = self.time_left().is_zero();
         let kind = match (self.may_have_run, is_late) {
             (true, true) => Kind::Timeout,
             (true, false) => Kind::OutcomeUnknown,
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -55,7 +55,7 @@
 pub(crate) async fn serve(mut exchange: Exchange) -> Response<Body> {
     let after = exchange.arrival.call.after;
     loop {
-        let patience = exchange.left();
+        let patience = exchange.time_left();
         match exchange.send(None, patience).await {
             Sent::Began(reply, mut flight) => {
                 let headers = head::end_to_end(&reply.headers);
@@ -134,7 +134,7 @@
 
     async fn next(&mut self) -> Next {
         loop {
-            let left = self.exchange.left();
+            let left = self.exchange.time_left();
             let Some(body) = &mut self.body else {
                 return Next::Break("no upstream could resume the stream");
             };
@@ -223,7 +223,7 @@
     async fn resume_within(&mut self, group: Option<&GroupId>) -> bool {
         let after = self.splitter.last();
         loop {
-            let patience = self.exchange.left();
+            let patience = self.exchange.time_left();
             match self.exchange.send_within(group, after, patience).await {
                 Sent::Began(reply, flight) if reply.status.is_success() => {
                     self.body = Some(reply.body);
--- a/crates/relay/src/telemetry.rs
+++ b/crates/relay/src/telemetry.rs
@@ -115,7 +115,7 @@
             limit:? = choice.limit,
             score = choice.score,
             candidates = choice.candidates,
-            left_ms = millis(self.left()),
+            left_ms = millis(self.time_left()),
             version = self.plan.version,
             age_ms = millis(self.plan.age);
             "send"
@@ -130,7 +130,7 @@
             request = self.id(),
             upstream = &**flight.upstream(),
             cause,
-            left_ms = millis(self.left());
+            left_ms = millis(self.time_left());
             "fail"
         );
         counter!("auburnline_failures_total").increment(1);
