--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -13,7 +13,7 @@
 use crate::exchange::Sent;
 use crate::head;
 use crate::head::Body;
-use crate::telemetry::Pace;
+use crate::telemetry::Timing;
 
 /// Maximum size of a buffered response body.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
@@ -47,7 +47,7 @@
                     flight.answered();
                     exchange.clear_suspicion();
                 }
-                exchange.log_answer(reply.status.as_u16(), &Pace::default());
+                exchange.log_answer(reply.status.as_u16(), &Timing::default());
                 let headers = head::end_to_end(&reply.headers);
                 return head::whole(reply.status, headers, body);
             }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -25,7 +25,7 @@
 use crate::head;
 use crate::head::Body;
 use crate::head::Broken;
-use crate::telemetry::Pace;
+use crate::telemetry::Timing;
 
 /// A stream being passed on to a caller.
 struct Transfer {
@@ -34,7 +34,7 @@
     body: Option<Incoming>,
     flight: Flight,
     splitter: Splitter,
-    pace: Pace,
+    timing: Timing,
     last_at: Option<Monotonic>,
     is_over: bool,
 }
@@ -88,7 +88,7 @@
             body: Some(body),
             flight,
             splitter: Splitter::after(after),
-            pace: Pace::default(),
+            timing: Timing::default(),
             last_at: None,
             is_over: false,
         }
@@ -153,7 +153,7 @@
             let events = self.splitter.push(&part);
             if events.count > 0 {
                 self.observe();
-                self.pace.events += events.count as u64;
+                self.timing.events += events.count as u64;
             }
             if !events.bytes.is_empty() {
                 return Next::Events(events.bytes.into());
@@ -168,12 +168,12 @@
         match self.last_at.replace(now) {
             None => {
                 let first = now.saturating_sub(plan.arrived);
-                self.pace.first = first;
+                self.timing.first = first;
                 histogram!("auburnline_first_event_seconds").record(first);
             }
             Some(last) => {
                 let pause = now.saturating_sub(last);
-                self.pace.longest_pause = self.pace.longest_pause.max(pause);
+                self.timing.longest_pause = self.timing.longest_pause.max(pause);
                 histogram!("auburnline_pause_seconds").record(pause);
                 let mut gateway = self.exchange.shared.gateway();
                 gateway.observe(plan, self.flight.group(), pause, now);
@@ -241,9 +241,9 @@
     fn log(&mut self, outcome: &'static str) {
         let gateway = self.exchange.shared.gateway();
         let pace = gateway.pace(self.flight.group());
-        self.pace.mean_pass = pace.map(Group::mean_pass).unwrap_or_default();
+        self.timing.mean_pass = pace.map(Group::mean_pass).unwrap_or_default();
         drop(gateway);
         let status = if outcome == "complete" { 200 } else { 0 };
-        self.exchange.log_answer(status, &self.pace);
+        self.exchange.log_answer(status, &self.timing);
     }
 }
--- a/crates/relay/src/telemetry.rs
+++ b/crates/relay/src/telemetry.rs
@@ -21,7 +21,7 @@
 
 /// Timing of a stream's events.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Pace {
+pub(crate) struct Timing {
     pub(crate) events: u64,
     /// Time from the request to its first event.
     pub(crate) first: Duration,
@@ -137,16 +137,16 @@
     }
 
     /// Logs and counts the end of a request that was answered by an upstream.
-    pub(crate) fn log_answer(&self, status: u16, pace: &Pace) {
+    pub(crate) fn log_answer(&self, status: u16, timing: &Timing) {
         let took = self.shared.now().saturating_sub(self.plan.arrived);
         log::info!(
             target: "gateway",
             request = self.id(),
             status,
-            events = pace.events,
-            first_ms = millis(pace.first),
-            longest_pause_ms = millis(pace.longest_pause),
-            mean_pass_ms = millis(pace.mean_pass),
+            events = timing.events,
+            first_ms = millis(timing.first),
+            longest_pause_ms = millis(timing.longest_pause),
+            mean_pass_ms = millis(timing.mean_pass),
             sends = self.sends,
             took_ms = millis(took);
             "answer"
