--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -139,8 +139,8 @@
 async fn read_body(shared: &Shared, body: Incoming) -> Result<Bytes, Kind> {
     let limits = shared.gateway().table().map(|table| table.limits());
     let max_bytes = limits.map_or(DEFAULT_MAX_BODY_BYTES, |limits| limits.body_bytes);
-    let patience = limits.map_or(DEFAULT_BODY_TIMEOUT, |limits| limits.idle);
-    let collected = timeout(patience, Limited::new(body, max_bytes).collect()).await;
+    let time_limit = limits.map_or(DEFAULT_BODY_TIMEOUT, |limits| limits.idle);
+    let collected = timeout(time_limit, Limited::new(body, max_bytes).collect()).await;
     match collected {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Kind::TooLarge),
@@ -217,10 +217,10 @@
         self.plan.due.saturating_sub(self.shared.now())
     }
 
-    /// Makes one attempt at an upstream of any group, and waits at most `patience` for the head of the response. `after` is the
+    /// Makes one attempt at an upstream of any group, and waits at most `time_limit` for the head of the response. `after` is the
     /// event after which a stream is to resume.
-    pub(crate) async fn send(&mut self, after: Option<EventId>, patience: Duration) -> Sent {
-        self.send_within(None, after, patience).await
+    pub(crate) async fn send(&mut self, after: Option<EventId>, time_limit: Duration) -> Sent {
+        self.send_within(None, after, time_limit).await
     }
 
     /// Makes one attempt as [`Exchange::send`] does, at a rank of `group` if one is given.
@@ -228,7 +228,7 @@
         &mut self,
         group: Option<&GroupId>,
         after: Option<EventId>,
-        patience: Duration,
+        time_limit: Duration,
     ) -> Sent {
         if let Some(refusal) = self.quarantine_refusal() {
             return Sent::Refused(refusal);
@@ -244,9 +244,9 @@
         let client = self.shared.client(&upstream);
         let result = match self.request(&client, &upstream.id, after) {
             Ok(request) => {
-                let sent = client.send_within(request, Connection::Fresh, patience);
+                let sent = client.send_within(request, Connection::Fresh, time_limit);
                 tokio::select! {
-                    sent = timeout(patience, sent) => sent,
+                    sent = timeout(time_limit, sent) => sent,
                     () = self.straggler_detected(&upstream, self.sends + 1) => return self.abandon(&flight),
                 }
             }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -55,8 +55,8 @@
 pub(crate) async fn serve(mut exchange: Exchange) -> Response<Body> {
     let after = exchange.arrival.call.after;
     loop {
-        let patience = exchange.time_left();
-        match exchange.send(None, patience).await {
+        let time_limit = exchange.time_left();
+        match exchange.send(None, time_limit).await {
             Sent::Began(reply, mut flight) => {
                 let headers = head::end_to_end(&reply.headers);
                 let status = reply.status;
@@ -223,8 +223,8 @@
     async fn resume_within(&mut self, group: Option<&GroupId>) -> bool {
         let after = self.splitter.last();
         loop {
-            let patience = self.exchange.time_left();
-            match self.exchange.send_within(group, after, patience).await {
+            let time_limit = self.exchange.time_left();
+            match self.exchange.send_within(group, after, time_limit).await {
                 Sent::Began(reply, flight) if reply.status.is_success() => {
                     self.body = Some(reply.body);
                     self.flight = flight;
