--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -92,14 +92,7 @@
     let (head, body) = request.into_parts();
     let call = match shared.dialect.call(&head.uri, &head.headers) {
         Ok(call) => call,
-        Err(kind) => {
-            return refuse(
-                &shared,
-                "",
-                None,
-                &Refusal::of(kind, "malformed request head"),
-            );
-        }
+        Err(kind) => return refuse(&shared, "", None, &Refusal::of(kind, "malformed head")),
     };
     let body = match read_body(&shared, body).await {
         Ok(body) => body,
