--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -222,7 +222,7 @@
 fn introduce(shared: &Shared, to: SocketAddr) {
     let now = shared.now();
     let gateway = shared.gateway();
-    let word = gateway.introduction(now, &mut SmallRng::from_os_rng());
+    let beat = gateway.introduction(now, &mut SmallRng::from_os_rng());
     drop(gateway);
-    shared.send(&Datagram::Introduction(word), to);
+    shared.send(&Datagram::Introduction(beat), to);
 }
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -46,7 +46,7 @@
         let news = gateway.take_limit(flight.target(), rate, flight.began(), now);
         drop(gateway);
         if let Some(news) = news {
-            log_news(&news, self.id());
+            log_limit_change(&news, self.id());
         }
     }
 
@@ -124,7 +124,7 @@
     let now = shared.now();
     let heard = shared.gateway().hear_limits(notices, from, now);
     for news in &heard {
-        log_news(news, "");
+        log_limit_change(news, "");
     }
 }
 
@@ -134,11 +134,11 @@
     let mut gateway = shared.gateway();
     let heard = gateway.hear_loan(loan, from, now);
     let counts = gateway.pool.counts(MAX_COUNTS);
-    let word = gateway.roster.word(counts, now);
+    let beat = gateway.roster.word(counts, now);
     drop(gateway);
-    shared.send(&Datagram::Beat(word), from);
+    shared.send(&Datagram::Beat(beat), from);
     for news in &heard {
-        log_news(news, "");
+        log_limit_change(news, "");
     }
 }
 
@@ -159,7 +159,7 @@
 }
 
 /// Logs that a limit was set, changed or ended; `request` is the id of the request that revealed it, or empty.
-fn log_news(news: &News, request: &str) {
+fn log_limit_change(news: &News, request: &str) {
     let outcome = if news.rate.is_some() {
         "named"
     } else {
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -136,11 +136,11 @@
             };
             published.push((revision, change));
         }
-        let is_news = !published.is_empty();
+        let has_changes = !published.is_empty();
         let new = self.0.gateway().spread.take(published, until);
         self.record_answer(asked);
         self.apply(new);
-        if is_news {
+        if has_changes {
             self.0.push_changes(since);
         }
     }
@@ -247,17 +247,17 @@
     }
 
     fn apply(&self, changes: Vec<Published>) {
-        let mut news = Vec::new();
+        let mut pool_changes = Vec::new();
         let mut gateway = self.0.gateway();
         for change in changes {
             match change {
-                Published::Upstream(upstream) => news.extend(gateway.pool.insert(upstream)),
+                Published::Upstream(upstream) => pool_changes.extend(gateway.pool.insert(upstream)),
                 Published::Missing(id) => gateway.pool.miss(&id),
                 Published::Configuration => {}
             }
         }
         drop(gateway);
-        self.0.upstreams_changed(news);
+        self.0.upstreams_changed(pool_changes);
         self.expire();
     }
 
