--- a/crates/relay/src/crash.rs
+++ b/crates/relay/src/crash.rs
@@ -25,7 +25,8 @@
 
 /// Maximum time for an address to accept or refuse a connection; the caller's retry waits meanwhile.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Maximum number of gateways that are notified immediately of a newly quarantined request; the others learn of it by gossip.
+/// Maximum number of gateways, including this one, that know of a newly quarantined request immediately; the others learn of it by
+/// gossip.
 const MAX_NOTIFIED: usize = 64;
 
 impl Exchange {
