--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to its answer.
+//! Proxying of one caller's request, from its head to its response.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -38,17 +38,18 @@
 use crate::head::Body;
 use crate::shared::Shared;
 use crate::stream;
-use crate::tell::millis;
-use crate::tell::refuse;
+use crate::telemetry::millis;
+use crate::telemetry::refuse;
 
-/// Bound on a body before a configuration tells one.
-const FIRST_BODY_BYTES: usize = 1 << 20;
-/// Longest time for a body to arrive before a configuration tells one.
-const FIRST_PATIENCE: Duration = Duration::from_secs(3);
-/// Sends that may fail before they reach an upstream; these run nowhere and cost no retry budget.
-const MAX_UNSENT: usize = 3;
+/// Maximum size of a request body while no configuration is loaded.
+const DEFAULT_MAX_BODY_BYTES: usize = 1 << 20;
+/// Maximum time for a request body to arrive while no configuration is loaded.
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Number of failed connection attempts after which a request is given up. Since nothing was sent, they do not count against the
+/// retry budget.
+const MAX_UNSENT_ATTEMPTS: usize = 3;
 
-/// A caller's request, whole.
+/// A caller's request after its body was read.
 pub(crate) struct Arrival {
     pub(crate) method: Method,
     pub(crate) path: String,
@@ -57,50 +58,50 @@
     pub(crate) call: Call,
 }
 
-/// One request on its way, with all that its sends need.
+/// A planned request and the state shared by its attempts.
 pub(crate) struct Exchange {
     pub(crate) shared: Rc<Shared>,
     pub(crate) arrival: Arrival,
     pub(crate) plan: Plan,
-    /// Upstreams that it was sent to or that could not be reached.
+    /// Upstreams of all attempts so far, including those that could not be reached.
     pub(crate) tried: Vec<UpstreamId>,
-    /// Sends that reached an upstream.
+    /// Attempts that reached an upstream.
     pub(crate) sends: u32,
-    /// Sends that reached nobody.
+    /// Attempts of which no byte was sent.
     unsent: usize,
-    /// Whether some upstream may have run it.
+    /// Whether an upstream may have executed the request.
     pub(crate) may_have_run: bool,
 }
 
-/// What became of one send.
+/// Result of one attempt.
 pub(crate) enum Sent {
-    /// An answer began.
+    /// The head of a response arrived.
     Began(Reply, Flight),
-    /// No answer; whether another send may follow.
+    /// The attempt failed without a response to pass on.
     Failed {
-        /// Whether another send may follow.
-        may_repeat: bool,
+        /// Whether another attempt is allowed.
+        may_retry: bool,
     },
-    /// No upstream is left.
+    /// No attempt was made: no upstream can take the request, or it is quarantined.
     Refused(Refusal),
 }
 
-/// Serves one request.
+/// Handles one request of a caller.
 pub(crate) async fn serve(shared: Rc<Shared>, request: Request<Incoming>) -> Response<Body> {
     let arrived = shared.now();
     let (head, body) = request.into_parts();
     let call = match shared.dialect.call(&head.uri, &head.headers) {
         Ok(call) => call,
-        Err(kind) => return refuse(&shared, "", None, &Refusal::of(kind, "head not understood")),
+        Err(kind) => return refuse(&shared, "", None, &Refusal::of(kind, "malformed head")),
     };
-    let body = match read(&shared, body).await {
+    let body = match read_body(&shared, body).await {
         Ok(body) => body,
         Err(kind) => {
             return refuse(
                 &shared,
                 &call.id,
                 None,
-                &Refusal::of(kind, "body not taken"),
+                &Refusal::of(kind, "request body not received"),
             );
         }
     };
@@ -118,9 +119,9 @@
         call,
     };
     let exchange = Exchange::new(shared, arrival, plan);
-    let admitted = match exchange.hold_back() {
+    let admitted = match exchange.quarantine_refusal() {
         Some(refusal) => Err(refusal),
-        None => exchange.readmit().await,
+        None => exchange.wait_for_admission().await,
     };
     match admitted {
         Ok(()) => exchange.run().await,
@@ -128,11 +129,11 @@
     }
 }
 
-async fn read(shared: &Shared, body: Incoming) -> Result<Bytes, Kind> {
+async fn read_body(shared: &Shared, body: Incoming) -> Result<Bytes, Kind> {
     let limits = shared.gateway().table().map(|table| table.limits());
-    let most = limits.map_or(FIRST_BODY_BYTES, |limits| limits.body_bytes);
-    let patience = limits.map_or(FIRST_PATIENCE, |limits| limits.idle);
-    let collected = timeout(patience, Limited::new(body, most).collect()).await;
+    let max_bytes = limits.map_or(DEFAULT_MAX_BODY_BYTES, |limits| limits.body_bytes);
+    let time_limit = limits.map_or(DEFAULT_BODY_TIMEOUT, |limits| limits.idle);
+    let collected = timeout(time_limit, Limited::new(body, max_bytes).collect()).await;
     match collected {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Kind::TooLarge),
@@ -151,11 +152,11 @@
     shared.gateway().plan(&request, now)
 }
 
-/// Waits until the request may be sent.
+/// Waits until the request is admitted.
 async fn admit(shared: &Shared, plan: &Plan, call: &Call) -> Result<(), Refusal> {
     loop {
         let now = shared.now();
-        let place = shared.place(&plan.service);
+        let capacity_freed = shared.capacity_freed(&plan.service);
         let admission = shared.gateway().admit(plan, now);
         match admission {
             Admission::Go(basis) => {
@@ -171,7 +172,7 @@
                 return Ok(());
             }
             Admission::Wait(until) => {
-                let _ = timeout(until.saturating_sub(now), place.notified()).await;
+                let _ = timeout(until.saturating_sub(now), capacity_freed.notified()).await;
             }
             Admission::Refuse(refusal) => return Err(refusal),
         }
@@ -199,29 +200,30 @@
         }
     }
 
-    /// Returns the id of the caller's attempt.
+    /// Returns the caller's id for this attempt.
     pub(crate) fn id(&self) -> &str {
         &self.arrival.call.id
     }
 
-    /// Returns the time left until the final answer is due.
-    pub(crate) fn left(&self) -> Duration {
+    /// Returns the time left until the request's deadline.
+    pub(crate) fn time_left(&self) -> Duration {
         self.plan.due.saturating_sub(self.shared.now())
     }
 
-    /// Sends once, and waits no longer than `patience` for the head of the answer.
-    pub(crate) async fn send(&mut self, after: Option<EventId>, patience: Duration) -> Sent {
-        self.send_within(None, after, patience).await
+    /// Makes one attempt at an upstream of any group, and waits at most `time_limit` for the head of the response. `after` is the
+    /// event after which a stream is to resume.
+    pub(crate) async fn send(&mut self, after: Option<EventId>, time_limit: Duration) -> Sent {
+        self.send_within(None, after, time_limit).await
     }
 
-    /// Sends once to a rank of a group, or of any if none is given.
+    /// Makes one attempt as [`Exchange::send`] does, at a rank of `group` if one is given.
     pub(crate) async fn send_within(
         &mut self,
         group: Option<&GroupId>,
         after: Option<EventId>,
-        patience: Duration,
+        time_limit: Duration,
     ) -> Sent {
-        if let Some(refusal) = self.hold_back() {
+        if let Some(refusal) = self.quarantine_refusal() {
             return Sent::Refused(refusal);
         }
         let (choice, group) = match self.assign(group).await {
@@ -235,10 +237,10 @@
         let client = self.shared.client(&upstream);
         let result = match self.request(&client, &upstream.id, after) {
             Ok(request) => {
-                let sent = client.send_within(request, Connection::Fresh, patience);
+                let sent = client.send_within(request, Connection::Fresh, time_limit);
                 tokio::select! {
-                    sent = timeout(patience, sent) => sent,
-                    () = self.leave_for(&upstream, self.sends + 1) => return self.leave(&flight),
+                    sent = timeout(time_limit, sent) => sent,
+                    () = self.straggler_detected(&upstream, self.sends + 1) => return self.abandon(&flight),
                 }
             }
             Err(failure) => Ok(Err(error_stack::Report::new(failure))),
@@ -268,7 +270,7 @@
         let workspace = self.plan.workspace.as_ref();
         let onward = Onward {
             upstream,
-            left: self.left(),
+            left: self.time_left(),
             workspace: workspace.map(|workspace| &*workspace.name),
             after,
         };
@@ -281,7 +283,7 @@
     }
 
     async fn began(&mut self, reply: Reply, mut flight: Flight) -> Sent {
-        self.take_condition(&reply, &flight);
+        self.record_condition(&reply, &flight);
         let dialect = &self.shared.dialect;
         match dialect.verdict(reply.status, &reply.headers, self.id()) {
             Verdict::Answer => {
@@ -293,13 +295,13 @@
             Verdict::NotRun => {
                 self.sends += 1;
                 flight.refused();
-                self.log_failure("refused by the upstream, not run", &flight);
+                self.log_failure("refused by the upstream without executing it", &flight);
                 let now = self.shared.now();
                 let mut gateway = self.shared.gateway();
                 gateway.refused(&self.plan, flight.upstream(), flight.group(), now);
                 drop(gateway);
                 Sent::Failed {
-                    may_repeat: self.may_repeat(self.sends),
+                    may_retry: self.may_retry(self.sends),
                 }
             }
             Verdict::Foreign => {
@@ -311,37 +313,38 @@
 
     async fn failed(&mut self, failure: Failure, flight: &Flight) -> Sent {
         self.log_failure(&failure.to_string(), flight);
-        let may_repeat = if failure == Failure::NotSent {
+        let may_retry = if failure == Failure::NotSent {
             self.unsent += 1;
-            self.unsent < MAX_UNSENT
+            self.unsent < MAX_UNSENT_ATTEMPTS
         } else {
             self.sends += 1;
             self.may_have_run = true;
-            self.look_for_crash(flight).await;
-            self.may_run_again()
+            self.detect_crash(flight).await;
+            self.may_rerun()
         };
-        Sent::Failed { may_repeat }
+        Sent::Failed { may_retry }
     }
 
-    /// Waits until the request may be sent once more.
-    pub(crate) async fn readmit(&self) -> Result<(), Refusal> {
+    /// Waits until the request is admitted, for its first attempt or for another one.
+    pub(crate) async fn wait_for_admission(&self) -> Result<(), Refusal> {
         admit(&self.shared, &self.plan, &self.arrival.call).await
     }
 
-    /// Asks for leave to send once more what may have run.
-    pub(crate) fn may_run_again(&self) -> bool {
-        self.may_run_after(self.sends)
+    /// Returns whether a request that may have been executed may be sent again, and takes a retry from the budget if so.
+    pub(crate) fn may_rerun(&self) -> bool {
+        self.may_rerun_after(self.sends)
     }
 
-    /// Asks the same for a request that was sent so many times.
-    pub(crate) fn may_run_after(&self, sends: u32) -> bool {
+    /// Does the same as [`Exchange::may_rerun`] for a request that was sent `sends` times.
+    pub(crate) fn may_rerun_after(&self, sends: u32) -> bool {
         let is_idempotent = self.plan.route.kind.is_idempotent();
-        is_idempotent && self.hold_back().is_none() && self.may_repeat(sends)
+        is_idempotent && self.quarantine_refusal().is_none() && self.may_retry(sends)
     }
 
-    /// Asks for leave to send to one more upstream after so many sends.
-    fn may_repeat(&self, sends: u32) -> bool {
-        if sends >= self.plan.route.max_attempts || self.left().is_zero() {
+    /// Returns whether another attempt is allowed after `sends`, by the route, the deadline and the retry budget, and takes a
+    /// retry from the budget if so.
+    fn may_retry(&self, sends: u32) -> bool {
+        if sends >= self.plan.route.max_attempts || self.time_left().is_zero() {
             return false;
         }
         let now = self.shared.now();
@@ -351,17 +354,17 @@
         is_allowed
     }
 
-    /// Ends a request that can't be sent again, true to what may have run.
+    /// Ends a request that cannot be sent again. If it may have been executed, the answer says so instead of giving `refusal`.
     pub(crate) fn end(&self, refusal: &Refusal) -> Response<Body> {
         if self.may_have_run {
-            return self.give_up("no upstream is left");
+            return self.give_up("no upstream left to try");
         }
         refuse(&self.shared, self.id(), Some(&self.plan), refusal)
     }
 
-    /// Answers with a failure of the gateway's own, true to what may have run.
+    /// Answers with an error whose kind reflects whether the request may have been executed and whether its deadline passed.
     pub(crate) fn give_up(&self, reason: &'static str) -> Response<Body> {
-        let is_late = self.left().is_zero();
+        let is_late = self.time_left().is_zero();
         let kind = match (self.may_have_run, is_late) {
             (true, true) => Kind::Timeout,
             (true, false) => Kind::OutcomeUnknown,
