--- a/crates/gateway/src/departure.rs
+++ b/crates/gateway/src/departure.rs
@@ -14,7 +14,7 @@
 
 /// One start under an id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Start {
+struct Incarnation {
     id: UpstreamId,
     /// Time of the start; none if it was never told.
     born: Option<u64>,
@@ -22,12 +22,12 @@
 
 /// Some starts of upstreams, each with the number of its note, in the order of noting.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Starts {
-    known: BTreeMap<Start, u64>,
+pub(crate) struct Incarnations {
+    known: BTreeMap<Incarnation, u64>,
     notes: u64,
 }
 
-impl Starts {
+impl Incarnations {
     /// Takes a start in. One that tells no time is taken for those noted under its id, if there are any.
     pub(crate) fn note(&mut self, upstream: &Upstream) {
         self.notes += 1;
@@ -35,14 +35,14 @@
         if is_untold {
             return;
         }
-        let start = Start {
+        let incarnation = Incarnation {
             id: upstream.id.clone(),
             born: upstream.born,
         };
-        self.known.insert(start, self.notes);
+        self.known.insert(incarnation, self.notes);
         if self.known.len() > MOST_KEPT {
             let first = self.known.iter().min_by_key(|(_, number)| **number);
-            if let Some(first) = first.map(|(start, _)| start.clone()) {
+            if let Some(first) = first.map(|(incarnation, _)| incarnation.clone()) {
                 self.known.remove(&first);
             }
         }
@@ -53,7 +53,7 @@
         let noted: Vec<_> = self.of(id).collect();
         for born in noted {
             let id = id.clone();
-            self.known.remove(&Start { id, born });
+            self.known.remove(&Incarnation { id, born });
         }
     }
 
@@ -67,11 +67,13 @@
 
     /// Returns the times of the starts that were noted under an id.
     fn of(&self, id: &UpstreamId) -> impl Iterator<Item = Option<u64>> {
-        let start = |born| Start {
+        let incarnation = |born| Incarnation {
             id: id.clone(),
             born,
         };
-        let all = self.known.range(start(None)..=start(Some(u64::MAX)));
-        all.map(|(start, _)| start.born)
+        let all = self
+            .known
+            .range(incarnation(None)..=incarnation(Some(u64::MAX)));
+        all.map(|(incarnation, _)| incarnation.born)
     }
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -20,7 +20,7 @@
 use serde::Serialize;
 
 use crate::address;
-use crate::departure::Starts;
+use crate::departure::Incarnations;
 use crate::member::Member;
 use crate::quarantine::StartTag;
 use crate::report;
@@ -117,9 +117,9 @@
     elsewhere: HashMap<u32, u32>,
     addresses: address::Book,
     /// Upstreams that said that they leave.
-    leaving: Starts,
+    leaving: Incarnations,
     /// Upstreams that were removed from the list.
-    gone: Starts,
+    gone: Incarnations,
     /// Entries that a copy of the store brought back, and until when they are doubted.
     returned: BTreeMap<UpstreamId, (Upstream, Monotonic)>,
     /// What the leads of groups tell.
