--- a/crates/gateway/src/departure.rs
+++ b/crates/gateway/src/departure.rs
@@ -29,7 +29,7 @@
 
 impl Incarnations {
     /// Takes a start in. One that tells no time is taken for those noted under its id, if there are any.
-    pub(crate) fn note(&mut self, upstream: &Upstream) {
+    pub(crate) fn record(&mut self, upstream: &Upstream) {
         self.notes += 1;
         let is_untold = upstream.born.is_none() && self.of(&upstream.id).next().is_some();
         if is_untold {
@@ -58,7 +58,7 @@
     }
 
     /// Returns whether a start was noted. An entry that tells no time of its start is taken for a noted one.
-    pub(crate) fn holds(&self, upstream: &Upstream) -> bool {
+    pub(crate) fn contains(&self, upstream: &Upstream) -> bool {
         self.of(&upstream.id).any(|born| {
             let starts = born.zip(upstream.born);
             starts.is_none_or(|(known, told)| known == told)
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -132,9 +132,9 @@
         self.addresses.note(&upstream);
         self.gone.forget(&upstream.id);
         self.returned.remove(&upstream.id);
-        if upstream.state == State::Draining || self.leaving.holds(&upstream) {
+        if upstream.state == State::Draining || self.leaving.contains(&upstream) {
             upstream.state = State::Draining;
-            self.leaving.note(&upstream);
+            self.leaving.record(&upstream);
         }
         let known = self.members.get_mut(&upstream.id);
         let known = known.filter(|member| !member.is_earlier_start(&upstream));
@@ -152,7 +152,7 @@
 
     /// Takes that an upstream said itself that it leaves, whatever the list says.
     pub fn leave(&mut self, upstream: &Upstream) -> Option<Change> {
-        self.leaving.note(upstream);
+        self.leaving.record(upstream);
         let known = self.members.get_mut(&upstream.id);
         let member = known.filter(|member| !member.is_earlier_start(upstream))?;
         let was_ready = member.takes_work();
@@ -206,7 +206,7 @@
         let mut gone = Vec::new();
         self.members.retain(|_, member| {
             if member.is_missing {
-                self.gone.note(&member.upstream);
+                self.gone.record(&member.upstream);
                 gone.push(Change::Gone(Arc::clone(&member.upstream)));
             }
             !member.is_missing
--- a/crates/gateway/src/upstream/restore.rs
+++ b/crates/gateway/src/upstream/restore.rs
@@ -21,7 +21,7 @@
     fn is_current(&self, upstream: &Upstream) -> bool {
         match self.members.get(&upstream.id) {
             Some(member) => !member.is_missing && !member.is_later_start(upstream),
-            None => !self.gone.holds(upstream),
+            None => !self.gone.contains(upstream),
         }
     }
 
