--- a/crates/gateway/src/address.rs
+++ b/crates/gateway/src/address.rs
@@ -14,21 +14,21 @@
 
 /// What was listed at each address.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Book {
+pub(crate) struct Index {
     /// When the newest upstream of each service appeared.
     appeared: HashMap<SocketAddr, Vec<(ServiceId, Revision)>>,
     /// Services that the configuration names; all count until one was read.
     services: Option<HashSet<ServiceId>>,
 }
 
-impl Book {
+impl Index {
     /// Takes the services that the configuration in force names.
     pub(crate) fn set_services(&mut self, services: impl IntoIterator<Item = ServiceId>) {
         self.services = Some(services.into_iter().collect());
     }
 
     /// Takes an upstream as listed.
-    pub(crate) fn note(&mut self, upstream: &Upstream) {
+    pub(crate) fn record(&mut self, upstream: &Upstream) {
         let listed = self.appeared.entry(upstream.address).or_default();
         let known = listed
             .iter_mut()
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -115,7 +115,7 @@
     neighbours: HashMap<u64, (Monotonic, HashMap<u32, u32>)>,
     /// Sum of the neighbours' counts.
     elsewhere: HashMap<u32, u32>,
-    addresses: address::Book,
+    addresses: address::Index,
     /// Upstreams that said that they leave.
     leaving: Incarnations,
     /// Upstreams that were removed from the list.
@@ -129,7 +129,7 @@
 impl Pool {
     /// Takes an upstream as written to the list.
     pub fn insert(&mut self, mut upstream: Upstream) -> Option<Change> {
-        self.addresses.note(&upstream);
+        self.addresses.record(&upstream);
         self.gone.forget(&upstream.id);
         self.returned.remove(&upstream.id);
         if upstream.state == State::Draining || self.leaving.contains(&upstream) {
