--- a/crates/gateway/src/member.rs
+++ b/crates/gateway/src/member.rs
@@ -55,19 +55,19 @@
     }
 
     /// Returns whether `upstream` is a later start of this one under its id: nothing of before holds for it.
-    pub(crate) fn is_earlier_start(&self, upstream: &Upstream) -> bool {
+    pub(crate) fn is_other_incarnation(&self, upstream: &Upstream) -> bool {
         let starts = self.upstream.born.zip(upstream.born);
         starts.is_some_and(|(known, told)| known != told)
     }
 
     /// Returns whether this is a later start than that of `upstream`, under its id.
-    pub(crate) fn is_later_start(&self, upstream: &Upstream) -> bool {
+    pub(crate) fn is_newer_than(&self, upstream: &Upstream) -> bool {
         let starts = self.upstream.born.zip(upstream.born);
         starts.is_some_and(|(known, told)| known > told)
     }
 
     /// Takes its entry anew; a start that is not told this time is the one that was told before.
-    pub(crate) fn renew(&mut self, mut upstream: Upstream) {
+    pub(crate) fn update(&mut self, mut upstream: Upstream) {
         upstream.born = upstream.born.or(self.upstream.born);
         self.start = start_tag(&upstream);
         self.upstream = Arc::new(upstream);
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -137,7 +137,7 @@
             self.leaving.record(&upstream);
         }
         let known = self.members.get_mut(&upstream.id);
-        let known = known.filter(|member| !member.is_earlier_start(&upstream));
+        let known = known.filter(|member| !member.is_other_incarnation(&upstream));
         let Some(member) = known else {
             let member = Member::new(upstream);
             let change = Change::Joined(Arc::clone(&member.upstream));
@@ -145,7 +145,7 @@
             return Some(change);
         };
         let was_ready = member.takes_work();
-        member.renew(upstream);
+        member.update(upstream);
         let is_leaving = was_ready && !member.takes_work();
         is_leaving.then(|| Change::Leaving(Arc::clone(&member.upstream)))
     }
@@ -154,7 +154,7 @@
     pub fn leave(&mut self, upstream: &Upstream) -> Option<Change> {
         self.leaving.record(upstream);
         let known = self.members.get_mut(&upstream.id);
-        let member = known.filter(|member| !member.is_earlier_start(upstream))?;
+        let member = known.filter(|member| !member.is_other_incarnation(upstream))?;
         let was_ready = member.takes_work();
         member.leave();
         was_ready.then(|| Change::Leaving(Arc::clone(&member.upstream)))
@@ -164,7 +164,7 @@
     #[must_use]
     pub fn takes_work(&self, upstream: &Upstream) -> bool {
         let member = self.members.get(&upstream.id);
-        let member = member.filter(|member| !member.is_earlier_start(upstream));
+        let member = member.filter(|member| !member.is_other_incarnation(upstream));
         member.is_some_and(Member::takes_work)
     }
 
--- a/crates/gateway/src/upstream/restore.rs
+++ b/crates/gateway/src/upstream/restore.rs
@@ -20,7 +20,7 @@
     /// Returns whether an entry is no older than what is known of its upstream.
     fn is_current(&self, upstream: &Upstream) -> bool {
         match self.members.get(&upstream.id) {
-            Some(member) => !member.is_missing && !member.is_later_start(upstream),
+            Some(member) => !member.is_missing && !member.is_newer_than(upstream),
             None => !self.gone.contains(upstream),
         }
     }
