--- a/crates/gateway/src/neighbour.rs
+++ b/crates/gateway/src/neighbour.rs
@@ -93,7 +93,7 @@
     seeds: Vec<SocketAddr>,
     others: BTreeMap<InstanceId, Known>,
     /// From when on the words of others tell how things are.
-    listening_from: Monotonic,
+    ignored_until: Monotonic,
     /// Most gateways that were members at once, this one included.
     most: usize,
 }
@@ -106,7 +106,7 @@
             me,
             seeds,
             others: BTreeMap::new(),
-            listening_from: Monotonic::ZERO,
+            ignored_until: Monotonic::ZERO,
             most: 1,
         }
     }
@@ -136,7 +136,7 @@
 
     /// Returns the newest version that another live gateway serves by, and the address of one that does. Gateways are
     /// sent to different ones, since a configuration is the longest message.
-    pub(crate) fn newest(&self, now: Monotonic) -> Option<(Version, SocketAddr)> {
+    pub(crate) fn newest_version(&self, now: Monotonic) -> Option<(Version, SocketAddr)> {
         let live = self.others.values().filter(|known| known.lives(now));
         let versions = live.filter_map(|known| Some((known.entry.version?, &known.entry)));
         let newest = versions.max_by_key(|(version, entry)| {
@@ -146,14 +146,14 @@
     }
 
     /// Takes that what was heard before `now` may be out of date.
-    pub(crate) fn listen_from(&mut self, now: Monotonic) {
-        self.listening_from = now;
+    pub(crate) fn ignore_until(&mut self, now: Monotonic) {
+        self.ignored_until = now;
     }
 
     /// Returns whether a gateway that serves spoke of late, or all that are asked first did.
-    pub(crate) fn is_informed(&self, now: Monotonic) -> bool {
+    pub(crate) fn is_view_current(&self, now: Monotonic) -> bool {
         let speaking = self.others.values().filter(|known| {
-            let spoke = known.spoke.filter(|at| *at > self.listening_from);
+            let spoke = known.spoke.filter(|at| *at > self.ignored_until);
             spoke.is_some_and(|at| now.saturating_sub(at) < LIFE)
         });
         let speaking: Vec<&Entry> = speaking.map(|known| &known.entry).collect();
--- a/crates/gateway/src/version.rs
+++ b/crates/gateway/src/version.rs
@@ -86,7 +86,7 @@
 
     /// Returns the address of a gateway that serves by a newer version than this one.
     fn ahead(&self, now: Monotonic) -> Option<SocketAddr> {
-        let (newest, address) = self.roster.newest(now)?;
+        let (newest, address) = self.roster.newest_version(now)?;
         (Some(newest) > self.version()).then_some(address)
     }
 
@@ -95,7 +95,7 @@
         let before = self.lag.known_at;
         // What was heard before a gap, or waited in the socket during it, tells nothing of what others serve by now.
         if before.is_some_and(|before| known_at.saturating_sub(before) >= LIFE) {
-            self.roster.listen_from(now);
+            self.roster.ignore_until(now);
             self.lag.uninformed_since = None;
         }
         self.lag.known_at = before.max(Some(known_at));
@@ -117,7 +117,7 @@
 
     /// Returns whether another gateway told what it serves by, or there was time enough for that.
     fn is_introduced(&mut self, now: Monotonic) -> bool {
-        if self.roster.is_informed(now) {
+        if self.roster.is_view_current(now) {
             self.lag.uninformed_since = None;
             return true;
         }
