--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -119,9 +119,9 @@
     /// Upstreams that said that they leave.
     leaving: Incarnations,
     /// Upstreams that were removed from the list.
-    gone: Incarnations,
+    removed: Incarnations,
     /// Entries that a copy of the store brought back, and until when they are doubted.
-    returned: BTreeMap<UpstreamId, (Upstream, Monotonic)>,
+    untrusted: BTreeMap<UpstreamId, (Upstream, Monotonic)>,
     /// What the leads of groups tell.
     pub(crate) reports: Reports,
 }
@@ -130,8 +130,8 @@
     /// Takes an upstream as written to the list.
     pub fn insert(&mut self, mut upstream: Upstream) -> Option<Change> {
         self.addresses.record(&upstream);
-        self.gone.forget(&upstream.id);
-        self.returned.remove(&upstream.id);
+        self.removed.forget(&upstream.id);
+        self.untrusted.remove(&upstream.id);
         if upstream.state == State::Draining || self.leaving.contains(&upstream) {
             upstream.state = State::Draining;
             self.leaving.record(&upstream);
@@ -175,7 +175,7 @@
 
     /// Takes that an upstream is missing from the list; [`Pool::expire`] removes it.
     pub fn miss(&mut self, id: &str) {
-        self.returned.remove(id);
+        self.untrusted.remove(id);
         if let Some(member) = self.members.get_mut(id) {
             member.is_missing = true;
         }
@@ -184,7 +184,7 @@
     /// Takes a whole list: what it does not hold is missing.
     pub fn replace(&mut self, upstreams: Vec<Upstream>) -> Vec<Change> {
         let listed: Vec<UpstreamId> = upstreams.iter().map(|one| one.id.clone()).collect();
-        let doubted: Vec<UpstreamId> = self.returned.keys().cloned().collect();
+        let doubted: Vec<UpstreamId> = self.untrusted.keys().cloned().collect();
         let believed = upstreams.into_iter();
         let believed = believed.filter(|one| !doubted.contains(&one.id));
         let changes = believed.filter_map(|one| self.insert(one)).collect();
@@ -203,20 +203,20 @@
         if is_doubtful {
             return Vec::new();
         }
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         self.members.retain(|_, member| {
             if member.is_missing {
-                self.gone.record(&member.upstream);
-                gone.push(Change::Gone(Arc::clone(&member.upstream)));
+                self.removed.record(&member.upstream);
+                removed.push(Change::Gone(Arc::clone(&member.upstream)));
             }
             !member.is_missing
         });
-        if !gone.is_empty() {
+        if !removed.is_empty() {
             let members = self.members.values();
             let used: HashSet<_> = members.map(|member| member.upstream.address).collect();
             self.addresses.retain(&used);
         }
-        gone
+        removed
     }
 
     /// Takes what a neighbour has in flight.
--- a/crates/gateway/src/upstream/restore.rs
+++ b/crates/gateway/src/upstream/restore.rs
@@ -13,7 +13,7 @@
         let upstreams = upstreams.into_iter();
         let (believed, doubted): (Vec<_>, Vec<_>) = upstreams.partition(|one| self.is_current(one));
         let doubted = doubted.into_iter();
-        self.returned = doubted.map(|one| (one.id.clone(), (one, until))).collect();
+        self.untrusted = doubted.map(|one| (one.id.clone(), (one, until))).collect();
         self.replace(believed)
     }
 
@@ -21,14 +21,14 @@
     fn is_current(&self, upstream: &Upstream) -> bool {
         match self.members.get(&upstream.id) {
             Some(member) => !member.is_missing && !member.is_newer_than(upstream),
-            None => !self.gone.contains(upstream),
+            None => !self.removed.contains(upstream),
         }
     }
 
     /// Takes the entries that were doubted long enough and have not lapsed.
     pub fn admit(&mut self, now: Monotonic) -> Vec<Change> {
-        let returned = self.returned.values();
-        let due = returned.filter(|(_, until)| now >= *until);
+        let untrusted = self.untrusted.values();
+        let due = untrusted.filter(|(_, until)| now >= *until);
         let due: Vec<_> = due.map(|(upstream, _)| upstream.clone()).collect();
         due.into_iter().filter_map(|one| self.insert(one)).collect()
     }
