--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -1,13 +1,16 @@
-//! Who reads the store, and how the others learn what it says.
+//! Distribution of the published state: which gateways read the store, and how the others get the
+//! changes from them.
 //!
-//! Each failure domain has a few readers, chosen alike by all from who lives and reaches the store. The
-//! others ask them and get the changes since the revision that they know, or hear that they must read
-//! all by themselves. An answer counts as asked when the question was sent, less the reader's own
-//! age, so that what was held up on the way never seems younger than it is.
+//! Each failure domain has a few readers. All gateways select the same ones from the set of live
+//! gateways that reach the store. The others query a reader and get the changes since the revision
+//! they know, or learn that they have to read the full state themselves. An answer is dated to the
+//! time its query was sent, minus the age of the reader's own knowledge, so that a delayed message
+//! never makes knowledge look younger than it is.
 //!
-//! A store that comes back from a copy gives revisions out again. So a [`Revision`] belongs to a generation of the store, and
-//! nothing of one generation is compared with another by its number alone. A gateway that learns of another one from the store, or of a newer one from
-//! another gateway, reads all anew.
+//! A store that is restored from a backup assigns the same revision numbers again. Therefore a
+//! [`Revision`] includes a generation of the store, and numbers are never compared across
+//! generations. A gateway that learns of a different generation from the store, or of a newer one
+//! from another gateway, reads the full state again.
 
 mod revision;
 
@@ -29,151 +32,160 @@
 pub use revision::Reading;
 pub use revision::Revision;
 
-/// Readers of a failure domain: one may die while another is not yet chosen.
-const READERS: usize = 2;
-/// Gateways of a failure domain up to which all read: asking would save nothing.
-const ALL_READ: usize = 3;
-/// Changes that a reader keeps for those who ask: several seconds of the busiest days.
-const KEPT: usize = 256;
-/// Changes that one answer holds, so that it stays within one datagram.
-const TOLD: usize = 64;
-/// Age of knowledge from which on a gateway reads by itself, whoever else should: two periods of a
-/// watch and a question, and well before keys are not trusted any more.
-const HELP_YOURSELF: Duration = Duration::from_millis(2_800);
-
-/// Time within which a configuration that was heard of is told by a reader, after two or three questions; then a gateway reads
-/// it by itself, well within the bound on configurations.
-const TOLD_WITHIN: Duration = Duration::from_millis(900);
-
-/// Pause of a reader after a question without answer, and the longest one of a gateway that reads only because nobody tells
-/// it anything. Calls that a store turns away load it as well, and once a reader is answered again, the others are told.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
-
-/// One change of what is published.
+/// Readers per failure domain: two, so that one is left while the replacement of a failed one is
+/// not yet selected.
+const READERS_PER_DOMAIN: usize = 2;
+/// Largest failure domain in which all gateways are readers, since querying each other would save
+/// no calls to the store.
+const MAX_DOMAIN_OF_READERS: usize = 3;
+/// Changes that a reader keeps to answer queries: several seconds at the highest rate of change.
+const MAX_KEPT_CHANGES: usize = 256;
+/// Maximum changes in an answer, so that it fits into one datagram.
+const MAX_ANSWER_CHANGES: usize = 64;
+/// Age of the local knowledge from which a gateway reads the store itself, reader or not: two
+/// periods of a watch plus a query, and well before API keys stop being trusted.
+const SELF_READ_AGE: Duration = Duration::from_millis(2_800);
+
+/// Time that a gateway waits for a reader to send an announced configuration, which allows two or
+/// three queries. Then it reads the configuration itself, well within the bound on putting
+/// configurations in force.
+const CONFIGURATION_WAIT: Duration = Duration::from_millis(900);
+
+/// Shortest and longest delay before the store is asked again after a failure. Readers always use
+/// the shortest one; a gateway that reads only because no reader answers it backs off up to the
+/// longest. Rejected calls also load the store, and once a reader gets answers again it informs the
+/// others.
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
+
+/// One change of the published state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Published {
-    /// An upstream was written.
+    /// An upstream was added or rewritten.
     Upstream(Upstream),
-    /// An upstream is missing.
+    /// An upstream was removed from the list.
     Missing(UpstreamId),
-    /// A configuration was written; it is asked for by itself.
+    /// A configuration was written; its content is requested separately.
     Configuration,
 }
 
-/// Question for what changed.
+/// Request of a gateway for the changes since the revision it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Question {
-    /// Number of the question at its sender.
+    /// Sequence number assigned by the sender, returned in the [`Answer`].
     pub number: u64,
-    /// Revision that the sender knows.
+    /// Revision up to which the sender knows the state.
     pub revision: Revision,
-    /// Revision of the configuration that the sender has, if it waits for a newer one.
+    /// Revision of the sender's configuration; set only while it waits for a newer one.
     pub configuration: Option<Revision>,
 }
 
-/// A configuration on its way to another gateway.
+/// Configuration that a gateway sends to another one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Told {
-    /// Revision at which it was written.
+    /// Revision of the store at which it was written.
     pub revision: Revision,
-    /// What it says.
+    /// Content of the configuration.
     pub content: Content,
 }
 
-/// Answer of a reader.
+/// Changes that a reader sends, in reply to a [`Question`] or unsolicited.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Number of the question; none if nobody asked.
+    /// Number of the question; `None` if the answer is unsolicited.
     pub number: Option<u64>,
     /// Revision after which the changes begin.
     pub since: Revision,
-    /// Revision up to which nothing is missing.
+    /// Revision up to which the changes are complete.
     pub until: Revision,
-    /// Age of the reader's knowledge.
+    /// Age of the reader's knowledge when it sent the answer.
     pub age: Duration,
-    /// Changes, in order.
+    /// Changes in order of revision.
     pub changes: Vec<(Revision, Published)>,
 }
 
-/// What this gateway has to read now.
+/// What this gateway has to read from the store now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
-    /// All that is published.
+    /// The full published state.
     All,
-    /// The configuration.
+    /// Only the configuration.
     Configuration,
-    /// Changes after a revision, as a reader.
+    /// As a reader, the changes after a revision.
     Changes(Revision),
-    /// Nothing; others read.
+    /// Nothing, since other gateways are the readers.
     Nothing,
 }
 
-/// State of the spread at one gateway.
+/// Knowledge of the published state at one gateway, and what it needs to distribute changes.
 #[derive(Clone, Debug, Default)]
 pub struct Spread {
-    /// Generation that the store named last.
+    /// Generation that the store reported last.
     generation: Generation,
-    /// Newest generation that another gateway told of.
-    told_of: Generation,
-    /// Generation of which all was read last.
-    read_of: Option<Generation>,
+    /// Newest generation that another gateway reported.
+    reported_generation: Generation,
+    /// Generation of the last full read.
+    full_read_generation: Option<Generation>,
     revision: Option<Revision>,
-    /// Revision of the newest configuration that was heard of, and of the one that was read.
+    /// Revisions of the newest configuration that was announced, and of the newest one that was
+    /// read.
     heard: Revision,
     read: Revision,
-    /// Since when one that was heard of is missing here.
-    awaited: Option<Monotonic>,
-    /// The newest one, for those who ask.
+    /// Since when an announced configuration has been missing here.
+    awaited_since: Option<Monotonic>,
+    /// Newest configuration, kept to answer queries.
     told: Option<Told>,
     changes: VecDeque<(Revision, Published)>,
-    /// Revision after which `changes` holds all.
+    /// Revision after which `changes` is complete.
     kept_after: Revision,
-    /// Questions to the store without answer, one after the other.
-    misses: u32,
-    /// The last question, and when it was sent.
+    /// Consecutive requests to the store without an answer.
+    failures: u32,
+    /// Number of the last question and the time it was sent.
     asked: Option<(u64, Monotonic)>,
     number: u64,
 }
 
 impl Spread {
-    /// Returns the revision that is known.
+    /// Returns the revision up to which the state is known; `None` until the first full read and
+    /// while another full read is due.
     #[must_use]
     pub const fn revision(&self) -> Option<Revision> {
         self.revision
     }
 
-    /// Takes that the store is of this generation, as it says itself; returns whether it was of another one. Calls of one gateway
-    /// follow one another, so each answer is newer than those before.
+    /// Records the generation that the store itself reported; returns whether it differs from the
+    /// previous one. A gateway's calls to the store are sequential, so each report is newer than
+    /// the ones before.
     pub fn enter(&mut self, generation: Generation) -> bool {
         let is_other = generation != self.generation;
         if is_other {
             self.generation = generation;
-            self.begin_anew();
+            self.reset();
         }
         is_other
     }
 
-    /// Takes that another gateway knows this generation; returns whether that is news. The store has to confirm it: a word that is
-    /// wrong costs one reading and keeps nothing out.
+    /// Records the generation that another gateway reported; returns whether it is new. The store
+    /// has to confirm it: a wrong report costs one full read and doesn't block later generations.
     pub fn hint(&mut self, generation: Generation) -> bool {
-        let is_news = generation > self.generation.max(self.told_of);
-        if is_news {
-            self.told_of = generation;
-            self.begin_anew();
+        let is_new = generation > self.generation.max(self.reported_generation);
+        if is_new {
+            self.reported_generation = generation;
+            self.reset();
         }
-        is_news
+        is_new
     }
 
-    /// Lets all be read anew.
-    fn begin_anew(&mut self) {
+    /// Discards the known revision and changes, so that the full state is read again.
+    fn reset(&mut self) {
         self.revision = None;
         self.changes.clear();
     }
 
-    /// Takes that all was read as of `revision`, and a configuration written at `configuration`.
+    /// Records a full read as of `revision`, with a configuration that was written at
+    /// `configuration`.
     pub fn read_all(&mut self, revision: Revision, configuration: Revision) -> Reading {
         self.enter(revision.generation);
-        let before = self.read_of.replace(revision.generation);
+        let before = self.full_read_generation.replace(revision.generation);
         self.revision = Some(revision);
         self.read_configuration(configuration);
         self.changes.clear();
@@ -184,14 +196,15 @@
         }
     }
 
-    /// Takes that a configuration written at `revision` was read.
+    /// Records that a configuration written at `revision` was read.
     pub fn read_configuration(&mut self, revision: Revision) {
         self.read = self.read.max(revision);
         self.heard = self.heard.max(revision);
-        self.awaited = None;
+        self.awaited_since = None;
     }
 
-    /// Keeps a configuration for those who ask. Versions only grow, while a restored store may have an older one again.
+    /// Keeps a configuration to answer queries. The order is by version first: versions only
+    /// increase, whereas a restored store may contain an older one at a later revision.
     pub fn keep(&mut self, told: Told) {
         let order = |told: &Told| (told.content.version, told.revision);
         let is_newer = self
@@ -203,54 +216,56 @@
         }
     }
 
-    /// Returns the configuration that answers a question; none if nothing newer than the sender has is kept.
+    /// Returns the kept configuration to send in reply to a question; `None` if the sender doesn't
+    /// ask for one or has it already.
     #[must_use]
     pub fn told(&self, question: Question) -> Option<&Told> {
         let known = question.configuration?;
         self.told.as_ref().filter(|told| told.revision > known)
     }
 
-    /// Returns the configuration that is kept, if it is newer than this version.
+    /// Returns the kept configuration if its version is newer than `version`.
     #[must_use]
     pub fn newer(&self, version: Option<Version>) -> Option<&Told> {
         let told = self.told.as_ref();
         told.filter(|told| Some(told.content.version) > version)
     }
 
-    /// Returns whether a configuration was heard of that is not here yet.
+    /// Returns whether a configuration was announced that has not been read yet.
     #[must_use]
     pub fn awaits_configuration(&self) -> bool {
         self.heard > self.read
     }
 
-    /// Returns the revisions of the newest configuration that was heard of and of the one that was read.
+    /// Returns the revisions of the newest configuration that was announced and of the newest one
+    /// that was read.
     #[must_use]
     pub const fn configurations(&self) -> (Revision, Revision) {
         (self.heard, self.read)
     }
 
-    /// Takes that the store answered.
+    /// Records that the store answered.
     pub const fn reach(&mut self) {
-        self.misses = 0;
+        self.failures = 0;
     }
 
-    /// Takes that the store did not answer; returns when to ask it again. Gateways that nobody relies on ask less and less
-    /// often.
+    /// Records that the store did not answer; returns the delay before the next attempt. It grows
+    /// for gateways that are not readers, since no other gateway depends on them.
     pub fn miss(&mut self, is_reader: bool) -> Duration {
-        let (shortest, longest) = PAUSES;
-        let times = if is_reader { 0 } else { self.misses };
-        self.misses += 1;
+        let (shortest, longest) = RETRY_DELAYS;
+        let times = if is_reader { 0 } else { self.failures };
+        self.failures += 1;
         let factor = 2_u32.saturating_pow(times);
         shortest.saturating_mul(factor).min(longest)
     }
 
-    /// Takes that the store no longer has the changes after the known revision.
+    /// Records that the store no longer has the changes after the known revision.
     pub const fn forget(&mut self) {
         self.revision = None;
     }
 
-    /// Takes changes up to `until`, in order; returns those that are new. Changes of another generation than what is known tell
-    /// nothing.
+    /// Applies changes up to `until`, in order of revision; returns those that are new. Changes of
+    /// a generation other than the known one are ignored.
     pub fn take(&mut self, changes: Vec<(Revision, Published)>, until: Revision) -> Vec<Published> {
         let known = self.revision;
         let Some(known) = known.filter(|known| known.generation == until.generation) else {
@@ -267,7 +282,7 @@
             self.changes.push_back((revision, change.clone()));
             new.push(change);
         }
-        while self.changes.len() > KEPT {
+        while self.changes.len() > MAX_KEPT_CHANGES {
             if let Some((revision, _)) = self.changes.pop_front() {
                 self.kept_after = revision;
             }
@@ -276,14 +291,15 @@
         new
     }
 
-    /// Says what this gateway has to read. A configuration that others have is read here only if none of them tells it.
+    /// Returns what this gateway has to read. A gateway that is not a reader reads an announced
+    /// configuration only if no other gateway sends it in time.
     pub fn need(&mut self, is_reader: bool, now: Monotonic) -> Need {
         let Some(revision) = self.revision else {
             return Need::All;
         };
         if self.awaits_configuration() {
-            let awaited = *self.awaited.get_or_insert(now);
-            if is_reader || now.saturating_sub(awaited) >= TOLD_WITHIN {
+            let awaited_since = *self.awaited_since.get_or_insert(now);
+            if is_reader || now.saturating_sub(awaited_since) >= CONFIGURATION_WAIT {
                 return Need::Configuration;
             }
         }
@@ -294,7 +310,7 @@
         }
     }
 
-    /// Makes the next question; none before all was read once.
+    /// Creates the next question; `None` if no full read has succeeded.
     pub fn question(&mut self, now: Monotonic) -> Option<Question> {
         let revision = self.revision?;
         self.number += 1;
@@ -306,7 +322,8 @@
         })
     }
 
-    /// Answers a question; none if nothing is known or the changes are no longer kept.
+    /// Returns the answer to a question; `None` if nothing is known yet or the changes since its
+    /// revision are no longer kept.
     #[must_use]
     pub fn answer(&self, question: Question, age: Duration) -> Option<Answer> {
         let answer = self.since(question.revision, age)?;
@@ -316,8 +333,8 @@
         })
     }
 
-    /// Returns the changes after `since` for those who did not ask. Those who know an earlier generation only learn that there is
-    /// another one.
+    /// Returns an unsolicited answer with the changes after `since`. For an earlier generation it
+    /// holds no changes and only announces the current generation.
     #[must_use]
     pub fn since(&self, since: Revision, age: Duration) -> Option<Answer> {
         let known = self.revision?;
@@ -337,10 +354,10 @@
             .changes
             .iter()
             .filter(|(revision, _)| *revision > since);
-        let changes: Vec<_> = later.take(TOLD).cloned().collect();
-        let is_cut = changes.len() == TOLD;
+        let changes: Vec<_> = later.take(MAX_ANSWER_CHANGES).cloned().collect();
+        let is_truncated = changes.len() == MAX_ANSWER_CHANGES;
         let last = changes.last().map_or(known, |(revision, _)| *revision);
-        let until = if is_cut { last } else { known };
+        let until = if is_truncated { last } else { known };
         Some(Answer {
             number: None,
             since,
@@ -350,39 +367,41 @@
         })
     }
 
-    /// Takes an answer of a reader. Returns what is new, and as of when all up to now is known, if it is.
+    /// Applies the answer of a reader. Returns the new changes and, if it confirms that everything
+    /// up to now is known, the time as of which it does.
     pub fn hear(&mut self, answer: Answer) -> (Vec<Published>, Option<Monotonic>) {
         let Some(known) = self.revision else {
             return (Vec::new(), None);
         };
         if answer.since > known || answer.until.generation < known.generation {
-            // Changes between are missing, and the next question asks for them; or the reader is behind.
+            // Either changes in between are missing, which the next question requests, or the
+            // reader is behind.
             return (Vec::new(), None);
         }
         let until = answer.until;
         let new = self.take(answer.changes, until);
         // A reader that knows less than this gateway confirms nothing.
-        let is_whole = until >= known && self.heard <= self.read;
+        let is_complete = until >= known && self.heard <= self.read;
         let asked = self
             .asked
             .filter(|(number, _)| Some(*number) == answer.number);
         let asked = asked.map(|(_, at)| at.saturating_sub(answer.age));
-        (new, asked.filter(|_| is_whole))
+        (new, asked.filter(|_| is_complete))
     }
 }
 
-/// Returns the readers among the gateways of one failure domain that live and reach the store.
+/// Returns the readers among the live gateways of one failure domain that reach the store.
 #[must_use]
 pub fn readers(mut able: Vec<&Entry>) -> Vec<&Entry> {
-    if able.len() > ALL_READ {
+    if able.len() > MAX_DOMAIN_OF_READERS {
         able.sort_by_key(|entry| std::cmp::Reverse(rendezvous("readers", &entry.instance)));
-        able.truncate(READERS);
+        able.truncate(READERS_PER_DOMAIN);
     }
     able
 }
 
-/// Returns whether knowledge of this age is so old that a gateway reads by itself.
+/// Returns whether knowledge of this age requires a gateway to read the store itself.
 #[must_use]
 pub fn helps_itself(age: Option<Duration>) -> bool {
-    age.is_none_or(|age| age > HELP_YOURSELF)
+    age.is_none_or(|age| age > SELF_READ_AGE)
 }
