--- a/crates/gateway/src/spread/revision.rs
+++ b/crates/gateway/src/spread/revision.rs
@@ -1,27 +1,28 @@
-//! Revisions of a store that may come back from a copy.
+//! Revisions of a store that may be restored from a backup.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Number of the store's present life: it rises each time that the store comes back from a copy.
+/// Number that increases each time the store is restored from a backup.
 pub type Generation = u64;
 
-/// Revision of the store; it grows with each change. All of a later generation are later.
+/// Revision of the store; it increases with each change. Revisions are ordered by generation first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// Generation of the store.
+    /// Generation of the store in which the number was assigned.
     pub generation: Generation,
-    /// Number within it.
+    /// Number within the generation.
     pub number: u64,
 }
 
-/// What a reading of all that is published is worth.
+/// Completeness of a full read of the published state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reading {
-    /// It holds all that is published.
+    /// It contains everything that is published.
     Whole,
-    /// It is the first since the store came back from a copy, and lacks what was written since that was made.
+    /// It is the first one after a restore from a backup, and lacks what was written after the
+    /// backup was taken.
     Restored,
 }
