--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -1,4 +1,4 @@
-//! What gateways say to each other, and hear from sidecars.
+//! Datagrams that gateways exchange with each other and receive from sidecars and group leaders.
 
 use std::net::SocketAddr;
 
@@ -19,71 +19,71 @@
 use crate::spread;
 use crate::upstream::Counts;
 
-/// A gateway, as it tells of itself.
+/// State of a gateway, as it reports it about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Name of its instance.
+    /// Name of the gateway's instance.
     pub instance: InstanceId,
-    /// Number drawn at its start.
+    /// Random number drawn when the process started.
     pub incarnation: Incarnation,
-    /// Beats since its start.
+    /// Heartbeats that the process has sent; increases within an incarnation.
     pub beat: u64,
-    /// Failure domain.
+    /// Failure domain in which the gateway runs.
     pub failure_domain: FailureDomainId,
-    /// Address towards callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Address towards other gateways.
+    /// Address for datagrams of other gateways and of sidecars.
     pub peers: SocketAddr,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub is_ready: bool,
-    /// Whether the store does not answer it.
+    /// Whether its last call to the store failed.
     pub is_cut: bool,
-    /// Version of the configuration that it serves by; none before it has one.
+    /// Version of the configuration in force there; `None` until it has one.
     pub version: Option<Version>,
 }
 
-/// What a gateway sends to others.
+/// Heartbeat with gossip about other gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Beat {
-    /// Sender.
+    /// State of the sender.
     pub from: Entry,
-    /// What the sender has in flight.
+    /// Requests that the sender has in flight at upstreams.
     pub counts: Counts,
-    /// Others that the sender heard of.
+    /// A sample of the other live gateways that the sender knows.
     pub others: Vec<Entry>,
-    /// Gateways that the sender counts as members, itself included.
+    /// Gateways that the sender counts as members, including itself.
     pub members: u32,
 }
 
-/// Message to a gateway.
+/// Any message that a gateway accepts on its peer address.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Beat of another gateway.
+    /// Periodic heartbeat of another gateway.
     Beat(Beat),
-    /// Reply to the beat of another gateway that is back; it is not replied to.
+    /// Reply to the heartbeat of a gateway that started or came back; never replied to.
     Introduction(Beat),
-    /// Question of a sidecar.
+    /// Request of a sidecar for the upstreams that serve a service.
     Ask(Ask),
-    /// Word of a lead about its group.
+    /// State of a group, from its leader.
     Group(Digest),
-    /// The same, to be passed on.
+    /// State of a group that the receiver forwards to other gateways.
     Forwarded(Forwarded),
-    /// Question for what changed at the store.
+    /// Request for the changes of the published state.
     Question(spread::Question),
-    /// What changed at the store.
+    /// Changes of the published state.
     Answer(spread::Answer),
-    /// Question for a configuration that is newer than this version.
+    /// Request for a configuration that is newer than this version.
     Behind(Option<Version>),
-    /// A configuration that the receiver waits for.
+    /// Configuration that the receiver is waiting for.
     Configuration(Box<spread::Told>),
-    /// Requests that ran at a crash.
+    /// Requests that were running when an upstream crashed.
     Crashes(Vec<Mark>),
-    /// Rate limits that upstreams named.
+    /// Rate limits that upstreams reported.
     Limits(Vec<Notice>),
-    /// Shares of limits that the sender lends the receiver.
+    /// Shares of rate limits that the sender lends to the receiver.
     Loan(Loan),
-    /// Question whether a request may be sent to an upstream with a limit.
+    /// Request for permission to send to an upstream that has a rate limit.
     LimitAsk(home::Ask),
-    /// Reply to it.
+    /// Reply to [`Datagram::LimitAsk`].
     LimitReply(home::Reply),
 }
