--- a/crates/gateway/src/neighbour.rs
+++ b/crates/gateway/src/neighbour.rs
@@ -1,8 +1,9 @@
-//! Which gateways live, and what they have in flight.
+//! Membership of the gateways and their load, by gossip.
 //!
-//! Each gateway sends a small [`Beat`] to a few others several times a second. It tells of itself,
-//! and passes on what it heard, so that all know all although none talks to all. A gateway that was
-//! not heard of for [`LIFE`] is left out of answers to callers; one that leaves says so itself.
+//! Each gateway sends a [`Beat`] to a few others several times a second. It describes the sender
+//! and relays part of what the sender knows of others, so that every gateway learns of all others
+//! without sending to all. A gateway without news for [`LIFE`] is no longer offered to callers; one
+//! that leaves announces it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,66 +24,69 @@
 use crate::spread;
 use crate::upstream::Counts;
 
-/// Time between two beats: several arrive within [`LIFE`], and counts of what is in flight stay
-/// younger than the answers that they tell of.
+/// Interval of heartbeats: several arrive within [`LIFE`], and the reported counts of requests in
+/// flight stay younger than the requests last.
 pub const PERIOD: Duration = Duration::from_millis(300);
-/// Time without news after which a gateway counts as gone: five beats, since single ones are lost.
+/// Time without news after which a gateway counts as failed: five heartbeats, since single ones get
+/// lost.
 pub const LIFE: Duration = Duration::from_millis(1_600);
-/// Time without news up to which a gateway may be the home of a limit: longer than [`LIFE`], since in a fleet of hundreds news
-/// of one that lives may be older, and all have to agree. Those that lend to it hear from it directly.
-const HOME_LIFE: Duration = Duration::from_secs(3);
-/// Time without news up to which a gateway counts for the size of the fleet: nearly all news is younger in a fleet of hundreds.
-const MEMBERSHIP: Duration = Duration::from_secs(5);
-/// Gateways that one beat is sent to, so that the cost of a gateway does not grow with the fleet.
+/// Time without news up to which a gateway may be the home of a limit. It exceeds [`LIFE`] because
+/// in a fleet of hundreds the latest news of a live gateway may be older, and all gateways have to
+/// agree on the home. Those that lend to the home hear from it directly.
+const HOME_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time without news up to which a gateway counts towards the size of the fleet. In a fleet of
+/// hundreds nearly all news is younger.
+const MEMBER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Receivers of one heartbeat; bounded so that a gateway's cost does not grow with the fleet.
 const FANOUT: usize = 6;
-/// Gateways that one beat tells of besides its sender; the message stays within one datagram.
-const TOLD: usize = 12;
-/// Upstreams that one beat gives counts of.
+/// Maximum other gateways that a heartbeat describes, so that it fits into one datagram.
+const MAX_RELAYED: usize = 12;
+/// Maximum upstreams for which a heartbeat reports counts.
 pub const MAX_COUNTS: usize = 64;
-/// Time after which a gateway that was not heard of is forgotten.
-const FORGET: Duration = Duration::from_mins(1);
-/// Number of the first beat of a process.
+/// Time without news after which a gateway is removed.
+const REMOVAL_TIMEOUT: Duration = Duration::from_mins(1);
+/// Number of the first heartbeat of a process.
 const FIRST_BEAT: u64 = 1;
-/// Beats after which the seeds are told again, since they may have been down.
+/// Heartbeats between two that also go to the seeds, which may have been down before.
 const SEED_BEATS: u64 = 6;
 
-/// The gateway that permits requests to an upstream with a limit.
+/// The gateway that grants permits for an upstream with a rate limit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Home<'a> {
-    /// As it told of itself last.
+    /// Its last reported state.
     pub(crate) entry: &'a Entry,
-    /// When that was heard.
+    /// When that state was received.
     pub(crate) heard: Monotonic,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Peer {
     entry: Entry,
     heard: Monotonic,
-    /// When it spoke itself last.
-    spoke: Option<Monotonic>,
+    /// When its last own message arrived, as opposed to news relayed by others.
+    heard_directly: Option<Monotonic>,
 }
 
-impl Known {
-    fn lives(&self, now: Monotonic) -> bool {
+impl Peer {
+    fn is_alive(&self, now: Monotonic) -> bool {
         now.saturating_sub(self.heard) < LIFE
     }
 
     fn may_be_home(&self, now: Monotonic) -> bool {
-        now.saturating_sub(self.heard) < HOME_LIFE
+        now.saturating_sub(self.heard) < HOME_TIMEOUT
     }
 
     fn is_member(&self, now: Monotonic) -> bool {
-        now.saturating_sub(self.heard) < MEMBERSHIP
+        now.saturating_sub(self.heard) < MEMBER_TIMEOUT
     }
 }
 
-/// News of a gateway, for the log.
+/// Change of another gateway's state, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct News {
-    /// Which gateway.
+pub struct Update {
+    /// Instance of the gateway.
     pub instance: InstanceId,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub is_ready: bool,
 }
 
@@ -91,15 +95,15 @@
 pub struct Roster {
     me: Entry,
     seeds: Vec<SocketAddr>,
-    others: BTreeMap<InstanceId, Known>,
-    /// From when on the words of others tell how things are.
+    others: BTreeMap<InstanceId, Peer>,
+    /// Own messages of others count as current only if they arrived after this time.
     ignored_until: Monotonic,
-    /// Most gateways that were members at once, this one included.
+    /// Highest number of members seen at once, including this gateway.
     most: usize,
 }
 
 impl Roster {
-    /// Returns a roster that knows only this gateway and where to ask first.
+    /// Returns a roster that knows only this gateway and the addresses of its seeds.
     #[must_use]
     pub fn new(me: Entry, seeds: Vec<SocketAddr>) -> Roster {
         Roster {
@@ -111,33 +115,34 @@
         }
     }
 
-    /// Sets where to ask first.
+    /// Sets the addresses that are contacted before other gateways are known.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// Sets whether this gateway takes new requests; returns whether that changed.
+    /// Sets whether this gateway accepts new requests; returns whether that changed.
     pub fn set_ready(&mut self, is_ready: bool) -> bool {
         let is_changed = self.me.is_ready != is_ready;
         self.me.is_ready = is_ready;
         is_changed
     }
 
-    /// Returns whether this gateway takes new requests.
+    /// Returns whether this gateway accepts new requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.me.is_ready
     }
 
-    /// Sets the version of the configuration that this gateway serves by.
+    /// Sets the version of the configuration in force at this gateway.
     pub(crate) fn set_version(&mut self, version: Version) {
         self.me.version = Some(version);
     }
 
-    /// Returns the newest version that another live gateway serves by, and the address of one that does. Gateways are
-    /// sent to different ones, since a configuration is the longest message.
+    /// Returns the newest version in force at another live gateway, and the address of one that has
+    /// it. Different gateways get different addresses, to spread the load: a configuration is the
+    /// longest message.
     pub(crate) fn newest_version(&self, now: Monotonic) -> Option<(Version, SocketAddr)> {
-        let live = self.others.values().filter(|known| known.lives(now));
+        let live = self.others.values().filter(|known| known.is_alive(now));
         let versions = live.filter_map(|known| Some((known.entry.version?, &known.entry)));
         let newest = versions.max_by_key(|(version, entry)| {
             (*version, rendezvous(&self.me.instance, &entry.instance))
@@ -145,48 +150,50 @@
         newest.map(|(version, entry)| (version, entry.peers))
     }
 
-    /// Takes that what was heard before `now` may be out of date.
+    /// Marks messages received until `now` as possibly outdated.
     pub(crate) fn ignore_until(&mut self, now: Monotonic) {
         self.ignored_until = now;
     }
 
-    /// Returns whether a gateway that serves spoke of late, or all that are asked first did.
+    /// Returns whether recent own messages have arrived from a gateway that is ready, or from all
+    /// other seeds.
     pub(crate) fn is_view_current(&self, now: Monotonic) -> bool {
-        let speaking = self.others.values().filter(|known| {
-            let spoke = known.spoke.filter(|at| *at > self.ignored_until);
-            spoke.is_some_and(|at| now.saturating_sub(at) < LIFE)
+        let recent = self.others.values().filter(|known| {
+            let heard_directly = known.heard_directly.filter(|at| *at > self.ignored_until);
+            heard_directly.is_some_and(|at| now.saturating_sub(at) < LIFE)
         });
-        let speaking: Vec<&Entry> = speaking.map(|known| &known.entry).collect();
-        let spoke = |seed: &SocketAddr| speaking.iter().any(|entry| entry.peers == *seed);
+        let recent: Vec<&Entry> = recent.map(|known| &known.entry).collect();
+        let heard_directly = |seed: &SocketAddr| recent.iter().any(|entry| entry.peers == *seed);
         let mut seeds = self.seeds.iter().filter(|seed| **seed != self.me.peers);
-        speaking.iter().any(|entry| entry.is_ready) || seeds.all(spoke)
+        recent.iter().any(|entry| entry.is_ready) || seeds.all(heard_directly)
     }
 
-    /// Sets whether the store does not answer this gateway.
+    /// Sets whether this gateway's last call to the store failed.
     pub fn set_cut(&mut self, is_cut: bool) {
         self.me.is_cut = is_cut;
     }
 
-    /// Returns whether the store does not answer this gateway.
+    /// Returns whether this gateway's last call to the store failed.
     #[must_use]
     pub const fn is_cut(&self) -> bool {
         self.me.is_cut
     }
 
-    /// Returns the addresses of the gateways that read the store for this one's failure domain, and
-    /// whether this one is among them.
+    /// Returns the addresses of the other gateways that read the store for this one's failure
+    /// domain, and whether this gateway is a reader itself.
     #[must_use]
     pub fn readers(&self, now: Monotonic) -> (Vec<SocketAddr>, bool) {
-        let live = self.others.values().filter(|known| known.lives(now));
+        let live = self.others.values().filter(|known| known.is_alive(now));
         let all: Vec<&Entry> = live.map(|known| &known.entry).chain([&self.me]).collect();
         let is_near = |entry: &&Entry| entry.failure_domain == self.me.failure_domain;
-        // One that the store turns away goes on with what others know, wherever they are.
+        // A gateway that the store rejects may use readers of any failure domain.
         let able = all.iter().copied().filter(|entry| !entry.is_cut);
         let mut able: Vec<&Entry> = able
             .filter(|entry| self.me.is_cut || is_near(entry))
             .collect();
         if able.is_empty() {
-            // The store answers nobody: two of each failure domain go on trying for the others.
+            // The store answers no gateway: the readers of each failure domain keep trying for the
+            // others.
             able = all.into_iter().filter(is_near).collect();
         }
         let readers = spread::readers(able);
@@ -199,7 +206,8 @@
         (others.map(|entry| entry.peers).collect(), is_reader)
     }
 
-    /// Returns the live gateway that comes first for `key`, among those that take requests if there are any.
+    /// Returns the gateway with the highest rendezvous score for `key`; one that accepts requests
+    /// is preferred.
     pub(crate) fn home(&self, key: &str, now: Monotonic) -> Home<'_> {
         let me = Home {
             entry: &self.me,
@@ -218,25 +226,26 @@
         others.chain([me]).max_by_key(rank).unwrap_or(me)
     }
 
-    /// Returns this gateway as it tells of itself.
+    /// Returns this gateway's own state.
     pub(crate) const fn me(&self) -> &Entry {
         &self.me
     }
 
-    /// Takes a beat of another gateway.
-    pub fn hear(&mut self, beat: &Beat, now: Monotonic) -> Vec<News> {
-        let mut news = Vec::new();
-        news.extend(self.take(&beat.from, true, now));
+    /// Merges a heartbeat; returns which gateways are new, back, or have changed their readiness.
+    pub fn hear(&mut self, beat: &Beat, now: Monotonic) -> Vec<Update> {
+        let mut updates = Vec::new();
+        updates.extend(self.merge(&beat.from, true, now));
         for entry in &beat.others {
-            news.extend(self.take(entry, false, now));
+            updates.extend(self.merge(entry, false, now));
         }
-        // One gateway alone knows a part of a fleet of hundreds, and not all know the same.
-        let told = usize::try_from(beat.members).unwrap_or(0);
-        self.most = self.most.max(self.members(now)).max(told);
-        news
+        // In a fleet of hundreds a single gateway knows only some of the members, and each knows
+        // different ones.
+        let reported = usize::try_from(beat.members).unwrap_or(0);
+        self.most = self.most.max(self.members(now)).max(reported);
+        updates
     }
 
-    fn take(&mut self, entry: &Entry, is_own_word: bool, now: Monotonic) -> Option<News> {
+    fn merge(&mut self, entry: &Entry, is_direct: bool, now: Monotonic) -> Option<Update> {
         if entry.instance == self.me.instance {
             return None;
         }
@@ -245,65 +254,69 @@
             if known.entry.incarnation == entry.incarnation {
                 entry.beat > known.entry.beat
             } else {
-                // Incarnations have no order: others may still tell of the one before.
-                is_own_word || !known.lives(now)
+                // Incarnations have no order, and others may still relay the previous one.
+                is_direct || !known.is_alive(now)
             }
         });
         if !is_newer {
             let known = self.others.get_mut(&entry.instance);
-            if let Some(known) = known.filter(|known| is_own_word && known.entry.beat == entry.beat)
-            {
-                known.spoke = Some(now);
+            if let Some(known) = known.filter(|known| is_direct && known.entry.beat == entry.beat) {
+                known.heard_directly = Some(now);
             }
             return None;
         }
-        let is_news =
-            known.is_none_or(|known| !known.lives(now) || known.entry.is_ready != entry.is_ready);
+        let is_update = known
+            .is_none_or(|known| !known.is_alive(now) || known.entry.is_ready != entry.is_ready);
         let entry = entry.clone();
-        let news = News {
+        let update = Update {
             instance: entry.instance.clone(),
             is_ready: entry.is_ready,
         };
-        let before = known.and_then(|known| known.spoke);
-        let known = Known {
+        let before = known.and_then(|known| known.heard_directly);
+        let known = Peer {
             entry,
             heard: now,
-            spoke: if is_own_word { Some(now) } else { before },
+            heard_directly: if is_direct { Some(now) } else { before },
         };
         self.others.insert(known.entry.instance.clone(), known);
-        is_news.then_some(news)
+        is_update.then_some(update)
     }
 
-    /// Returns whether the sender of a beat just started, or was not heard of for so long that nobody tells it anything.
+    /// Returns whether the sender of a heartbeat just started or was considered failed, so that the
+    /// others send it nothing.
     #[must_use]
     pub fn is_back(&self, beat: &Beat, now: Monotonic) -> bool {
         let known = self.others.get(&beat.from.instance);
-        beat.from.beat == FIRST_BEAT || known.is_none_or(|known| !known.lives(now))
+        beat.from.beat == FIRST_BEAT || known.is_none_or(|known| !known.is_alive(now))
     }
 
-    /// Takes that this process stood still for a time, in which it could hear nobody.
+    /// Extends all timeouts by the time for which this process was suspended and received nothing.
     pub fn pause(&mut self, pause: Duration) {
         for known in self.others.values_mut() {
             known.heard = known.heard.saturating_add(pause);
         }
     }
 
-    /// Makes the next beat, and forgets gateways that are long gone.
+    /// Creates the next heartbeat, and removes gateways without news for a long time.
     pub fn beat(&mut self, counts: Counts, now: Monotonic, rng: &mut impl Rng) -> Beat {
         self.me.beat += 1;
         self.others
-            .retain(|_, known| now.saturating_sub(known.heard) < FORGET);
-        let live = self.others.values().filter(|known| known.lives(now));
-        let told = live.choose_multiple(rng, TOLD);
+            .retain(|_, known| now.saturating_sub(known.heard) < REMOVAL_TIMEOUT);
+        let live = self.others.values().filter(|known| known.is_alive(now));
+        let relayed = live.choose_multiple(rng, MAX_RELAYED);
         Beat {
             from: self.me.clone(),
             counts,
-            others: told.into_iter().map(|known| known.entry.clone()).collect(),
+            others: relayed
+                .into_iter()
+                .map(|known| known.entry.clone())
+                .collect(),
             members: count(self.members(now)),
         }
     }
 
-    /// Returns the last beat without news of others, for a gateway that lends to this one.
+    /// Returns the last heartbeat without gossip about others, for a gateway that lends to this
+    /// one.
     #[must_use]
     pub fn word(&self, counts: Counts, now: Monotonic) -> Beat {
         Beat {
@@ -314,19 +327,23 @@
         }
     }
 
-    /// Returns the last beat with news of some others, for a gateway that is back.
+    /// Returns the last heartbeat with gossip about some others, for a gateway that started or came
+    /// back.
     pub(crate) fn introduction(&self, now: Monotonic, rng: &mut impl Rng) -> Beat {
-        let live = self.others.values().filter(|known| known.lives(now));
-        let told = live.choose_multiple(rng, TOLD);
+        let live = self.others.values().filter(|known| known.is_alive(now));
+        let relayed = live.choose_multiple(rng, MAX_RELAYED);
         Beat {
-            others: told.into_iter().map(|known| known.entry.clone()).collect(),
+            others: relayed
+                .into_iter()
+                .map(|known| known.entry.clone())
+                .collect(),
             ..self.word(Counts::new(), now)
         }
     }
 
-    /// Returns where to send the next beat.
+    /// Returns the addresses to send the next heartbeat to.
     pub fn targets(&self, now: Monotonic, rng: &mut impl Rng) -> Vec<SocketAddr> {
-        let live = self.others.values().filter(|known| known.lives(now));
+        let live = self.others.values().filter(|known| known.is_alive(now));
         let addresses = live.map(|known| known.entry.peers);
         let mut targets = addresses.choose_multiple(rng, FANOUT);
         let is_isolated = targets.len() < FANOUT / 2;
@@ -334,7 +351,8 @@
             targets.extend(self.seeds.iter().filter(|seed| **seed != self.me.peers));
         }
         if is_isolated {
-            // One that was cut off may find others that it knew where its seeds are gone.
+            // After a network partition the seeds may be gone while other known gateways are
+            // reachable.
             let known = self.others.values().map(|known| known.entry.peers);
             targets.extend(known.choose_multiple(rng, FANOUT));
         }
@@ -343,10 +361,10 @@
         targets
     }
 
-    /// Returns the addresses of live gateways towards other processes, at most `most`.
+    /// Returns the peer addresses of this gateway and of live others, at most `most`.
     #[must_use]
     pub fn addresses(&self, now: Monotonic, most: usize) -> Vec<SocketAddr> {
-        let live = self.others.values().filter(|known| known.lives(now));
+        let live = self.others.values().filter(|known| known.is_alive(now));
         let others = live.map(|known| known.entry.peers);
         std::iter::once(self.me.peers)
             .chain(others)
@@ -354,24 +372,24 @@
             .collect()
     }
 
-    /// Returns how many gateways live, this one included.
+    /// Returns the number of live gateways, including this one.
     #[must_use]
     pub fn live(&self, now: Monotonic) -> usize {
         1 + self
             .others
             .values()
-            .filter(|known| known.lives(now))
+            .filter(|known| known.is_alive(now))
             .count()
     }
 
-    /// Returns how many gateways are members, this one included.
+    /// Returns the number of members, including this gateway.
     fn members(&self, now: Monotonic) -> usize {
         let others = self.others.values();
         1 + others.filter(|known| known.is_member(now)).count()
     }
 
-    /// Returns the most gateways that were members at once: a safe divisor of what all share, since a
-    /// gateway that is cut off can't tell whether the others are gone.
+    /// Returns the highest number of members seen at once. It is a safe divisor for shared
+    /// quantities, since an isolated gateway can't tell whether the others have failed.
     #[must_use]
     pub const fn most(&self) -> usize {
         self.most
@@ -382,7 +400,7 @@
     pub fn offer(&self, domain: Option<&str>, seed: u64, now: Monotonic) -> Offer {
         let others = self.others.values();
         let mut candidates: Vec<Candidate> = others
-            .map(|known| candidate(&known.entry, known.lives(now)))
+            .map(|known| candidate(&known.entry, known.is_alive(now)))
             .collect();
         candidates.push(candidate(&self.me, true));
         discovery::offer(&candidates, domain, seed)
