--- a/crates/gateway/src/member.rs
+++ b/crates/gateway/src/member.rs
@@ -1,4 +1,5 @@
-//! One upstream of the pool: what this gateway has in flight there and what its last answers showed.
+//! An upstream in the pool: this gateway's requests in flight there, and its recent failures and
+//! response times.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,18 +13,19 @@
 use crate::upstream::Upstream;
 use crate::upstream::tag;
 
-/// Time in which the memory of a failure halves. Troubles of upstreams last seconds, and a judgement
-/// that lasts longer keeps an upstream that is well again without work.
+/// Half-life of the failure count. Faults of upstreams last seconds; a longer half-life would keep
+/// a recovered upstream without work.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Most failures that are remembered.
+/// Upper limit of the failure count.
 const MAX_FAILURES: f64 = 8.0;
-/// Weight of a new answer in the mean time of an upstream, if it follows the one before at once.
-const TIME_WEIGHT: f64 = 0.2;
-/// Time after its last answer from which a mean counts no more, however far it lies above its peers': a slow upstream
-/// gets no work, and only another request shows that it is well again.
-const TIME_MEMORY: Duration = Duration::from_secs(8);
-
-/// One upstream with what is known of it.
+/// Weight of a new sample in the mean response time, if it directly follows the previous one.
+const SAMPLE_WEIGHT: f64 = 0.2;
+/// Age of the last response at which the mean response time no longer counts, however far it
+/// exceeds that of the peers. A slow upstream gets no requests, so only a new one can show that it
+/// has recovered.
+const MEAN_MAX_AGE: Duration = Duration::from_secs(8);
+
+/// An upstream and its statistics.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
     pub(crate) upstream: Arc<Upstream>,
@@ -34,12 +36,12 @@
     failed_at: Monotonic,
     pub(crate) mean_seconds: Option<f64>,
     mean_at: Monotonic,
-    /// Whether it is missing from the list.
+    /// Whether it is missing from the published list.
     pub(crate) is_missing: bool,
 }
 
 impl Member {
-    /// Returns an upstream that was just listed.
+    /// Returns a newly listed upstream, without statistics.
     pub(crate) fn new(upstream: Upstream) -> Member {
         Member {
             tag: tag(&upstream.id),
@@ -54,19 +56,20 @@
         }
     }
 
-    /// Returns whether `upstream` is a later start of this one under its id: nothing of before holds for it.
+    /// Returns whether `upstream` is another incarnation under the same id, to which these
+    /// statistics don't apply.
     pub(crate) fn is_other_incarnation(&self, upstream: &Upstream) -> bool {
-        let starts = self.upstream.born.zip(upstream.born);
-        starts.is_some_and(|(known, told)| known != told)
+        let start_times = self.upstream.born.zip(upstream.born);
+        start_times.is_some_and(|(known, told)| known != told)
     }
 
-    /// Returns whether this is a later start than that of `upstream`, under its id.
+    /// Returns whether this incarnation started after that of `upstream`, which has the same id.
     pub(crate) fn is_newer_than(&self, upstream: &Upstream) -> bool {
-        let starts = self.upstream.born.zip(upstream.born);
-        starts.is_some_and(|(known, told)| known > told)
+        let start_times = self.upstream.born.zip(upstream.born);
+        start_times.is_some_and(|(known, told)| known > told)
     }
 
-    /// Takes its entry anew; a start that is not told this time is the one that was told before.
+    /// Updates the published entry. An entry without a start time keeps the one that is known.
     pub(crate) fn update(&mut self, mut upstream: Upstream) {
         upstream.born = upstream.born.or(self.upstream.born);
         self.start = start_tag(&upstream);
@@ -74,7 +77,7 @@
         self.is_missing = false;
     }
 
-    /// Takes that it leaves.
+    /// Marks it as draining.
     pub(crate) fn leave(&mut self) {
         let upstream = Upstream {
             state: State::Draining,
@@ -83,17 +86,17 @@
         self.upstream = Arc::new(upstream);
     }
 
-    /// Returns whether it takes new work.
+    /// Returns whether it accepts new requests.
     pub(crate) fn takes_work(&self) -> bool {
         self.upstream.state == State::Ready
     }
 
-    /// Returns the failures that are still remembered.
+    /// Returns the decayed failure count.
     pub(crate) fn failures(&self, now: Monotonic) -> f64 {
-        self.failures * halved(now.saturating_sub(self.failed_at), FAILURE_HALF_LIFE)
+        self.failures * decay(now.saturating_sub(self.failed_at), FAILURE_HALF_LIFE)
     }
 
-    /// Takes how an exchange with it ended.
+    /// Records the outcome of a request.
     pub(crate) fn record(&mut self, outcome: Outcome, now: Monotonic) {
         match outcome {
             Outcome::Answered(took) => {
@@ -101,7 +104,7 @@
                 self.failed_at = now;
                 let took = took.as_secs_f64();
                 let mean = self.mean_seconds.unwrap_or(took);
-                let kept = (1.0 - TIME_WEIGHT) * self.remembered(now);
+                let kept = (1.0 - SAMPLE_WEIGHT) * self.mean_weight(now);
                 self.mean_seconds = Some(took + (mean - took) * kept);
                 self.mean_at = now;
             }
@@ -113,23 +116,24 @@
         }
     }
 
-    /// Returns how many times longer it takes than its fastest peer; that fades with time.
-    pub(crate) fn slowness(&self, usual: Option<f64>, now: Monotonic) -> f64 {
-        let (Some(mean), Some(usual)) = (self.mean_seconds, usual) else {
+    /// Returns the factor by which it is slower than its fastest peer, given that peer's mean in
+    /// seconds. The factor decays to 1 as the last response ages.
+    pub(crate) fn slowness(&self, fastest: Option<f64>, now: Monotonic) -> f64 {
+        let (Some(mean), Some(fastest)) = (self.mean_seconds, fastest) else {
             return 1.0;
         };
-        let excess = (mean / usual.max(f64::EPSILON) - 1.0).max(0.0);
-        1.0 + excess * self.remembered(now)
+        let excess = (mean / fastest.max(f64::EPSILON) - 1.0).max(0.0);
+        1.0 + excess * self.mean_weight(now)
     }
 
-    /// Returns the part of its mean time that still counts.
-    fn remembered(&self, now: Monotonic) -> f64 {
+    /// Returns the weight of the mean response time, from 1 for a new one down to 0.
+    fn mean_weight(&self, now: Monotonic) -> f64 {
         let age = now.saturating_sub(self.mean_at);
-        (1.0 - age.div_duration_f64(TIME_MEMORY)).max(0.0)
+        (1.0 - age.div_duration_f64(MEAN_MAX_AGE)).max(0.0)
     }
 }
 
-/// Returns the part left after `age` of what halves in `half_life`.
-fn halved(age: Duration, half_life: Duration) -> f64 {
+/// Returns the fraction that is left after `age` of a quantity that decays by `half_life`.
+fn decay(age: Duration, half_life: Duration) -> f64 {
     (-age.as_secs_f64() / half_life.as_secs_f64()).exp2()
 }
