--- a/crates/gateway/src/address.rs
+++ b/crates/gateway/src/address.rs
@@ -1,8 +1,8 @@
-//! Which of several upstreams that are listed at one address runs there.
+//! Resolves which of several upstreams listed at one address runs there.
 //!
-//! An address is used again after its upstream ended, while the old entry may still be listed: the newest one runs
-//! there. Entries of services that the configuration does not name come from other writers and tell nothing of who
-//! does.
+//! An address is reused after its upstream has ended, while the old entry may still be listed, so
+//! the upstream that appeared last is the one that runs. Entries of services that the configuration
+//! does not define come from other writers and are ignored here.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -12,22 +12,23 @@
 use crate::spread::Revision;
 use crate::upstream::Upstream;
 
-/// What was listed at each address.
+/// Upstreams that have been listed, by address.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Index {
-    /// When the newest upstream of each service appeared.
+    /// For each service at the address, the revision at which its newest upstream appeared.
     appeared: HashMap<SocketAddr, Vec<(ServiceId, Revision)>>,
-    /// Services that the configuration names; all count until one was read.
+    /// Services that the configuration defines; `None` before the first configuration, when all
+    /// count.
     services: Option<HashSet<ServiceId>>,
 }
 
 impl Index {
-    /// Takes the services that the configuration in force names.
+    /// Sets the services that the configuration in force defines.
     pub(crate) fn set_services(&mut self, services: impl IntoIterator<Item = ServiceId>) {
         self.services = Some(services.into_iter().collect());
     }
 
-    /// Takes an upstream as listed.
+    /// Records a listed upstream.
     pub(crate) fn record(&mut self, upstream: &Upstream) {
         let listed = self.appeared.entry(upstream.address).or_default();
         let known = listed
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Forgets the addresses at which nothing is listed any more.
+    /// Removes all addresses but those in `used`.
     pub(crate) fn retain(&mut self, used: &HashSet<SocketAddr>) {
         self.appeared.retain(|address, _| used.contains(address));
     }
@@ -51,10 +52,10 @@
             .into_iter()
             .flatten()
             .filter(|(_, appeared)| *appeared > upstream.appeared);
-        !later.any(|(service, _)| self.is_named(service))
+        !later.any(|(service, _)| self.is_configured(service))
     }
 
-    fn is_named(&self, service: &ServiceId) -> bool {
+    fn is_configured(&self, service: &ServiceId) -> bool {
         let services = self.services.as_ref();
         services.is_none_or(|services| services.contains(service))
     }
