--- a/crates/gateway/src/knowledge.rs
+++ b/crates/gateway/src/knowledge.rs
@@ -1,73 +1,74 @@
-//! How old the published state may be.
+//! Age of the published state as this gateway knows it.
 //!
-//! What a store answered was true no earlier than when it was asked, so knowledge is as old as the
-//! question of the last answer. A key that was taken away must not work longer than the bound on
-//! revocation; a gateway whose knowledge is older can't tell, and refuses.
+//! An answer of the store reflects a state no older than the request for it, so knowledge is as old
+//! as the request that was answered last. A revoked API key must not work for longer than the
+//! revocation bound, so a gateway whose knowledge is older refuses requests.
 
 use std::time::Duration;
 
 use auburnline_core::time::Monotonic;
 
-/// Part of the bound on revocation kept in hand, for clocks that run at unlike speed and for the
-/// time between the look at the age and the send.
-const MARGIN: Duration = Duration::from_millis(250);
+/// Safety margin below the revocation bound, for clock drift and for the time between checking the
+/// age and sending the request.
+const REVOCATION_MARGIN: Duration = Duration::from_millis(250);
 
-/// Time that entries of the list stay after the store was away, while they may be written anew.
+/// Time after the store recovers during which missing upstreams are kept, since their entries may
+/// be written again.
 ///
-/// Upstreams that live are back within about two seconds of the store's return; the rest is for the
-/// way of the news.
-pub const RETURN_GRACE: Duration = Duration::from_millis(2_600);
+/// Live upstreams write their entries within about two seconds of the recovery; the rest is for the
+/// propagation of the changes.
+pub const RECOVERY_GRACE: Duration = Duration::from_millis(2_600);
 
-/// Age of what a gateway knows.
+/// Age of the published state as known here, and whether the store answers.
 #[derive(Clone, Copy, Debug)]
 pub struct Knowledge {
-    longest: Duration,
+    max_age: Duration,
     current_at: Option<Monotonic>,
-    /// Whether the last question had no answer.
+    /// Whether the last request to the store failed.
     is_failing: bool,
-    returned_at: Option<Monotonic>,
+    recovered_at: Option<Monotonic>,
 }
 
-/// What an answer or its lack changed.
+/// Change of the store's availability.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// No change.
     None,
-    /// The store answers after questions without answer.
+    /// The store answers again after it had failed.
     Regained,
     /// The store stopped answering.
     Lost,
 }
 
 impl Knowledge {
-    /// Returns no knowledge, under a bound on revocation.
+    /// Returns the state before anything is known, with the given revocation bound.
     #[must_use]
     pub const fn new(revocation: Duration) -> Knowledge {
         Knowledge {
-            longest: revocation.saturating_sub(MARGIN),
+            max_age: revocation.saturating_sub(REVOCATION_MARGIN),
             current_at: None,
             is_failing: false,
-            returned_at: None,
+            recovered_at: None,
         }
     }
 
-    /// Sets the bound on revocation.
+    /// Sets the revocation bound.
     pub const fn set_bound(&mut self, revocation: Duration) {
-        self.longest = revocation.saturating_sub(MARGIN);
+        self.max_age = revocation.saturating_sub(REVOCATION_MARGIN);
     }
 
-    /// Takes that a question asked at `asked` was answered.
+    /// Records an answer to a request that was sent at `asked`.
     pub fn confirm(&mut self, asked: Monotonic, now: Monotonic) -> Change {
         self.current_at = self.current_at.max(Some(asked));
         if !self.is_failing {
             return Change::None;
         }
         self.is_failing = false;
-        self.returned_at = Some(now);
+        self.recovered_at = Some(now);
         Change::Regained
     }
 
-    /// Takes that a question had no answer.
+    /// Records that a request to the store failed.
     pub const fn miss(&mut self) -> Change {
         if self.is_failing {
             return Change::None;
@@ -76,27 +77,29 @@
         Change::Lost
     }
 
-    /// Takes that the store came back from a copy, so that entries are missing that are written again.
+    /// Records that the store was restored from a backup, so that entries may be missing until
+    /// their upstreams write them again.
     pub const fn restored(&mut self, now: Monotonic) {
-        self.returned_at = Some(now);
+        self.recovered_at = Some(now);
     }
 
-    /// Returns the age; none if nothing is known.
+    /// Returns the age of the knowledge; `None` if nothing is known yet.
     #[must_use]
     pub fn age(&self, now: Monotonic) -> Option<Duration> {
         self.current_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Returns whether keys may be trusted.
+    /// Returns whether the knowledge is recent enough for API keys to be trusted.
     #[must_use]
     pub fn is_fresh(&self, now: Monotonic) -> bool {
-        self.age(now).is_some_and(|age| age < self.longest)
+        self.age(now).is_some_and(|age| age < self.max_age)
     }
 
-    /// Returns whether the store is or just was away, so that a missing entry proves little.
+    /// Returns whether the store is unavailable or recently was, so that a missing entry doesn't
+    /// mean that its upstream is gone.
     #[must_use]
     pub fn is_doubtful(&self, now: Monotonic) -> bool {
-        let just_returned = |at| now.saturating_sub(at) < RETURN_GRACE;
-        self.is_failing || self.returned_at.is_some_and(just_returned)
+        let just_recovered = |at| now.saturating_sub(at) < RECOVERY_GRACE;
+        self.is_failing || self.recovered_at.is_some_and(just_recovered)
     }
 }
