--- a/crates/gateway/src/report.rs
+++ b/crates/gateway/src/report.rs
@@ -1,8 +1,9 @@
-//! What the leads of groups tell of the load of their ranks.
+//! Load of the ranks, as reported by the leaders of their groups.
 //!
-//! A gateway hears what its neighbours have in flight only now and then, and the more of them there are the
-//! less it knows. The lead of a group sees all requests at all ranks and tells them several times a second;
-//! between two of its words a gateway adds what it sent itself.
+//! Gateways exchange their counts of requests in flight only periodically, and the more gateways
+//! there are, the less current these are. The leader of a group sees all requests at all ranks and
+//! reports them several times a second. Between two reports a gateway adds the requests that it
+//! sent itself.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,71 +13,72 @@
 use auburnline_lockstep::message::Digest;
 use auburnline_lockstep::sight::USUAL_PACE;
 
-/// Age from which on a report is not used: two of the lead's words are missing by then.
-const AGE: Duration = Duration::from_millis(600);
-/// Divisor of the sends between two reports that neither of them shows: a lead tells each 0.2 s what its ranks showed
-/// within the last 0.1 s, so that half of them may have come after the rank was looked at.
-const UNSEEN: u32 = 2;
+/// Age from which a report is ignored; by then two reports of the leader are missing.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
+/// Divisor of this gateway's requests between two reports, for the part that the later one may not
+/// include. A leader reports every 0.2 s what its ranks showed within the last 0.1 s, so about half
+/// of the requests may have arrived after the rank was sampled.
+const UNSEEN_DIVISOR: u32 = 2;
 
-/// What was told of one engine.
+/// Last report on one engine.
 #[derive(Clone, Copy, Debug, Default)]
 struct Report {
     requests: u32,
     pace: u16,
     heard: Monotonic,
-    /// Own sends before the last report that it may not show.
-    carried: u32,
-    /// Own sends since the last report.
-    newest: u32,
+    /// Requests sent from here before the report that it may not include.
+    sent_before: u32,
+    /// Requests sent from here since the report.
+    sent_since: u32,
 }
 
 /// Load of one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run or wait there, those on their way included.
+    /// Requests that run or wait there, including those on the way.
     pub requests: u32,
-    /// Times that it takes longer than it should, in hundredths.
+    /// Slowdown relative to the expected speed, in hundredths.
     pub pace: u16,
-    /// Age of the report.
+    /// Age of the report on which this is based.
     pub age: Duration,
 }
 
-/// What was told of all engines.
+/// Last reports on all engines.
 #[derive(Clone, Debug, Default)]
 pub struct Reports(HashMap<SocketAddr, Report>);
 
 impl Reports {
-    /// Takes the word of a lead; returns whether a rank turned slow.
+    /// Applies the report of a leader; returns whether a rank has become slower than before.
     pub fn hear(&mut self, digest: &Digest, now: Monotonic) -> bool {
         let mut has_slowed = false;
-        for busy in &digest.engines {
-            let report = self.0.entry(busy.engine).or_default();
-            report.requests = busy.requests;
-            has_slowed |= busy.pace > report.pace.max(USUAL_PACE);
-            report.pace = busy.pace;
+        for reported in &digest.engines {
+            let report = self.0.entry(reported.engine).or_default();
+            report.requests = reported.requests;
+            has_slowed |= reported.pace > report.pace.max(USUAL_PACE);
+            report.pace = reported.pace;
             report.heard = now;
-            report.carried = report.newest / UNSEEN;
-            report.newest = 0;
+            report.sent_before = report.sent_since / UNSEEN_DIVISOR;
+            report.sent_since = 0;
         }
         self.0
-            .retain(|_, report| now.saturating_sub(report.heard) < AGE);
+            .retain(|_, report| now.saturating_sub(report.heard) < MAX_REPORT_AGE);
         has_slowed
     }
 
-    /// Counts a send.
+    /// Records that this gateway sent a request to the engine.
     pub fn sent(&mut self, engine: SocketAddr) {
         if let Some(report) = self.0.get_mut(&engine) {
-            report.newest += 1;
+            report.sent_since += 1;
         }
     }
 
-    /// Returns the load of an engine, if it was told lately.
+    /// Returns the load of an engine; `None` without a recent report.
     #[must_use]
     pub fn load(&self, engine: SocketAddr, now: Monotonic) -> Option<Load> {
         let report = self.0.get(&engine)?;
         let age = now.saturating_sub(report.heard);
-        let sent = report.carried + report.newest;
-        (age < AGE).then_some(Load {
+        let sent = report.sent_before + report.sent_since;
+        (age < MAX_REPORT_AGE).then_some(Load {
             requests: report.requests + sent,
             pace: report.pace,
             age,
