--- a/crates/gateway/src/version.rs
+++ b/crates/gateway/src/version.rs
@@ -1,9 +1,12 @@
-//! Whether the configuration in force is the newest that any gateway has.
+//! Detects that another gateway has a newer configuration in force than this one.
 //!
-//! A store that came back from a copy may hold an older configuration for a while than it acknowledged. A gateway that
-//! starts then knows no other one, and one that stood still or was cut off missed what the store lost. So gateways tell each other
-//! which version they serve by; one that serves by an older one than another gateway asks that one, and takes what the store says for up to
-//! date only once it has caught up. One that just started or came back first waits for the word of another one, if there may be any.
+//! A store restored from a backup may for a while hold an older configuration than one it had
+//! acknowledged. A gateway that starts then knows no other, and one that was suspended or
+//! disconnected has missed the writes that the store lost. Therefore gateways gossip the version
+//! that each has in force. A gateway that is behind requests the newer configuration from one that
+//! has it, and treats the state read from the store as current only once it has caught up. A
+//! gateway that just started or came back first waits for a message of another one, if there may be
+//! any.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,29 +20,31 @@
 use crate::neighbour::LIFE;
 use crate::neighbour::PERIOD;
 
-/// Time for which a gateway that starts or comes back waits for the word of another one: two beats, of which one may be lost. Whoever
-/// hears the first one replies at once.
-const INTRODUCTION: Duration = Duration::from_millis(600);
-/// Time for which a gateway that is behind waits for the readers of the store, who tell most configurations sooner.
-const TOLD_WITHIN: Duration = Duration::from_millis(900);
+/// Time that a starting or returning gateway waits for a message of another one: two heartbeats, of
+/// which one may be lost. Receivers of its own first heartbeat reply immediately.
+const PEER_WAIT: Duration = Duration::from_millis(600);
+/// Time that a gateway which is behind waits for a reader of the store to send the configuration,
+/// as usually happens.
+const CONFIGURATION_WAIT: Duration = Duration::from_millis(900);
 
-/// How far this gateway may be behind others.
+/// Whether and since when this gateway may be behind others.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Lag {
-    /// As of when all is known once no other gateway is ahead.
+    /// As of when the state is known, while that is not confirmed since another gateway may be
+    /// ahead.
     unconfirmed: Option<Monotonic>,
-    /// As of when all was known last, confirmed or not.
+    /// As of when the state was last known, confirmed or not.
     known_at: Option<Monotonic>,
-    /// Since when nobody tells what others serve by.
+    /// Since when no other gateway has reported its version.
     uninformed_since: Option<Monotonic>,
-    /// Since when another gateway is ahead.
+    /// Since when another gateway has been ahead.
     behind_since: Option<Monotonic>,
-    /// When one that is ahead was asked last.
+    /// When a gateway that is ahead was last asked.
     asked_ahead: Option<Monotonic>,
 }
 
 impl Default for Lag {
-    /// Returns that of a gateway that just started.
+    /// Returns the state of a gateway that just started.
     fn default() -> Lag {
         Lag {
             unconfirmed: None,
@@ -52,31 +57,35 @@
 }
 
 impl Gateway {
-    /// Returns whom to ask for a newer configuration; none if no other gateway is ahead, or the store or its readers may still
-    /// tell it. All gateways that start at once read the store at once, and a configuration is the longest message.
+    /// Returns the gateway to request a newer configuration from; `None` if no other one is ahead,
+    /// or the store or its readers may still send it. Gateways that start together all read the
+    /// store at the same time, and a configuration is the longest message.
     pub fn catch_up(&mut self, now: Monotonic) -> Option<SocketAddr> {
         let Some(ahead) = self.ahead(now) else {
             self.lag.behind_since = None;
             return None;
         };
         let since = *self.lag.behind_since.get_or_insert(now);
-        let is_told_late = now.saturating_sub(since) >= TOLD_WITHIN;
+        let is_late = now.saturating_sub(since) >= CONFIGURATION_WAIT;
         let asked = self.lag.asked_ahead;
         let is_asked = asked.is_some_and(|at| now.saturating_sub(at) < PERIOD);
-        if is_asked || !(self.waits_to_serve(now) || is_told_late) {
+        if is_asked || !(self.waits_to_serve(now) || is_late) {
             return None;
         }
         self.lag.asked_ahead = Some(now);
         Some(ahead)
     }
 
-    /// Returns whether this gateway has read the store and does not serve, since another one may be ahead.
+    /// Returns whether this gateway has read the store and doesn't serve yet because another one
+    /// may be ahead.
     #[must_use]
     pub fn waits_to_serve(&self, now: Monotonic) -> bool {
         self.lag.unconfirmed.is_some() && !self.knowledge.is_fresh(now)
     }
 
-    /// Returns what a gateway that is back is told. One that stood still itself may not know yet that it serves no longer.
+    /// Returns the reply to the heartbeat of a gateway that started or came back. It reports this
+    /// gateway as not ready if its knowledge is outdated: after a suspension the roster may still
+    /// say ready.
     #[must_use]
     pub fn introduction(&self, now: Monotonic, rng: &mut impl Rng) -> Beat {
         let mut beat = self.roster.introduction(now, rng);
@@ -84,16 +93,18 @@
         beat
     }
 
-    /// Returns the address of a gateway that serves by a newer version than this one.
+    /// Returns the address of a gateway whose version is newer than this one's.
     fn ahead(&self, now: Monotonic) -> Option<SocketAddr> {
         let (newest, address) = self.roster.newest_version(now)?;
         (Some(newest) > self.version()).then_some(address)
     }
 
-    /// Takes that nothing of the store older than `known_at` is unknown. It counts once no other gateway is ahead.
+    /// Records that the state of the store is known as of `known_at`. It takes effect once no other
+    /// gateway is ahead.
     pub fn confirm(&mut self, known_at: Monotonic, now: Monotonic) -> knowledge::Change {
         let before = self.lag.known_at;
-        // What was heard before a gap, or waited in the socket during it, tells nothing of what others serve by now.
+        // Messages received before a gap, or queued in the socket during it, don't show which
+        // version others have in force now.
         if before.is_some_and(|before| known_at.saturating_sub(before) >= LIFE) {
             self.roster.ignore_until(now);
             self.lag.uninformed_since = None;
@@ -103,25 +114,26 @@
         self.settle(now)
     }
 
-    /// Takes what was confirmed and had to wait for the word of another gateway, if it need not any longer.
+    /// Confirms the recorded knowledge once it no longer has to wait for other gateways.
     pub fn settle(&mut self, now: Monotonic) -> knowledge::Change {
         let Some(known_at) = self.lag.unconfirmed else {
             return knowledge::Change::None;
         };
-        if !self.is_introduced(now) || self.ahead(now).is_some() {
+        if !self.has_heard_peers(now) || self.ahead(now).is_some() {
             return knowledge::Change::None;
         }
         self.lag.unconfirmed = None;
         self.knowledge.confirm(known_at, now)
     }
 
-    /// Returns whether another gateway told what it serves by, or there was time enough for that.
-    fn is_introduced(&mut self, now: Monotonic) -> bool {
+    /// Returns whether another gateway has reported its version, or the time to wait for that has
+    /// passed.
+    fn has_heard_peers(&mut self, now: Monotonic) -> bool {
         if self.roster.is_view_current(now) {
             self.lag.uninformed_since = None;
             return true;
         }
         let since = *self.lag.uninformed_since.get_or_insert(now);
-        now.saturating_sub(since) >= INTRODUCTION
+        now.saturating_sub(since) >= PEER_WAIT
     }
 }
