--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,9 +1,10 @@
-//! Upstreams that may take work, and the choice among them.
+//! Upstreams that may get requests.
 //!
-//! A [`Pool`] follows the published list: an upstream that leaves, by the list or by its own answers, gets no new work from then on, and
-//! one that is missing after the store was away is kept for a moment, since it may be written anew. An
-//! address has one upstream: of several that are listed there, all but the newest are gone already.
-//! [`crate::choice`] chooses among them.
+//! A [`Pool`] follows the published list. An upstream that announces its departure, on the list or
+//! in a response, gets no new requests from then on. One that is missing after the store was
+//! unavailable is kept for a short time, since its entry may be written again. Only one upstream
+//! runs at an address: of several listed there, all but the newest have ended. [`crate::choice`]
+//! selects among the upstreams.
 
 mod restore;
 
@@ -28,106 +29,108 @@
 use crate::route::ServiceId;
 use crate::spread::Revision;
 
-/// Id of one incarnation of an upstream.
+/// Id under which an upstream is listed; [`Upstream::born`] distinguishes restarts under the same
+/// id.
 pub type UpstreamId = Arc<str>;
-/// Requests in flight at upstreams, as one gateway tells its neighbours.
+/// Requests that one gateway has in flight, by [`tag`] of the upstream.
 pub type Counts = Vec<(u32, u32)>;
 
-/// Age at which a neighbour's counts are dropped: several of its messages are missing by then.
-const COUNTS_AGE: Duration = Duration::from_millis(1_500);
-/// Whether an upstream takes new work.
+/// Age at which a neighbour's counts are dropped; by then several of its messages are missing.
+const MAX_COUNTS_AGE: Duration = Duration::from_millis(1_500);
+/// Whether an upstream accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It does.
+    /// It accepts them.
     Ready,
-    /// It is about to leave.
+    /// It is about to leave and accepts none.
     Draining,
 }
 
-/// One upstream, as published.
+/// An upstream as published.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// Id of this incarnation.
+    /// Id under which it is listed.
     pub id: UpstreamId,
-    /// Service.
+    /// Service that it belongs to.
     pub service: ServiceId,
-    /// Address.
+    /// Address at which it serves requests.
     pub address: SocketAddr,
-    /// Failure domain.
+    /// Failure domain in which it runs.
     pub failure_domain: FailureDomainId,
-    /// Requests that it runs at once.
+    /// Requests that it can run concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: State,
-    /// Revision at which it came onto the list.
+    /// Revision of the store at which the entry was added to the list.
     pub appeared: Revision,
-    /// Unix milliseconds of its start, where it tells: an upstream may start again under its id.
+    /// Start time in Unix milliseconds, if the upstream reports it. It distinguishes restarts under
+    /// the same id.
     pub born: Option<u64>,
 }
 
-/// How an exchange with an upstream ended.
+/// Outcome of a request to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// It answered in this time.
+    /// The upstream responded within this time.
     Answered(Duration),
-    /// It refused without running the request.
+    /// The upstream rejected the request without running it.
     Refused,
-    /// It failed, or its answer was lost.
+    /// The upstream failed, or its response was lost.
     Failed,
-    /// The caller left; nothing is learned.
+    /// The caller cancelled, which says nothing about the upstream.
     Cancelled,
 }
 
-/// Returns the short number by which gateways tell each other of an upstream.
+/// Returns the hash by which gateways refer to an upstream in [`Counts`].
 #[must_use]
 pub fn tag(id: &str) -> u32 {
     let hash = auburnline_core::hash::stable(0, id.as_bytes());
     u32::try_from(hash >> 32).unwrap_or(u32::MAX)
 }
 
-/// What runs at one upstream.
+/// Current load of an upstream.
 pub(crate) struct Usage<'a> {
     pub(crate) upstream: &'a Upstream,
-    /// Requests in flight from all gateways: as its group's lead told, else this gateway's and what its neighbours
-    /// said.
+    /// Requests in flight from all gateways: as reported by the group's leader, otherwise the sum
+    /// of this gateway's and its neighbours' counts.
     pub(crate) requests: u32,
-    /// Those of this gateway.
+    /// Requests in flight from this gateway.
     pub(crate) own: u32,
-    /// What the lead told.
+    /// Load reported by the group's leader; `None` without a recent report.
     pub(crate) told: Option<report::Load>,
 }
 
 /// Change of the pool, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A new upstream.
+    /// An upstream was added.
     Joined(Arc<Upstream>),
-    /// An upstream that takes no new work from now on.
+    /// An upstream no longer accepts new requests.
     Leaving(Arc<Upstream>),
-    /// An upstream that is gone from the list.
+    /// An upstream was removed from the list.
     Gone(Arc<Upstream>),
 }
 
-/// All upstreams that this gateway knows.
+/// All upstreams that this gateway knows, with their load.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     members: BTreeMap<UpstreamId, Member>,
     neighbours: HashMap<u64, (Monotonic, HashMap<u32, u32>)>,
-    /// Sum of the neighbours' counts.
-    elsewhere: HashMap<u32, u32>,
+    /// Sum of the neighbours' counts by upstream tag.
+    neighbour_sums: HashMap<u32, u32>,
     addresses: address::Index,
-    /// Upstreams that said that they leave.
+    /// Upstreams that announced their departure.
     leaving: Incarnations,
     /// Upstreams that were removed from the list.
     removed: Incarnations,
-    /// Entries that a copy of the store brought back, and until when they are doubted.
+    /// Entries that came back with a restored store, and the time until which they are not trusted.
     untrusted: BTreeMap<UpstreamId, (Upstream, Monotonic)>,
-    /// What the leads of groups tell.
+    /// Load reported by the leaders of the groups.
     pub(crate) reports: Reports,
 }
 
 impl Pool {
-    /// Takes an upstream as written to the list.
+    /// Adds or updates an upstream that was written to the list.
     pub fn insert(&mut self, mut upstream: Upstream) -> Option<Change> {
         self.addresses.record(&upstream);
         self.removed.forget(&upstream.id);
@@ -150,7 +153,7 @@
         is_leaving.then(|| Change::Leaving(Arc::clone(&member.upstream)))
     }
 
-    /// Takes that an upstream said itself that it leaves, whatever the list says.
+    /// Records that an upstream announced its departure in a response, whatever the list says.
     pub fn leave(&mut self, upstream: &Upstream) -> Option<Change> {
         self.leaving.record(upstream);
         let known = self.members.get_mut(&upstream.id);
@@ -160,7 +163,7 @@
         was_ready.then(|| Change::Leaving(Arc::clone(&member.upstream)))
     }
 
-    /// Returns whether an upstream takes work.
+    /// Returns whether this incarnation of an upstream accepts new requests.
     #[must_use]
     pub fn takes_work(&self, upstream: &Upstream) -> bool {
         let member = self.members.get(&upstream.id);
@@ -168,12 +171,12 @@
         member.is_some_and(Member::takes_work)
     }
 
-    /// Takes the services that the configuration in force names.
+    /// Sets the services that the configuration in force defines.
     pub fn set_services(&mut self, services: impl IntoIterator<Item = ServiceId>) {
         self.addresses.set_services(services);
     }
 
-    /// Takes that an upstream is missing from the list; [`Pool::expire`] removes it.
+    /// Records that an upstream is missing from the list; [`Pool::expire`] removes it.
     pub fn miss(&mut self, id: &str) {
         self.untrusted.remove(id);
         if let Some(member) = self.members.get_mut(id) {
@@ -181,13 +184,13 @@
         }
     }
 
-    /// Takes a whole list: what it does not hold is missing.
+    /// Applies a full list; upstreams that it does not contain are marked as missing.
     pub fn replace(&mut self, upstreams: Vec<Upstream>) -> Vec<Change> {
         let listed: Vec<UpstreamId> = upstreams.iter().map(|one| one.id.clone()).collect();
-        let doubted: Vec<UpstreamId> = self.untrusted.keys().cloned().collect();
-        let believed = upstreams.into_iter();
-        let believed = believed.filter(|one| !doubted.contains(&one.id));
-        let changes = believed.filter_map(|one| self.insert(one)).collect();
+        let untrusted_ids: Vec<UpstreamId> = self.untrusted.keys().cloned().collect();
+        let trusted = upstreams.into_iter();
+        let trusted = trusted.filter(|one| !untrusted_ids.contains(&one.id));
+        let changes = trusted.filter_map(|one| self.insert(one)).collect();
         let unlisted = self
             .members
             .values_mut()
@@ -198,7 +201,8 @@
         changes
     }
 
-    /// Removes what is missing, unless `is_doubtful`: the store was away, and entries may return.
+    /// Removes missing upstreams, unless `is_doubtful`: the store was unavailable, and entries may
+    /// be written again.
     pub fn expire(&mut self, is_doubtful: bool) -> Vec<Change> {
         if is_doubtful {
             return Vec::new();
@@ -219,30 +223,30 @@
         removed
     }
 
-    /// Takes what a neighbour has in flight.
+    /// Sets the requests that a neighbour has in flight.
     pub fn set_elsewhere(&mut self, neighbour: u64, counts: Counts, now: Monotonic) {
         let counts = counts.into_iter().collect();
         self.neighbours.insert(neighbour, (now, counts));
         self.neighbours
-            .retain(|_, (at, _)| now.saturating_sub(*at) < COUNTS_AGE);
-        self.elsewhere.clear();
+            .retain(|_, (at, _)| now.saturating_sub(*at) < MAX_COUNTS_AGE);
+        self.neighbour_sums.clear();
         for (_, counts) in self.neighbours.values() {
             for (tag, count) in counts {
-                let sum = self.elsewhere.entry(*tag).or_default();
+                let sum = self.neighbour_sums.entry(*tag).or_default();
                 *sum = sum.saturating_add(*count);
             }
         }
     }
 
-    /// Returns how many neighbours said of late what they have in flight.
+    /// Returns the number of neighbours that recently reported their requests in flight.
     pub(crate) fn neighbours(&self, now: Monotonic) -> usize {
         let heard = self.neighbours.values();
         heard
-            .filter(|(at, _)| now.saturating_sub(*at) < COUNTS_AGE)
+            .filter(|(at, _)| now.saturating_sub(*at) < MAX_COUNTS_AGE)
             .count()
     }
 
-    /// Returns what this gateway has in flight, at most `most` upstreams.
+    /// Returns this gateway's requests in flight, for at most `most` upstreams.
     #[must_use]
     pub fn counts(&self, most: usize) -> Counts {
         let busy = self.members.values().filter(|member| member.in_flight > 0);
@@ -250,13 +254,13 @@
         counts.take(most).collect()
     }
 
-    /// Returns how many upstreams of a service take work.
+    /// Returns the number of upstreams of a service that accept new requests.
     #[must_use]
     pub fn ready(&self, service: &str) -> usize {
         self.of(service).count()
     }
 
-    /// Returns all upstreams of a service that take work.
+    /// Returns the upstreams of a service that accept new requests.
     pub(crate) fn of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Member> {
         let members = self.members.values();
         members.filter(move |member| {
@@ -265,7 +269,7 @@
         })
     }
 
-    /// Returns what runs at each upstream of a service that takes work.
+    /// Returns the load of each upstream of a service that accepts new requests.
     pub(crate) fn usages<'a>(
         &'a self,
         service: &'a str,
@@ -274,14 +278,15 @@
         self.of(service).map(move |member| self.usage(member, now))
     }
 
-    /// Returns the requests in flight at a service: this gateway's and its neighbours'.
+    /// Returns the requests in flight at a service: those of this gateway, and those of its
+    /// neighbours.
     #[must_use]
     pub fn in_flight(&self, service: &str) -> (u32, u32) {
         let mut sums = (0, 0);
         for member in self.members.values() {
             if *member.upstream.service == *service {
                 sums.0 += member.in_flight;
-                sums.1 += self.elsewhere.get(&member.tag).copied().unwrap_or(0);
+                sums.1 += self.neighbour_sums.get(&member.tag).copied().unwrap_or(0);
             }
         }
         sums
@@ -289,16 +294,19 @@
 
     pub(crate) fn usage<'a>(&self, member: &'a Member, now: Monotonic) -> Usage<'a> {
         let told = self.reports.load(member.upstream.address, now);
-        let elsewhere = || self.elsewhere.get(&member.tag).copied().unwrap_or(0);
+        let from_neighbours = || self.neighbour_sums.get(&member.tag).copied().unwrap_or(0);
         Usage {
             upstream: &member.upstream,
-            requests: told.map_or_else(|| member.in_flight + elsewhere(), |load| load.requests),
+            requests: told.map_or_else(
+                || member.in_flight + from_neighbours(),
+                |load| load.requests,
+            ),
             own: member.in_flight,
             told,
         }
     }
 
-    /// Counts a request that is sent to an upstream.
+    /// Records that a request is sent to an upstream.
     pub fn begin(&mut self, id: &str) {
         if let Some(member) = self.members.get_mut(id) {
             member.in_flight += 1;
@@ -306,22 +314,22 @@
         }
     }
 
-    /// Takes how a request at an upstream ended.
+    /// Records the outcome of a request to an upstream.
     pub fn end(&mut self, id: &str, outcome: Outcome, now: Monotonic) {
         if let Some(member) = self.members.get_mut(id) {
-            // An upstream that left the list and came back starts at none in flight.
+            // The count restarts at zero if the upstream left the list and came back meanwhile.
             member.in_flight = member.in_flight.saturating_sub(1);
             member.record(outcome, now);
         }
     }
 
-    /// Returns all upstreams that are known, with the numbers of their starts.
+    /// Returns all known upstreams with the tags of their incarnations.
     pub(crate) fn starts(&self) -> impl Iterator<Item = (StartTag, &Arc<Upstream>)> {
         let members = self.members.values();
         members.map(|member| (member.start, &member.upstream))
     }
 
-    /// Returns all upstreams that are known.
+    /// Returns all known upstreams.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Upstream>> {
         self.members.values().map(|member| &member.upstream)
     }
