--- a/crates/gateway/src/upstream/restore.rs
+++ b/crates/gateway/src/upstream/restore.rs
@@ -1,4 +1,4 @@
-//! Lists of a store that came back from a copy, which is some seconds old.
+//! Lists of a store that was restored from a backup, which is some seconds old.
 
 use auburnline_core::time::Monotonic;
 
@@ -7,17 +7,18 @@
 use super::Upstream;
 
 impl Pool {
-    /// Takes the first list of a store that came back from a copy. Entries of upstreams that were removed, or have started anew, are
-    /// doubted until then: those that live are written again sooner, and the others lapse.
+    /// Applies the first list of a restored store. Entries of upstreams that were removed, or that
+    /// have restarted since, are not trusted until `until`: live upstreams write theirs again
+    /// before that, and the others expire.
     pub fn restore(&mut self, upstreams: Vec<Upstream>, until: Monotonic) -> Vec<Change> {
         let upstreams = upstreams.into_iter();
-        let (believed, doubted): (Vec<_>, Vec<_>) = upstreams.partition(|one| self.is_current(one));
-        let doubted = doubted.into_iter();
-        self.untrusted = doubted.map(|one| (one.id.clone(), (one, until))).collect();
-        self.replace(believed)
+        let (current, outdated): (Vec<_>, Vec<_>) = upstreams.partition(|one| self.is_current(one));
+        let outdated = outdated.into_iter();
+        self.untrusted = outdated.map(|one| (one.id.clone(), (one, until))).collect();
+        self.replace(current)
     }
 
-    /// Returns whether an entry is no older than what is known of its upstream.
+    /// Returns whether an entry is at least as recent as what is known of its upstream.
     fn is_current(&self, upstream: &Upstream) -> bool {
         match self.members.get(&upstream.id) {
             Some(member) => !member.is_missing && !member.is_newer_than(upstream),
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Takes the entries that were doubted long enough and have not lapsed.
+    /// Adds the untrusted entries whose time has passed without their removal from the list.
     pub fn admit(&mut self, now: Monotonic) -> Vec<Change> {
         let untrusted = self.untrusted.values();
         let due = untrusted.filter(|(_, until)| now >= *until);
