--- a/crates/gateway/src/departure.rs
+++ b/crates/gateway/src/departure.rs
@@ -1,46 +1,49 @@
-//! Starts of upstreams of which something holds beyond their entries on the list.
+//! Incarnations of upstreams about which more is known than their entries on the list say.
 //!
-//! An upstream that said that it leaves, on the list or in an answer, does not come back: only another start under its id takes work
-//! again. Its entry may say otherwise, since it may be older than the word, written late, or restored from a copy. And an
-//! upstream that was removed from the list may be on it again in a copy.
+//! An upstream that announced its departure, on the list or in a response, does not come back: only
+//! another incarnation under its id gets requests again. Its entry may still say otherwise, because
+//! it is older than the announcement, was written late, or was restored from a backup. An upstream
+//! that was removed from the list may likewise be listed again after a restore.
 
 use std::collections::BTreeMap;
 
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamId;
 
-/// Starts that are kept at most, several times a large fleet; of more, those that were noted first are let go.
-const MOST_KEPT: usize = 4_096;
+/// Maximum recorded incarnations, several times the size of a large fleet. Beyond it the oldest
+/// record is dropped.
+const MAX_RECORDED: usize = 4_096;
 
-/// One start under an id.
+/// One incarnation of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Incarnation {
     id: UpstreamId,
-    /// Time of the start; none if it was never told.
+    /// Start time; `None` if the upstream never reported it.
     born: Option<u64>,
 }
 
-/// Some starts of upstreams, each with the number of its note, in the order of noting.
+/// Set of incarnations, each with a sequence number that gives the order of recording.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Incarnations {
     known: BTreeMap<Incarnation, u64>,
-    notes: u64,
+    sequence: u64,
 }
 
 impl Incarnations {
-    /// Takes a start in. One that tells no time is taken for those noted under its id, if there are any.
+    /// Records an incarnation. One without a start time is assumed to be among those already
+    /// recorded under its id, if there are any.
     pub(crate) fn record(&mut self, upstream: &Upstream) {
-        self.notes += 1;
-        let is_untold = upstream.born.is_none() && self.of(&upstream.id).next().is_some();
-        if is_untold {
+        self.sequence += 1;
+        let is_recorded = upstream.born.is_none() && self.of(&upstream.id).next().is_some();
+        if is_recorded {
             return;
         }
         let incarnation = Incarnation {
             id: upstream.id.clone(),
             born: upstream.born,
         };
-        self.known.insert(incarnation, self.notes);
-        if self.known.len() > MOST_KEPT {
+        self.known.insert(incarnation, self.sequence);
+        if self.known.len() > MAX_RECORDED {
             let first = self.known.iter().min_by_key(|(_, number)| **number);
             if let Some(first) = first.map(|(incarnation, _)| incarnation.clone()) {
                 self.known.remove(&first);
@@ -48,24 +51,25 @@
         }
     }
 
-    /// Leaves out what was noted under an id.
+    /// Removes all incarnations recorded under an id.
     pub(crate) fn forget(&mut self, id: &UpstreamId) {
-        let noted: Vec<_> = self.of(id).collect();
-        for born in noted {
+        let recorded: Vec<_> = self.of(id).collect();
+        for born in recorded {
             let id = id.clone();
             self.known.remove(&Incarnation { id, born });
         }
     }
 
-    /// Returns whether a start was noted. An entry that tells no time of its start is taken for a noted one.
+    /// Returns whether an incarnation is recorded. An entry without a start time matches any
+    /// recorded incarnation under its id.
     pub(crate) fn contains(&self, upstream: &Upstream) -> bool {
         self.of(&upstream.id).any(|born| {
-            let starts = born.zip(upstream.born);
-            starts.is_none_or(|(known, told)| known == told)
+            let start_times = born.zip(upstream.born);
+            start_times.is_none_or(|(known, told)| known == told)
         })
     }
 
-    /// Returns the times of the starts that were noted under an id.
+    /// Returns the start times of the incarnations recorded under an id.
     fn of(&self, id: &UpstreamId) -> impl Iterator<Item = Option<u64>> {
         let incarnation = |born| Incarnation {
             id: id.clone(),
