--- a/crates/gateway/tests/all/neighbour.rs
+++ b/crates/gateway/tests/all/neighbour.rs
@@ -1,4 +1,4 @@
-//! Which gateways live.
+//! Gossip membership: which gateways are live, which are readers, and what a heartbeat costs.
 
 use auburnline_gateway::message::Beat;
 use auburnline_gateway::message::Entry;
@@ -61,7 +61,7 @@
 }
 
 #[gtest]
-fn hearsay_of_the_same_beat_keeps_nobody_alive() {
+fn relayed_news_of_the_same_beat_keeps_no_gateway_alive() {
     let mut roster = roster();
     roster.hear(&beat(entry("c", 1, 9, true), Vec::new()), millis(0));
     for tick in 1..20 {
@@ -81,7 +81,7 @@
 }
 
 #[gtest]
-fn hearsay_of_an_incarnation_before_does_not_replace_the_one_that_speaks() {
+fn relayed_news_of_an_earlier_incarnation_does_not_replace_the_current_one() {
     let mut roster = roster();
     roster.hear(&beat(entry("c", 2, 1, true), Vec::new()), millis(0));
     let others = vec![entry("c", 1, 900, false)];
@@ -97,7 +97,8 @@
     assert_that!(roster.live(millis(4_100)), eq(2));
 }
 
-/// Pattern: the store turns some instances away and serves the others.
+/// The store rejects some gateways and serves others. A rejected one has to use readers of another
+/// failure domain.
 #[gtest]
 fn a_gateway_that_the_store_turns_away_asks_others_wherever_they_are() {
     let mut roster = roster();
@@ -125,7 +126,8 @@
     assert_that!(roster.targets(millis(100), &mut rng).len(), le(6));
 }
 
-/// Pattern: the store is down for all. Were each gateway its own reader then, it would be asked by the whole fleet.
+/// The store is down for all. If each gateway were its own reader then, the whole fleet would ask
+/// it.
 #[gtest]
 fn while_the_store_answers_nobody_two_of_a_failure_domain_go_on_trying() {
     let mut readers = 0;
