--- a/crates/gateway/tests/all/spread.rs
+++ b/crates/gateway/tests/all/spread.rs
@@ -1,4 +1,4 @@
-//! Who reads the store, and how others learn of it.
+//! Readers of the store, and distribution of its changes to other gateways.
 
 use auburnline_gateway::spread::Need;
 use auburnline_gateway::spread::Published;
@@ -18,7 +18,7 @@
     Published::Upstream(upstream(id, "desk", State::Ready))
 }
 
-/// Returns the state of a gateway that read all as of revision 10.
+/// Returns the state of a gateway that made a full read as of revision 10.
 fn spread() -> Spread {
     let mut spread = Spread::default();
     spread.read_all(at(10), at(3));
@@ -48,7 +48,7 @@
     assert_that!(asker.revision(), some(eq(at(12))));
 }
 
-/// Pattern: a message is held up on its way for seconds. It must not make old knowledge look young.
+/// A message that is delayed for seconds must not make old knowledge look young.
 #[gtest]
 fn an_answer_to_another_question_confirms_nothing() {
     let (reader, mut asker) = (spread(), spread());
@@ -80,8 +80,8 @@
     assert_that!(asker.revision(), some(eq(at(10))));
 }
 
-/// Until a configuration is here, knowledge is not up to date. One that no reader tells is read after 0.9 s, so that it is in
-/// force well within the 2 s that are the shortest bound.
+/// Knowledge is not current before an announced configuration has been read. A configuration that
+/// no reader sends is read after 0.9 s, so that it is in force well within 2 s, the shortest bound.
 #[gtest]
 fn nothing_is_confirmed_before_a_configuration_that_was_heard_of_is_read() {
     let (mut reader, mut asker) = (spread(), spread());
@@ -105,8 +105,9 @@
     }
 }
 
-/// Pattern: a configuration changes before 98 gateways, of which ten read the store. Each call is paid for, and a series of
-/// changes within seconds asked for thousands of them.
+/// A configuration changes in a fleet of 98 gateways with ten readers. Calls to the store cost
+/// money, and without distribution by gateways a few changes within seconds took thousands of
+/// calls.
 #[gtest]
 fn a_configuration_is_told_by_a_gateway_that_has_it() {
     let (mut reader, mut asker) = (spread(), spread());
@@ -123,8 +124,8 @@
     assert_that!(asker.need(false, millis(9_000)), eq(Need::Nothing));
 }
 
-/// Pattern: configurations in quick succession. Each that comes begins the wait for the next one anew; an older one that was
-/// held up on its way replaces nothing.
+/// Configurations in quick succession: each one that arrives restarts the wait for the next, and a
+/// delayed older one does not replace a newer one.
 #[gtest]
 fn of_several_configurations_the_newest_is_kept_and_waited_for() {
     let mut asker = spread();
@@ -171,8 +172,8 @@
     assert_that!(asker.revision(), some(eq(at(210))));
 }
 
-/// Pattern: the store answers nobody for eight seconds. Readers try on, so that its return is seen at once; the others, who are
-/// told then, leave it alone.
+/// The store answers no gateway for eight seconds. Readers keep trying, so that its recovery is
+/// noticed immediately; the others, which the readers then inform, back off.
 #[gtest]
 fn a_store_that_answers_nobody_is_asked_by_its_readers_and_hardly_by_others() {
     let mut reader = spread();
@@ -193,8 +194,8 @@
     }
 }
 
-/// Guards against lower revisions of a restored store that are taken for old ones, and against a configuration that is kept from
-/// those who ask since its revision is lower.
+/// Guards against treating the lower revisions of a restored store as old, and against withholding
+/// a configuration from gateways that request it because its revision is lower.
 #[gtest]
 fn a_configuration_of_a_restored_store_is_told_though_its_revision_is_lower() {
     let (mut reader, mut asker) = (spread(), spread());
@@ -221,21 +222,21 @@
     expect_that!(reader.told(question), some(eq(&newer)));
 }
 
-/// Guards against changes of one generation of the store that are counted on to what is known of another one.
+/// Guards against applying changes of one generation of the store to the state of another.
 #[gtest]
 fn what_is_told_of_another_generation_changes_nothing() {
     let (mut old, mut new) = (spread(), spread());
     new.hint(1);
     new.read_all(restored(8), restored(3));
     old.take(vec![(at(11), change("a"))], at(11));
-    // A reader that knows the earlier one only.
+    // The reader only knows the earlier generation.
     let question = new.question(millis(1_000)).expect("a question");
     let (changes, known_at) = new.hear(old.answer(question, millis(0)).expect("an answer"));
     expect_that!(changes, is_empty());
     expect_that!(known_at, none());
     expect_that!(new.take(vec![(at(12), change("b"))], at(12)), is_empty());
     expect_that!(new.revision(), some(eq(restored(8))));
-    // One that knows the later one says no more than that.
+    // A reader of the later generation only announces it.
     new.take(vec![(restored(12), change("c"))], restored(12));
     let question = old.question(millis(1_000)).expect("a question");
     let answer = new.answer(question, millis(0)).expect("an answer");
@@ -246,7 +247,8 @@
     expect_that!(old.need(false, millis(1_000)), eq(Need::All));
 }
 
-/// Guards against an older version, written again after a restore, that replaces the newest one for those who ask.
+/// Guards against an older version, written again after a restore, replacing the newest one for
+/// gateways that request it.
 #[gtest]
 fn the_newest_version_is_kept_through_a_restore() {
     let mut spread = spread();
@@ -263,7 +265,8 @@
     expect_that!(spread.told(question), some(eq(&told(20))));
 }
 
-/// Guards against a word of another gateway that is wrong and keeps out all that the store says from then on.
+/// Guards against a wrong report of a generation by another gateway, which would block everything
+/// that the store says from then on.
 #[gtest]
 fn a_generation_that_the_store_does_not_confirm_costs_one_reading_and_keeps_nothing_out() {
     let (mut reader, mut asker) = (spread(), spread());
@@ -277,7 +280,7 @@
     let (new, known_at) = asker.hear(reader.answer(question, millis(0)).expect("an answer"));
     expect_that!(new, len(eq(1)));
     expect_that!(known_at, some(eq(millis(1_000))));
-    // The store itself tells of the next one.
+    // The store itself reports the next generation.
     expect_that!(asker.enter(1), eq(true));
     expect_that!(
         asker.read_all(restored(4), restored(3)),
