--- a/crates/gateway/tests/all/version.rs
+++ b/crates/gateway/tests/all/version.rs
@@ -1,4 +1,4 @@
-//! Configurations that other gateways serve by and the store does not hold any more.
+//! Configurations that other gateways have in force and the store no longer holds.
 
 use std::net::SocketAddr;
 
@@ -25,7 +25,7 @@
     ([10, 0, 2, 1], number).into()
 }
 
-/// Returns a gateway that just started, with another one to ask first if there is one.
+/// Returns a gateway that just started, with the given seeds.
 fn gateway(seeds: &[SocketAddr]) -> Gateway {
     let roster = Roster::new(serving(1, None), seeds.to_vec());
     Gateway::new("north".into(), BOUNDS, roster, 7)
@@ -40,7 +40,8 @@
     gateway.roster.hear(&beat, millis(now));
 }
 
-/// Guards against a gateway that serves by what a restored store holds while others serve by what it lost.
+/// Guards against a starting gateway that serves with a restored store's configuration while others
+/// have one in force that the store lost.
 #[gtest]
 fn a_gateway_that_starts_serves_once_it_has_the_newest_version_of_the_others() {
     let mut gateway = gateway(&[peers(2)]);
@@ -55,11 +56,12 @@
     gateway.settle(millis(40));
     expect_that!(gateway.is_able(millis(40)), eq(true));
     expect_that!(gateway.catch_up(millis(40)), none());
-    // What the store holds again takes nothing back.
+    // The older version that the store holds again does not replace the newer one.
     expect_that!(gateway.set_table(table(15)), eq(false));
 }
 
-/// Guards against a gateway that stood still or was cut off, finds the store restored and serves by what that holds.
+/// Guards against a gateway that was suspended or disconnected, finds the store restored and serves
+/// with its older configuration.
 #[gtest]
 fn a_gateway_that_comes_back_serves_once_it_has_heard_another_one() {
     let mut gateway = gateway(&[peers(2)]);
@@ -78,7 +80,7 @@
     expect_that!(gateway.is_able(millis(9_110)), eq(true));
 }
 
-/// Guards against a gateway that is cut off from all others and never serves again.
+/// Guards against a gateway that never serves again because all others are unreachable.
 #[gtest]
 fn a_gateway_that_comes_back_to_the_store_alone_serves_after_a_moment_and_goes_on() {
     let mut gateway = gateway(&[peers(2)]);
@@ -94,7 +96,8 @@
     expect_that!(gateway.knowledge.age(millis(9_710)), some(eq(millis(10))));
 }
 
-/// Guards against a gateway that starts beside another one and takes its word for that of all.
+/// Guards against a starting gateway that hears from one other starting gateway and takes its
+/// version for the newest of all.
 #[gtest]
 fn a_gateway_that_starts_waits_for_one_that_serves_or_for_all_that_it_asks_first() {
     let starting = |number| Entry {
@@ -119,7 +122,7 @@
     }
 }
 
-/// Guards against gateways that wait for each other after all lost power.
+/// Guards against a deadlock of gateways that wait for each other after all lost power.
 #[gtest]
 fn a_gateway_that_hears_of_no_newer_version_serves_at_once() {
     let mut first = gateway(&[peers(2)]);
@@ -145,8 +148,8 @@
     expect_that!(gateway.is_able(millis(600)), eq(true));
 }
 
-/// Pattern: a configuration changes before hundreds of gateways, and readers tell it within some hundred milliseconds. One that
-/// asked another gateway at once would get it twice.
+/// A configuration changes in a fleet of hundreds, and the readers send it within some hundred
+/// milliseconds. A gateway that requested it from another one immediately would get it twice.
 #[gtest]
 fn a_gateway_that_serves_leaves_time_to_the_readers_and_then_asks() {
     let mut gateway = gateway(&[peers(2)]);
@@ -158,14 +161,14 @@
     hear(&mut gateway, 2, 7, Some(20), 1_800);
     expect_that!(gateway.catch_up(millis(1_899)), none());
     expect_that!(gateway.catch_up(millis(1_900)), some(eq(peers(2))));
-    // What the store confirms meanwhile does not make the older version young.
+    // Confirmations by the store don't make the older version's knowledge younger meanwhile.
     hear(&mut gateway, 2, 8, Some(20), 4_700);
     gateway.confirm(millis(4_700), millis(4_710));
     expect_that!(
         gateway.knowledge.age(millis(4_710)),
         some(eq(millis(4_700)))
     );
-    // One that is gone keeps nobody waiting.
+    // A gateway that has failed is no longer waited for.
     gateway.settle(millis(9_000));
     expect_that!(
         gateway.knowledge.age(millis(9_000)),
@@ -173,7 +176,7 @@
     );
 }
 
-/// Guards against all gateways asking the same one for the longest message there is.
+/// Guards against all gateways sending their request for the longest message to the same one.
 #[gtest]
 fn gateways_that_are_behind_ask_different_ones() {
     let mut asked: Vec<_> = (1..=9)
@@ -192,8 +195,8 @@
     expect_that!(asked.len(), gt(4));
 }
 
-/// Pattern: all gateways of a fleet start at once, and some have the configuration sooner. Each would get it from the others with every
-/// beat that it hears, besides from the store.
+/// All gateways of a fleet start at once, and some have the configuration earlier. The others must
+/// not request it from these on each heartbeat in addition to reading the store.
 #[gtest]
 fn a_gateway_that_starts_asks_no_other_one_before_the_store_has_answered_and_then_one_a_beat() {
     let mut gateway = gateway(&[peers(2)]);
