--- a/crates/gateway/tests/all/departure.rs
+++ b/crates/gateway/tests/all/departure.rs
@@ -1,4 +1,4 @@
-//! Upstreams that said that they leave, on the list or in an answer.
+//! Upstreams that announced their departure, on the list or in a response.
 
 use auburnline_gateway::spread::Revision;
 use auburnline_gateway::upstream::Change;
@@ -22,7 +22,8 @@
     }
 }
 
-/// Guards against first sends, retries and moved streams to an upstream that said in an answer that it leaves.
+/// Guards against first attempts, retries and moved streams at an upstream that announced its
+/// departure in a response.
 #[gtest]
 fn an_upstream_that_said_it_leaves_gets_nothing_of_any_kind() {
     let mut gateway = gateway();
@@ -45,7 +46,8 @@
     expect_that!(moved.is_err(), eq(true));
 }
 
-/// Guards against an entry that is older than the upstream's word, written late or from a copy of the store, and takes it back.
+/// Guards against an entry that is older than the departure of its upstream, because it was written
+/// late or restored from a backup, and makes the upstream ready again.
 #[gtest]
 fn a_start_that_leaves_never_takes_work_again() {
     for by_list in [true, false] {
@@ -64,17 +66,18 @@
         pool.expire(false);
         pool.insert(started(1, State::Ready));
         expect_that!(pool.ready("desk"), eq(0));
-        let untold = upstream("u", "desk", State::Ready);
-        pool.insert(untold);
+        let without_start_time = upstream("u", "desk", State::Ready);
+        pool.insert(without_start_time);
         expect_that!(pool.ready("desk"), eq(0));
         pool.insert(started(2, State::Ready));
         expect_that!(pool.ready("desk"), eq(1));
     }
 }
 
-/// Guards against the late word of an earlier start that keeps work from the one that runs now.
+/// Guards against a delayed announcement by an earlier incarnation that keeps requests from the
+/// current one.
 #[gtest]
-fn the_word_of_an_earlier_start_does_not_bind_a_later_one() {
+fn a_departure_of_an_earlier_start_does_not_apply_to_a_later_one() {
     let mut pool = Pool::default();
     pool.insert(started(1, State::Ready));
     pool.insert(started(2, State::Ready));
@@ -84,9 +87,10 @@
     expect_that!(pool.takes_work(&started(1, State::Ready)), eq(false));
 }
 
-/// Guards against the late word of an earlier start that lets a later one, which leaves too, have work again.
+/// Guards against a delayed announcement by an earlier incarnation that replaces that of a later
+/// one, which would then get requests again.
 #[gtest]
-fn the_word_of_an_earlier_start_does_not_replace_that_of_a_later_one() {
+fn a_departure_of_an_earlier_start_does_not_replace_that_of_a_later_one() {
     for (earlier, later) in [(1, 2), (2, 1)] {
         let mut pool = Pool::default();
         pool.insert(started(earlier, State::Ready));
@@ -98,9 +102,10 @@
     }
 }
 
-const HOLD: u64 = 4_800;
+const TRUST_AFTER_MS: u64 = 4_800;
 
-/// Guards against an upstream that was removed and gets work again since its entry is in the copy from which the store came back.
+/// Guards against a removed upstream that gets requests again because its entry is in the backup
+/// from which the store was restored.
 #[gtest]
 fn an_entry_that_a_copy_brought_back_is_doubted_until_it_lapses_or_is_written() {
     for is_written in [false, true] {
@@ -108,51 +113,52 @@
         pool.insert(started(1, State::Ready));
         pool.miss("u");
         pool.expire(false);
-        pool.restore(vec![started(1, State::Ready)], millis(HOLD));
+        pool.restore(vec![started(1, State::Ready)], millis(TRUST_AFTER_MS));
         expect_that!(pool.ready("desk"), eq(0));
-        // All is read again, as after history was lost.
+        // Another full read, as after the store lost its history.
         pool.replace(vec![started(1, State::Ready)]);
-        expect_that!(pool.admit(millis(HOLD - 1)), is_empty());
+        expect_that!(pool.admit(millis(TRUST_AFTER_MS - 1)), is_empty());
         expect_that!(pool.ready("desk"), eq(0));
         if is_written {
             pool.insert(started(1, State::Ready));
             expect_that!(pool.ready("desk"), eq(1));
         } else {
             pool.miss("u");
-            expect_that!(pool.admit(millis(HOLD)), is_empty());
+            expect_that!(pool.admit(millis(TRUST_AFTER_MS)), is_empty());
             expect_that!(pool.ready("desk"), eq(0));
         }
     }
 }
 
-/// Guards against an upstream that lives and is left without work for good since it was once taken for gone.
+/// Guards against a live upstream that never gets requests again because it was once removed.
 #[gtest]
 fn an_entry_that_stays_listed_is_believed_in_the_end() {
     let mut pool = Pool::default();
     pool.insert(started(1, State::Ready));
     pool.miss("u");
     pool.expire(false);
-    pool.restore(vec![started(1, State::Ready)], millis(HOLD));
-    expect_that!(pool.admit(millis(HOLD)), len(eq(1)));
+    pool.restore(vec![started(1, State::Ready)], millis(TRUST_AFTER_MS));
+    expect_that!(pool.admit(millis(TRUST_AFTER_MS)), len(eq(1)));
     expect_that!(pool.ready("desk"), eq(1));
 }
 
-/// Guards against limits and times of backoff of the present start that are lost since a copy has the start before it.
+/// Guards against losing limits and backoffs of the current incarnation because the backup contains
+/// the one before.
 #[gtest]
 fn an_earlier_start_in_a_copy_does_not_replace_the_present_one() {
     let mut pool = Pool::default();
     pool.insert(started(1, State::Ready));
     pool.insert(started(2, State::Ready));
-    pool.restore(vec![started(1, State::Ready)], millis(HOLD));
+    pool.restore(vec![started(1, State::Ready)], millis(TRUST_AFTER_MS));
     expect_that!(pool.takes_work(&started(2, State::Ready)), eq(true));
     expect_that!(pool.takes_work(&started(1, State::Ready)), eq(false));
-    // It is written again before the time for that is over.
+    // Its entry is written again before the entries of the backup become trusted.
     pool.insert(started(2, State::Ready));
     expect_that!(pool.expire(false), is_empty());
     expect_that!(pool.ready("desk"), eq(1));
 }
 
-/// Guards against upstreams that joined after the copy was made and are dropped at once.
+/// Guards against removing upstreams immediately that joined after the backup was taken.
 #[gtest]
 fn upstreams_that_a_copy_lacks_have_time_to_be_written_again() {
     let mut gateway = gateway();
