--- a/crates/gateway/tests/all/knowledge.rs
+++ b/crates/gateway/tests/all/knowledge.rs
@@ -1,4 +1,4 @@
-//! How old the published state may be.
+//! Age of the published state.
 
 use auburnline_gateway::knowledge::Change;
 use auburnline_gateway::knowledge::Knowledge;
@@ -14,7 +14,8 @@
     assert_that!(knowledge.age(millis(2_000)), some(eq(millis(1_000))));
 }
 
-/// A key taken away at the store 5 s before a request must not work, whatever is cut off.
+/// An API key that was revoked at the store 5 s before a request must not work, whatever
+/// connections are down.
 #[gtest]
 fn keys_are_not_trusted_once_a_revocation_could_be_unknown() {
     let mut knowledge = Knowledge::new(millis(5_000));
