--- a/crates/gateway/tests/all/upstream.rs
+++ b/crates/gateway/tests/all/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams that may take work.
+//! The pool of upstreams that may get requests.
 
 use auburnline_gateway::choice::Preference;
 use auburnline_gateway::upstream::Change;
@@ -57,7 +57,7 @@
         some(eq("u1"))
     );
     assert_that!(pool.in_flight("desk"), eq((0, 5)));
-    // A neighbour that fell silent has nothing in flight that is known.
+    // The counts of a neighbour that stopped sending them are dropped.
     pool.set_elsewhere(2, Vec::new(), millis(5_000));
     assert_that!(pool.in_flight("desk"), eq((0, 0)));
 }
@@ -74,7 +74,7 @@
     assert_that!(choose(&pool, Preference::EvenLoad, &tried, 0), none());
 }
 
-/// Pattern: an upstream fails part of its requests while its health check is good.
+/// An upstream fails a part of its requests while its health check passes.
 #[gtest]
 fn an_upstream_that_fails_is_left_out_for_seconds_and_then_tried_again() {
     let mut pool = pool(3);
@@ -95,7 +95,7 @@
     );
 }
 
-/// Pattern: one upstream works several times slower than its peers.
+/// One upstream is several times slower than its peers.
 #[gtest]
 fn a_slow_upstream_of_a_plain_service_gets_less() {
     let mut pool = pool(2);
@@ -113,8 +113,7 @@
     );
 }
 
-/// Upstreams that live are written anew within about two seconds of the store's return.
-/// Guards against an upstream that is well and left without work, since one answer came late at first.
+/// Guards against a healthy upstream that gets no requests because its first response was slow.
 #[gtest]
 fn an_upstream_with_one_late_answer_is_tried_again_within_seconds_and_then_counts_as_fast() {
     for late in [20, 100, 1_000, 3_000] {
@@ -144,6 +143,7 @@
     }
 }
 
+/// Live upstreams write their entries again within about two seconds of the store's recovery.
 #[gtest]
 fn entries_that_lapsed_while_the_store_was_away_may_come_back() {
     let mut pool = pool(2);
@@ -165,8 +165,8 @@
     assert_that!(pool.expire(false), len(eq(2)));
 }
 
-/// Pattern: all instances lose power and start again, and the list names the ones that died for about a second
-/// still (incident inc-0f39: half of the sends of that second went to them).
+/// All instances lose power and restart, and the list contains the entries of the old processes for
+/// another second (incident inc-0f39: half of the requests of that second went to them).
 #[gtest]
 fn of_two_upstreams_at_one_address_only_the_one_that_appeared_last_gets_work() {
     let at = |id: &str, appeared| Upstream {
@@ -187,18 +187,19 @@
     }
 }
 
-/// Pattern: another writer puts an entry of a service that no configuration names at the address of an upstream.
+/// Another writer adds an entry, of a service that no configuration defines, at the address of an
+/// upstream.
 #[gtest]
 fn an_entry_of_a_service_that_nobody_named_hides_no_upstream() {
     let mut pool = Pool::default();
     pool.set_services(["desk".into()]);
     pool.insert(upstream("u0", "desk", State::Ready));
-    let mut stranger = upstream("u9", "nowhere", State::Ready);
-    stranger.appeared = revision(7);
-    pool.insert(stranger);
+    let mut foreign = upstream("u9", "nowhere", State::Ready);
+    foreign.appeared = revision(7);
+    pool.insert(foreign);
     assert_that!(pool.ready("desk"), eq(1));
     assert_that!(choose(&pool, Preference::EvenLoad, &[], 0), some(eq("u0")));
-    // Once a configuration names the service, the newest at an address is what runs there.
+    // Once a configuration defines the service, its newer entry takes precedence at the address.
     pool.set_services(["desk".into(), "nowhere".into()]);
     assert_that!(pool.ready("desk"), eq(0));
 }
@@ -218,13 +219,13 @@
     let change = pool.insert(first);
     assert_that!(change, some(matches_pattern!(Change::Joined(anything()))));
     assert_that!(pool.in_flight("desk").0, eq(0));
-    // An end of a request at the one before is none of this one's.
+    // The end of a request at the previous incarnation does not count for this one.
     pool.end("u0", Outcome::Failed, millis(2));
     assert_that!(pool.in_flight("desk").0, eq(0));
 }
 
 #[gtest]
-fn a_start_that_is_not_told_is_no_new_one() {
+fn an_entry_without_a_start_time_is_no_new_start() {
     let mut pool = pool(1);
     pool.begin("u0");
     let mut told = upstream("u0", "desk", State::Ready);
@@ -234,21 +235,21 @@
     assert_that!(pool.in_flight("desk").0, eq(1));
 }
 
-/// Pattern: the list is read before the first configuration, with an entry of another writer on it.
+/// The list is read before the first configuration and contains an entry of another writer.
 #[gtest]
 fn an_entry_of_another_writer_that_was_read_first_hides_no_upstream() {
     let mut pool = Pool::default();
     pool.insert(upstream("u0", "desk", State::Ready));
-    let mut stranger = upstream("u9", "nowhere", State::Ready);
-    stranger.appeared = revision(7);
-    pool.insert(stranger);
+    let mut foreign = upstream("u9", "nowhere", State::Ready);
+    foreign.appeared = revision(7);
+    pool.insert(foreign);
     pool.set_services(["desk".into()]);
     assert_that!(pool.ready("desk"), eq(1));
 }
 
-/// Pattern: an entry is written once without the time of the start, between two starts under one id.
+/// An entry is written once without a start time, between two incarnations under one id.
 #[gtest]
-fn a_start_is_told_from_the_one_before_though_it_was_not_told_in_between() {
+fn a_restart_is_recognised_despite_an_entry_without_a_start_time_in_between() {
     let mut pool = Pool::default();
     let started = |born| {
         let mut upstream = upstream("u0", "desk", State::Ready);
