--- a/crates/gateway/tests/all/restore/mod.rs
+++ b/crates/gateway/tests/all/restore/mod.rs
@@ -1,8 +1,9 @@
-//! A store that comes back from a copy, before whole fleets.
+//! Simulation of whole fleets whose store is restored from a backup.
 //!
-//! All gateways run their own decisions; messages between them arrive with the next step and are sometimes lost. The store is
-//! read as the reader of a platform reads it. Gateways start, freeze and are cut off from the store while it is restored and
-//! configurations are written.
+//! Every gateway runs the real decisions. Messages between gateways arrive with the next step and
+//! are sometimes lost. The store is read in the way in which the source of a platform reads it.
+//! Gateways start, are suspended and lose the store while it is restored and configurations are
+//! written.
 
 mod world;
 
@@ -24,24 +25,25 @@
 use crate::support::millis;
 
 const STEP: Duration = Duration::from_millis(100);
-/// Steps between two beats, and between two questions.
-const BEAT: u32 = 3;
-const QUESTION: u32 = 6;
-/// Time within which a configuration is in force everywhere.
+/// Steps between two heartbeats, and between two queries to the readers.
+const BEAT_STEPS: u32 = 3;
+const QUESTION_STEPS: u32 = 6;
+/// Time within which a configuration has to be in force everywhere.
 const IN_FORCE: Duration = Duration::from_secs(3);
-/// Time after the end of its trouble from which a gateway is held to that.
-const STABILITY: Duration = Duration::from_secs(3);
-/// Time after which a key that was taken away works nowhere, whatever happened to a gateway.
-const REVOKED: Duration = Duration::from_secs(5);
-/// Messages that wait for a gateway that stands still; more are lost.
-const MOST_WAITING: usize = 60;
-/// Messages that are lost, of 100.
-const LOST: u32 = 1;
+/// Time after the end of a gateway's last fault from which it is checked for that.
+const RECOVERY_TIME: Duration = Duration::from_secs(3);
+/// Time after which a revoked key must not work anywhere, whatever faults a gateway had.
+const REVOCATION: Duration = Duration::from_secs(5);
+/// Capacity of a suspended gateway's inbox; messages beyond it are lost.
+const INBOX_CAPACITY: usize = 60;
+/// Lost messages, in percent.
+const LOSS_PERCENT: u32 = 1;
 const DOMAINS: usize = 4;
-/// Gateways of each fleet.
+/// Numbers of gateways for which each test runs.
 const FLEETS: [usize; 3] = [6, 98, 340];
 
-/// The store: each entry of its history is the version of a configuration, or something that no gateway uses.
+/// The store. Each entry of the history is the version of a configuration, or `None` for a write
+/// that no gateway uses.
 #[derive(Clone, Default)]
 struct Store {
     generation: u64,
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Returns the configuration and the revision at which it was written.
+    /// Returns the newest configuration with the revision at which it was written.
     fn configuration(&self) -> (Revision, Version) {
         let written = self.history.iter().rposition(Option::is_some);
         let written = written.expect("a configuration");
@@ -77,7 +79,7 @@
         self.history.extend(vec![None; times]);
     }
 
-    /// Comes back as it was after so many writes.
+    /// Restores the state after the first `number` writes.
     fn restore(&mut self, number: usize) {
         self.generation += 1;
         self.history.truncate(number);
@@ -97,13 +99,13 @@
 struct Node {
     gateway: Gateway,
     started: Duration,
-    frozen_until: Duration,
-    /// Until when it does not reach the store.
-    cut_until: Duration,
-    /// Until when it reaches nobody.
-    dark_until: Duration,
-    /// End of its last trouble.
-    well_since: Duration,
+    suspended_until: Duration,
+    /// Until when it can't reach the store.
+    disconnected_until: Duration,
+    /// Until when it can reach neither the store nor other gateways.
+    isolated_until: Duration,
+    /// When it started; the check of its version begins some time after that.
+    healthy_since: Duration,
     inbox: Vec<(usize, Message)>,
     next_read: Duration,
 }
@@ -113,13 +115,13 @@
     store: Store,
     nodes: Vec<Node>,
     rng: ChaCha8Rng,
-    lives: u64,
+    incarnations: u64,
     /// When each version was written.
     written: Vec<(Version, Duration)>,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
-fn take(gateway: &mut Gateway, version: Version, written: Revision) {
+fn apply_configuration(gateway: &mut Gateway, version: Version, written: Revision) {
     let content = content(version, Vec::new());
     gateway.spread.keep(Told {
         revision: written,
@@ -129,7 +131,8 @@
     gateway.spread.read_configuration(written);
 }
 
-/// Guards against gateways that stay behind, for seconds or until the next change, once the store gives out revisions again.
+/// Guards against gateways that stay behind, for seconds or until the next change, because the
+/// restored store assigns the same revision numbers again.
 #[gtest]
 fn configurations_written_after_a_restore_are_in_force_in_fleets_of_all_sizes() {
     for count in FLEETS {
@@ -146,12 +149,13 @@
         world.write(5);
         world.write(8);
         world.run(Duration::from_secs(4));
-        expect_that!(world.broken, is_empty(), "{count} gateways");
+        expect_that!(world.violations, is_empty(), "{count} gateways");
         expect_that!(world.able(), eq(count), "{count} gateways");
     }
 }
 
-/// Guards against gateways that don't notice a restore since the store has caught up with them by their next question.
+/// Guards against gateways that miss a restore because the store has passed their known revision by
+/// their next query.
 #[gtest]
 fn a_restore_is_noticed_though_the_revisions_have_passed_the_known_ones() {
     for count in FLEETS {
@@ -162,11 +166,12 @@
         world.write(6);
         world.store.write_other(40);
         world.run(Duration::from_secs(4));
-        expect_that!(world.broken, is_empty(), "{count} gateways");
+        expect_that!(world.violations, is_empty(), "{count} gateways");
     }
 }
 
-/// Guards against configurations that go back, or never arrive, while gateways start, freeze and are cut off around restores.
+/// Guards against configurations that go back, or never arrive, while gateways start, are suspended
+/// and lose the store around restores.
 #[gtest]
 fn no_configuration_goes_back_or_is_kept_out_while_gateways_start_freeze_and_are_cut() {
     for count in FLEETS {
@@ -180,28 +185,32 @@
                 for _ in 0..3 {
                     version += 2;
                     world.write(version);
-                    world.harm();
+                    world.inject_faults();
                     world.run(millis(700));
                 }
                 world.store.restore(saved);
                 world.run(millis(500));
-                world.harm();
+                world.inject_faults();
                 world.run(millis(500));
-                // What the operator wrote is written again, and then more.
+                // The operator's last write is repeated, and a newer one follows.
                 world.store.write(version);
                 version += 2;
                 world.write(version);
                 world.run(Duration::from_secs(3));
             }
             world.run(Duration::from_secs(8));
-            expect_that!(world.broken, is_empty(), "{count} gateways, seed {seed}");
+            expect_that!(
+                world.violations,
+                is_empty(),
+                "{count} gateways, seed {seed}"
+            );
             expect_that!(world.able(), eq(count), "{count} gateways, seed {seed}");
         }
     }
 }
 
-/// Guards against keys that were taken away and work again at gateways that start, wake or are no longer cut off, since the store that
-/// they read was restored from a copy which still has them.
+/// Guards against revoked keys that work again at gateways that start, resume or reconnect, because
+/// the store they read was restored from a backup that still contains the keys.
 #[gtest]
 fn keys_that_a_restored_store_has_again_work_at_no_gateway_that_comes_back() {
     for count in FLEETS {
@@ -209,12 +218,12 @@
         for seed in 1..=seeds {
             let mut world = World::start(count, seed);
             world.run(Duration::from_secs(4));
-            let harmed = count.div_ceil(5);
-            for number in 0..harmed {
+            let faulty = count.div_ceil(5);
+            for number in 0..faulty {
                 let until = world.now + millis(5_300 + world.rng.random_range(0..2_000));
                 match number % 2 {
-                    0 => world.nodes[number].frozen_until = until,
-                    _ => world.nodes[number].dark_until = until,
+                    0 => world.nodes[number].suspended_until = until,
+                    _ => world.nodes[number].isolated_until = until,
                 }
             }
             world.run(millis(100));
@@ -222,13 +231,17 @@
             world.run(millis(5_100));
             world.store.restore(1);
             for _ in 0..10 {
-                let number = world.rng.random_range(harmed..count);
+                let number = world.rng.random_range(faulty..count);
                 world.nodes[number] = world.node(number);
                 world.run(millis(250));
             }
             world.store.write(5);
             world.run(Duration::from_secs(6));
-            expect_that!(world.broken, is_empty(), "{count} gateways, seed {seed}");
+            expect_that!(
+                world.violations,
+                is_empty(),
+                "{count} gateways, seed {seed}"
+            );
             expect_that!(world.able(), eq(count), "{count} gateways, seed {seed}");
         }
     }
--- a/crates/gateway/tests/all/restore/world.rs
+++ b/crates/gateway/tests/all/restore/world.rs
@@ -1,4 +1,4 @@
-//! The course of a run: what gateways hear, read and tell, and what is broken.
+//! Course of a simulation: messages, reads of the store, faults, and the check for violations.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-use super::BEAT;
+use super::BEAT_STEPS;
 use super::DOMAINS;
 use super::IN_FORCE;
-use super::LOST;
-use super::MOST_WAITING;
+use super::INBOX_CAPACITY;
+use super::LOSS_PERCENT;
 use super::Message;
 use super::Node;
-use super::QUESTION;
-use super::REVOKED;
-use super::STABILITY;
+use super::QUESTION_STEPS;
+use super::RECOVERY_TIME;
+use super::REVOCATION;
 use super::STEP;
 use super::Store;
 use super::World;
-use super::take;
+use super::apply_configuration;
 use crate::gateway::BOUNDS;
 use crate::support::entry;
 use crate::support::millis;
@@ -40,9 +40,9 @@
             store: Store::default(),
             nodes: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            lives: 0,
+            incarnations: 0,
             written: Vec::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
         };
         world.write(3);
         for number in 0..count {
@@ -53,20 +53,20 @@
     }
 
     pub(super) fn node(&mut self, number: usize) -> Node {
-        self.lives += 1;
+        self.incarnations += 1;
         let me = Entry {
             failure_domain: format!("domain-{}", number % DOMAINS).into(),
-            ..entry(peers(number).port(), self.lives, 0)
+            ..entry(peers(number).port(), self.incarnations, 0)
         };
         let roster = Roster::new(me, (0..3).map(peers).collect());
         let seed = self.rng.random();
         Node {
             gateway: Gateway::new("north".into(), BOUNDS, roster, seed),
             started: self.now,
-            frozen_until: Duration::ZERO,
-            cut_until: Duration::ZERO,
-            dark_until: Duration::ZERO,
-            well_since: self.now,
+            suspended_until: Duration::ZERO,
+            disconnected_until: Duration::ZERO,
+            isolated_until: Duration::ZERO,
+            healthy_since: self.now,
             inbox: Vec::new(),
             next_read: self.now,
         }
@@ -82,7 +82,7 @@
         while self.now < until {
             self.now += STEP;
             for number in 0..self.nodes.len() {
-                if self.now >= self.nodes[number].frozen_until {
+                if self.now >= self.nodes[number].suspended_until {
                     self.step(number);
                 }
             }
@@ -94,30 +94,34 @@
         let before = self.nodes[number].gateway.version();
         let inbox = std::mem::take(&mut self.nodes[number].inbox);
         for (from, message) in inbox {
-            self.hear(number, from, message);
+            self.receive(number, from, message);
         }
         self.read(number);
-        self.talk(number);
+        self.send_messages(number);
         let after = self.nodes[number].gateway.version();
         if after < before {
-            self.broken
-                .push(format!("{number} went back from {before:?} to {after:?}"));
+            self.violations.push(format!(
+                "gateway {number} went back from version {before:?} to {after:?}"
+            ));
         }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: Message) {
         let to = number(to);
-        let is_dark = self.now < self.nodes[from].dark_until.max(self.nodes[to].dark_until);
-        if to == from || self.rng.random_ratio(LOST, 100) || is_dark {
+        let is_isolated = self.now
+            < self.nodes[from]
+                .isolated_until
+                .max(self.nodes[to].isolated_until);
+        if to == from || self.rng.random_ratio(LOSS_PERCENT, 100) || is_isolated {
             return;
         }
         let node = &mut self.nodes[to];
-        if self.now >= node.frozen_until || node.inbox.len() < MOST_WAITING {
+        if self.now >= node.suspended_until || node.inbox.len() < INBOX_CAPACITY {
             node.inbox.push((from, message));
         }
     }
 
-    fn hear(&mut self, number: usize, from: usize, message: Message) {
+    fn receive(&mut self, number: usize, from: usize, message: Message) {
         let node = &mut self.nodes[number];
         let now = self.now.saturating_sub(node.started);
         let gateway = &mut node.gateway;
@@ -156,7 +160,7 @@
                 told.map(Message::Configuration)
             }
             Message::Configuration(told) => {
-                take(gateway, told.content.version, told.revision);
+                apply_configuration(gateway, told.content.version, told.revision);
                 None
             }
         };
@@ -165,7 +169,7 @@
         }
     }
 
-    /// Reads of the store what is needed, if it can be reached.
+    /// Reads what is needed from the store, unless it is unreachable.
     fn read(&mut self, number: usize) {
         let node = &mut self.nodes[number];
         let now = self.now.saturating_sub(node.started);
@@ -177,7 +181,7 @@
         if need == Need::Nothing || self.now < node.next_read {
             return;
         }
-        if self.store.is_down || self.now < node.cut_until.max(node.dark_until) {
+        if self.store.is_down || self.now < node.disconnected_until.max(node.isolated_until) {
             gateway.roster.set_cut(true);
             node.next_read = self.now + gateway.spread.miss(false);
             return;
@@ -188,13 +192,13 @@
         let (written, version) = self.store.configuration();
         match need {
             Need::All => {
-                take(gateway, version, written);
+                apply_configuration(gateway, version, written);
                 gateway.read_all(Vec::new(), self.store.revision(), written, now);
                 gateway.confirm(now, now);
             }
             Need::Configuration => {
                 gateway.spread.enter(self.store.generation);
-                take(gateway, version, written);
+                apply_configuration(gateway, version, written);
             }
             Need::Changes(after) => {
                 if gateway.spread.enter(self.store.generation) {
@@ -206,7 +210,7 @@
                 }
                 let is_new = written > after;
                 if is_new {
-                    take(gateway, version, written);
+                    apply_configuration(gateway, version, written);
                 }
                 let changes = is_new.then_some((written, Published::Configuration));
                 let changes = changes.into_iter().collect();
@@ -217,14 +221,14 @@
         }
     }
 
-    fn talk(&mut self, number: usize) {
+    fn send_messages(&mut self, number: usize) {
         let steps = u32::try_from(self.now.as_millis() / STEP.as_millis()).expect("a short run");
         let steps = steps + u32::try_from(number).expect("a small fleet");
         let mut rng = ChaCha8Rng::from_rng(&mut self.rng);
         let node = &mut self.nodes[number];
         let now = self.now.saturating_sub(node.started);
         let mut messages = Vec::new();
-        if steps.is_multiple_of(BEAT) {
+        if steps.is_multiple_of(BEAT_STEPS) {
             let beat = node.gateway.roster.beat(Vec::new(), now, &mut rng);
             let targets = node.gateway.roster.targets(now, &mut rng);
             messages.extend(
@@ -238,7 +242,7 @@
         }
         let is_awaiting = node.gateway.spread.awaits_configuration();
         let (readers, is_reader) = node.gateway.roster.readers(now);
-        if !is_reader && (steps.is_multiple_of(QUESTION) || is_awaiting) {
+        if !is_reader && (steps.is_multiple_of(QUESTION_STEPS) || is_awaiting) {
             let question = node.gateway.spread.question(now);
             let questions = readers.into_iter().filter_map(|to| Some((to, question?)));
             messages.extend(questions.map(|(to, question)| (to, Message::Question(question))));
@@ -248,34 +252,36 @@
         }
     }
 
-    /// Takes down which gateways serve by an older version than they may.
+    /// Records the gateways that serve with an older version than they may.
     fn check(&mut self) {
         let due = self.written.iter();
         let due = due.filter(|(_, at)| *at + IN_FORCE <= self.now);
         let least = due.map(|(version, _)| *version).max();
         let old = self.written.iter();
-        let old = old.filter(|(_, at)| *at + REVOKED <= self.now);
+        let old = old.filter(|(_, at)| *at + REVOCATION <= self.now);
         let revoked = old.map(|(version, _)| *version).max();
         for (number, node) in self.nodes.iter().enumerate() {
-            let trouble = node.frozen_until.max(node.cut_until);
-            let is_well = self.now >= trouble.max(node.dark_until).max(node.well_since) + STABILITY;
+            let last_fault = node.suspended_until.max(node.disconnected_until);
+            let is_healthy = self.now
+                >= last_fault.max(node.isolated_until).max(node.healthy_since) + RECOVERY_TIME;
             let now = self.now.saturating_sub(node.started);
             let version = node.gateway.version();
             let is_able = node.gateway.is_able(now);
-            if is_well && !self.store.is_down && is_able && version < least {
-                self.broken
-                    .push(format!("{number} serves by {version:?} and not {least:?}"));
+            if is_healthy && !self.store.is_down && is_able && version < least {
+                self.violations.push(format!(
+                    "gateway {number} serves with version {version:?}, not {least:?}"
+                ));
             }
-            let runs = self.now >= node.frozen_until;
+            let runs = self.now >= node.suspended_until;
             if runs && is_able && version < revoked {
-                self.broken.push(format!(
-                    "{number} trusts keys by {version:?} and not {revoked:?}"
+                self.violations.push(format!(
+                    "gateway {number} trusts keys of version {version:?}, not {revoked:?}"
                 ));
             }
         }
     }
 
-    /// Returns how many gateways can serve.
+    /// Returns the number of gateways that can serve.
     pub(super) fn able(&self) -> usize {
         let nodes = self.nodes.iter();
         let able = nodes.filter(|node| {
@@ -285,8 +291,9 @@
         able.count()
     }
 
-    /// Restarts, freezes or cuts off some gateways.
-    pub(super) fn harm(&mut self) {
+    /// Restarts a tenth of the gateways, suspends them or disconnects them from the store, at
+    /// random.
+    pub(super) fn inject_faults(&mut self) {
         for _ in 0..self.nodes.len().div_ceil(10) {
             let number = self.rng.random_range(0..self.nodes.len());
             let time = millis(self.rng.random_range(500..4_000));
@@ -298,8 +305,8 @@
                         ..self.node(number)
                     };
                 }
-                1 => self.nodes[number].frozen_until = self.now + time,
-                _ => self.nodes[number].cut_until = self.now + time,
+                1 => self.nodes[number].suspended_until = self.now + time,
+                _ => self.nodes[number].disconnected_until = self.now + time,
             }
         }
     }
