--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -14,7 +14,7 @@
 use rand::Rng as _;
 
 use crate::allowance::Allowance;
-use crate::allowance::WORD;
+use crate::allowance::REPORT_INTERVAL;
 use crate::gateway::Gateway;
 use crate::gateway::NO_UPSTREAM_RETURN;
 use crate::pace;
@@ -242,7 +242,7 @@
                 prediction,
                 allowance: None,
                 slots: f64::from(traffic.load.ranks) * f64::from(engine.slots),
-                turnover: WORD.as_secs_f64() / prediction.stream(engine).as_secs_f64(),
+                turnover: REPORT_INTERVAL.as_secs_f64() / prediction.stream(engine).as_secs_f64(),
                 gateways,
                 is_cautious: pace.is_cautious(),
             };
--- a/crates/gateway/src/allowance.rs
+++ b/crates/gateway/src/allowance.rs
@@ -13,7 +13,7 @@
 use crate::real;
 
 /// Time between two words of a lead.
-pub(crate) const WORD: Duration = Duration::from_millis(200);
+pub(crate) const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// Time without a word after which what was kept is void: the group may have formed anew since.
 const KEPT: Duration = Duration::from_millis(600);
 /// Requests that are kept at most beyond a share: more than callers send to one gateway within one word.
@@ -39,7 +39,9 @@
             self.requests = share - draw;
             return;
         };
-        let words = (passed.as_secs_f64() / WORD.as_secs_f64()).round().max(1.0);
+        let words = (passed.as_secs_f64() / REPORT_INTERVAL.as_secs_f64())
+            .round()
+            .max(1.0);
         self.requests = (self.requests + share * words).min(share.max(MOST_KEPT));
     }
 
