--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -269,7 +269,7 @@
         let told = now.saturating_sub(room.traffic.told?);
         let draw = self.rng.random();
         let allowance = self.allowances.entry(room.group.clone()).or_default();
-        allowance.hear(told, room.room(), room.gateways, draw);
+        allowance.update(told, room.room(), room.gateways, draw);
         Some(*allowance)
     }
 
--- a/crates/gateway/src/allowance.rs
+++ b/crates/gateway/src/allowance.rs
@@ -28,7 +28,7 @@
 
 impl Allowance {
     /// Takes the room that the word of `told` leaves to all `gateways`; `draw` (0 to 1) is a number by chance.
-    pub(crate) fn hear(&mut self, told: Monotonic, room: f64, gateways: usize, draw: f64) {
+    pub(crate) fn update(&mut self, told: Monotonic, room: f64, gateways: usize, draw: f64) {
         if self.told == Some(told) {
             return;
         }
