--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -74,7 +74,7 @@
         let (Some(engine), Some(longest)) = (plan.engine, plan.route.longest_pause) else {
             return Admission::Go(None);
         };
-        let Some(room) = self.roomy(&plan.service, &engine, longest, now) else {
+        let Some(room) = self.pick_group(&plan.service, &engine, longest, now) else {
             return self.await_reform(plan, &engine, now);
         };
         let basis = Some(room.basis());
@@ -104,7 +104,7 @@
     pub fn give_up(&mut self, plan: &Plan, reason: &'static str, now: Monotonic) -> Refusal {
         let returns = match (plan.engine, plan.route.longest_pause) {
             (Some(engine), Some(longest)) => {
-                let room = self.roomy(&plan.service, &engine, longest, now);
+                let room = self.pick_group(&plan.service, &engine, longest, now);
                 room.map_or(SHUT_RETURNS, |_| RETURNS)
             }
             _ => PLAIN_RETURNS,
@@ -221,7 +221,7 @@
     ///
     /// All gateways see the same counts some hundred milliseconds late; if each took the one with the most
     /// room, that one would be flooded.
-    pub(crate) fn roomy(
+    pub(crate) fn pick_group(
         &mut self,
         service: &str,
         engine: &Engine,
--- a/crates/gateway/src/assign.rs
+++ b/crates/gateway/src/assign.rs
@@ -68,7 +68,7 @@
         let engine = plan.engine.zip(plan.route.longest_pause);
         let group = match (engine, group) {
             (Some((engine, longest)), None) => {
-                let room = self.roomy(&plan.service, &engine, longest, now);
+                let room = self.pick_group(&plan.service, &engine, longest, now);
                 room.map(|room| room.group)
             }
             (_, group) => group.cloned(),
