--- a/crates/gateway/src/caution.rs
+++ b/crates/gateway/src/caution.rs
@@ -12,7 +12,7 @@
 use crate::pace::following;
 
 /// Part of the longest pause that passes may take right after a shift.
-pub(crate) const SHIFTED_PART: f64 = 0.95;
+pub(crate) const SHIFTED_TARGET_FRACTION: f64 = 0.95;
 /// Time in which what was learned of shifts fades to a third: several shifts where they come often.
 const PEAK_TIME: Duration = Duration::from_secs(20);
 /// Part of streams that have a long pass from which on a group is filled with caution, and the part below which it no
--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/pace.rs
@@ -14,7 +14,7 @@
 
 use crate::caution;
 use crate::caution::Caution;
-use crate::caution::SHIFTED_PART;
+use crate::caution::SHIFTED_TARGET_FRACTION;
 use crate::route::Engine;
 
 /// Part of the longest pause that the mean pass may take: single passes are longer than the mean by
@@ -156,7 +156,7 @@
         let base = base(engine, load);
         let most = (longest * TARGET_PART - base) / slope;
         let shifted = self.caution.factor().map_or(f64::INFINITY, |factor| {
-            (longest * SHIFTED_PART - base) / (even * factor)
+            (longest * SHIFTED_TARGET_FRACTION - base) / (even * factor)
         });
         let most = most.min(shifted).clamp(ranks * LEAST_PER_RANK, places);
         let pass = base + slope * f64::from(load.in_flight + 1);
