--- a/crates/gateway/src/caution.rs
+++ b/crates/gateway/src/caution.rs
@@ -9,7 +9,7 @@
 
 use auburnline_core::time::Monotonic;
 
-use crate::pace::following;
+use crate::pace::ewma_weight;
 
 /// Part of the longest pause that passes may take right after a shift.
 pub(crate) const SHIFTED_TARGET_FRACTION: f64 = 0.95;
@@ -46,7 +46,7 @@
 impl Caution {
     /// Takes a pass, `passed` after the one before.
     pub(crate) fn observe(&mut self, pass: &Pass, passed: Duration, now: Monotonic) {
-        self.peak *= 1.0 - following(passed, PEAK_TIME);
+        self.peak *= 1.0 - ewma_weight(passed, PEAK_TIME);
         self.peak = self.peak.max(pass.factor);
         if pass.is_long {
             self.long_at = Some(now);
@@ -54,7 +54,7 @@
         let since = self.long_at.map(|at| now.saturating_sub(at));
         let is_late = since.is_some_and(|since| since < pass.stream);
         let is_late = f64::from(u8::from(is_late));
-        self.late += (is_late - self.late) * following(passed, LATE_TIME);
+        self.late += (is_late - self.late) * ewma_weight(passed, LATE_TIME);
         let (begins, ends) = LATE_PARTS;
         self.is_on = self.late > if self.is_on { ends } else { begins };
     }
--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/pace.rs
@@ -118,12 +118,12 @@
             .seen_at
             .map_or(FACTOR_TIME, |at| now.saturating_sub(at));
         self.seen_at = Some(now);
-        let weight = following(passed, FACTOR_TIME);
+        let weight = ewma_weight(passed, FACTOR_TIME);
         let slope = slope(engine, load.ranks) * f64::from(load.in_flight);
         let seen = ((pause - base(engine, load)) / slope).clamp(FACTORS.0, FACTORS.1);
         self.factor += (seen - self.factor) * weight;
         self.mean_pass += (pause - self.mean_pass) * weight;
-        let weight = following(passed, RECENT_TIME);
+        let weight = ewma_weight(passed, RECENT_TIME);
         self.recent += (seen - self.recent) * weight;
         let pass = caution::Pass {
             is_long: pause > longest.as_secs_f64(),
@@ -169,7 +169,7 @@
 }
 
 /// Returns the weight of something seen after `passed` for a value that follows by two thirds in `time`.
-pub(crate) fn following(passed: Duration, time: Duration) -> f64 {
+pub(crate) fn ewma_weight(passed: Duration, time: Duration) -> f64 {
     1.0 - (-passed.as_secs_f64() / time.as_secs_f64()).exp()
 }
 
