--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -278,7 +278,7 @@
         let (Some(engine), Some(longest)) = (plan.engine, plan.route.longest_pause) else {
             return;
         };
-        self.groups.moved(group, now);
+        self.groups.record_event(group, now);
         let Some(traffic) = self.traffic(&plan.service, now).remove(group) else {
             return;
         };
--- a/crates/gateway/src/group.rs
+++ b/crates/gateway/src/group.rs
@@ -100,7 +100,7 @@
     }
 
     /// Takes that an event of a group's streams came.
-    pub fn moved(&mut self, group: &GroupId, now: Monotonic) {
+    pub fn record_event(&mut self, group: &GroupId, now: Monotonic) {
         match self.moved.get_mut(group) {
             Some(at) => *at = now,
             None => {
