--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -194,7 +194,7 @@
         let untold = groups.values_mut().filter(|traffic| traffic.told.is_none());
         untold.for_each(|traffic| traffic.add_silent(silent));
         groups.retain(|group, _| !self.groups.is_shut(group, now));
-        let is_still = |group: &GroupId| self.groups.is_still(group, now);
+        let is_still = |group: &GroupId| self.groups.is_stalled(group, now);
         if groups.keys().any(|group| !is_still(group)) {
             groups.retain(|group, _| !is_still(group));
         }
--- a/crates/gateway/src/group.rs
+++ b/crates/gateway/src/group.rs
@@ -125,7 +125,7 @@
     /// Returns whether a group seems to stand still: its lead was heard before and is silent, and none of
     /// its streams moves.
     #[must_use]
-    pub fn is_still(&self, group: &str, now: Monotonic) -> bool {
+    pub fn is_stalled(&self, group: &str, now: Monotonic) -> bool {
         let silent = self.silent(group, now).unwrap_or_default();
         silent > STILL_AGE && silent < STILL_TRIED
     }
@@ -141,7 +141,7 @@
     pub fn look(&mut self, now: Monotonic) -> Vec<Stillness> {
         let groups = self.states.keys();
         let changed = groups.filter_map(|group| {
-            let is_still = self.is_still(group, now);
+            let is_still = self.is_stalled(group, now);
             let is_changed = is_still != self.still.contains(group);
             is_changed.then(|| Stillness {
                 group: group.clone(),
--- a/crates/gateway/tests/all/group.rs
+++ b/crates/gateway/tests/all/group.rs
@@ -59,14 +59,14 @@
     let group = "g0".into();
     groups.hear(&digest("g0", true, &[1]), millis(0));
     groups.record_event(&group, millis(400));
-    assert_that!(groups.is_still("g0", millis(900)), eq(false));
-    assert_that!(groups.is_still("g0", millis(1_200)), eq(true));
+    assert_that!(groups.is_stalled("g0", millis(900)), eq(false));
+    assert_that!(groups.is_stalled("g0", millis(1_200)), eq(true));
     // The lead alone is gone: streams go on.
     groups.record_event(&group, millis(1_250));
-    assert_that!(groups.is_still("g0", millis(1_300)), eq(false));
+    assert_that!(groups.is_stalled("g0", millis(1_300)), eq(false));
     // After some seconds it is tried again.
-    assert_that!(groups.is_still("g0", millis(9_000)), eq(false));
-    assert_that!(groups.is_still("unheard", millis(9_000)), eq(false));
+    assert_that!(groups.is_stalled("g0", millis(9_000)), eq(false));
+    assert_that!(groups.is_stalled("unheard", millis(9_000)), eq(false));
 }
 
 #[gtest]
