--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -162,8 +162,12 @@
         let reform = self.bounds.stall + engine.form;
         let usages = self.pool.usages(&plan.service, now);
         let groups = usages.map(|usage| self.group_of(usage.upstream));
-        let shut_since = self.groups.shut_since(groups).unwrap_or(plan.arrived);
-        let until = (shut_since.min(plan.arrived) + reform).min(plan.arrived + REFORM_PATIENCE);
+        let unavailable_since = self
+            .groups
+            .unavailable_since(groups)
+            .unwrap_or(plan.arrived);
+        let until =
+            (unavailable_since.min(plan.arrived) + reform).min(plan.arrived + REFORM_PATIENCE);
         if now < until {
             return Admission::Wait(until.min(now + REFORM_LOOK));
         }
--- a/crates/gateway/src/group.rs
+++ b/crates/gateway/src/group.rs
@@ -177,7 +177,7 @@
     }
 
     /// Returns since when the one of `groups` that shut last has been so; none if none has.
-    pub fn shut_since(&self, groups: impl Iterator<Item = GroupId>) -> Option<Monotonic> {
+    pub fn unavailable_since(&self, groups: impl Iterator<Item = GroupId>) -> Option<Monotonic> {
         let since = groups.filter_map(|group| self.shut.get(&group).copied());
         since.max()
     }
