--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -22,7 +22,7 @@
 use crate::request::Admission;
 use crate::request::Plan;
 use crate::request::Refusal;
-use crate::room::Room;
+use crate::room::Headroom;
 use crate::room::Traffic;
 use crate::route::Engine;
 use crate::upstream::Upstream;
@@ -231,7 +231,7 @@
         engine: &Engine,
         longest: Duration,
         now: Monotonic,
-    ) -> Option<Room> {
+    ) -> Option<Headroom> {
         let gateways = self.roster.live(now);
         let mut rooms = Vec::new();
         for (group, traffic) in self.traffic(service, now) {
@@ -240,7 +240,7 @@
             }
             let pace = self.paces.entry(group.clone()).or_default();
             let prediction = pace.predict(engine, longest, traffic.load);
-            let mut room = Room {
+            let mut room = Headroom {
                 group,
                 traffic,
                 prediction,
@@ -253,7 +253,7 @@
             room.allowance = self.allowance(&room, now);
             rooms.push(room);
         }
-        let sum: f64 = rooms.iter().map(Room::weight).sum();
+        let sum: f64 = rooms.iter().map(Headroom::weight).sum();
         let mut drawn = self.rng.random::<f64>() * sum;
         let taken = rooms.iter().position(|room| {
             let weight = room.weight();
@@ -264,16 +264,16 @@
             Some(taken) => rooms.into_iter().nth(taken),
             None => rooms
                 .into_iter()
-                .max_by(|one, other| one.places().total_cmp(&other.places())),
+                .max_by(|one, other| one.capacity_left().total_cmp(&other.capacity_left())),
         }
     }
 
     /// Returns this gateway's part of a group's room, if its lead tells the load.
-    fn allowance(&mut self, room: &Room, now: Monotonic) -> Option<Allowance> {
+    fn allowance(&mut self, room: &Headroom, now: Monotonic) -> Option<Allowance> {
         let told = now.saturating_sub(room.traffic.told?);
         let draw = self.rng.random();
         let allowance = self.allowances.entry(room.group.clone()).or_default();
-        allowance.update(told, room.room(), room.gateways, draw);
+        allowance.update(told, room.sendable(), room.gateways, draw);
         Some(*allowance)
     }
 
--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/room.rs
@@ -38,7 +38,7 @@
 }
 
 /// Room of one group.
-pub(crate) struct Room {
+pub(crate) struct Headroom {
     pub(crate) group: GroupId,
     pub(crate) traffic: Traffic,
     pub(crate) prediction: Prediction,
@@ -53,32 +53,32 @@
     pub(crate) is_cautious: bool,
 }
 
-impl Room {
+impl Headroom {
     /// Returns the streams that the group can carry beyond those in flight; below zero if it is over full.
-    pub(crate) fn places(&self) -> f64 {
+    pub(crate) fn capacity_left(&self) -> f64 {
         self.prediction.most - f64::from(self.traffic.load.in_flight)
     }
 
     /// Returns the streams that may be sent there until the lead's next word: its places, and those of the streams
     /// that end by then; none where they would only wait for a slot.
-    pub(crate) fn room(&self) -> f64 {
+    pub(crate) fn sendable(&self) -> f64 {
         let in_flight = f64::from(self.traffic.load.in_flight);
-        let room = self.places() + in_flight * self.turnover;
+        let room = self.capacity_left() + in_flight * self.turnover;
         room.min(self.slots - in_flight)
     }
 
     /// Returns the streams that this gateway may weigh the group by when it draws one.
     pub(crate) fn weight(&self) -> f64 {
-        if self.is_free() { self.room() } else { 0.0 }
+        if self.is_free() { self.sendable() } else { 0.0 }
     }
 
     /// Returns whether one stream more may go there from this gateway.
     pub(crate) fn is_free(&self) -> bool {
         if let Some(allowance) = self.allowance {
-            return self.room() > 0.0 && allowance.is_left();
+            return self.sendable() > 0.0 && allowance.is_left();
         }
         let own = f64::from(self.traffic.own);
-        self.places() > 0.0 && own < self.untold_share().max(1.0)
+        self.capacity_left() > 0.0 && own < self.untold_share().max(1.0)
     }
 
     /// Returns the streams that this gateway may have in flight while no lead tells the load.
@@ -100,7 +100,7 @@
 
     /// Returns why no stream more may go there.
     pub(crate) fn reason(&self) -> &'static str {
-        if self.room() > 0.0 {
+        if self.sendable() > 0.0 {
             "this gateway's share of the group is taken"
         } else {
             "the group is full"
