--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -187,7 +187,7 @@
             traffic.has_open_rank |= self.is_open(usage.upstream, now);
             traffic.load.in_flight = traffic.load.in_flight.saturating_add(usage.requests);
             traffic.own += usage.own;
-            traffic.told = traffic.told.max(usage.told.map(|load| load.age));
+            traffic.report_age = traffic.report_age.max(usage.told.map(|load| load.age));
             let pace = usage.told.map_or(0, |load| load.pace);
             traffic.load.slowest = traffic.load.slowest.max(pace);
             if usage.requests > 0 {
@@ -195,8 +195,10 @@
             }
         }
         let silent = self.silent_share(now);
-        let untold = groups.values_mut().filter(|traffic| traffic.told.is_none());
-        untold.for_each(|traffic| traffic.add_silent(silent));
+        let untold = groups
+            .values_mut()
+            .filter(|traffic| traffic.report_age.is_none());
+        untold.for_each(|traffic| traffic.add_unreported(silent));
         groups.retain(|group, _| !self.groups.is_shut(group, now));
         let is_still = |group: &GroupId| self.groups.is_stalled(group, now);
         if groups.keys().any(|group| !is_still(group)) {
@@ -270,7 +272,7 @@
 
     /// Returns this gateway's part of a group's room, if its lead tells the load.
     fn allowance(&mut self, room: &Headroom, now: Monotonic) -> Option<Allowance> {
-        let told = now.saturating_sub(room.traffic.told?);
+        let told = now.saturating_sub(room.traffic.report_age?);
         let draw = self.rng.random();
         let allowance = self.allowances.entry(room.group.clone()).or_default();
         allowance.update(told, room.sendable(), room.gateways, draw);
--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/room.rs
@@ -23,7 +23,7 @@
     /// Requests in flight of this gateway.
     pub(crate) own: u32,
     /// Age of the word of its lead that tells the load; none if there is none that is fresh.
-    pub(crate) told: Option<Duration>,
+    pub(crate) report_age: Option<Duration>,
     /// Whether a rank is below the limit that it named, or named none, and did not ask for backoff.
     pub(crate) has_open_rank: bool,
 }
@@ -31,7 +31,7 @@
 impl Traffic {
     /// Takes gateways that were not heard to have as much in flight as those that were; `share` is how many others live for each
     /// one that was heard. In a fleet of hundreds a gateway hears few of the others within the age of a count.
-    pub(crate) fn add_silent(&mut self, share: f64) {
+    pub(crate) fn add_unreported(&mut self, share: f64) {
         let others = f64::from(self.load.in_flight.saturating_sub(self.own)) * share;
         self.load.in_flight = self.own.saturating_add(whole(others));
     }
@@ -93,7 +93,7 @@
             own: self.traffic.own,
             gateways: u32::try_from(self.gateways).unwrap_or(u32::MAX),
             is_cautious: self.is_cautious,
-            told: self.traffic.told,
+            told: self.traffic.report_age,
             allowance: self.allowance.map(Allowance::requests),
         }
     }
