--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,8 +1,9 @@
-//! Whether a request may be sent now, must wait for a place, or is refused.
+//! Decides whether a request may be sent now, must wait for capacity, or is refused.
 //!
-//! A group of ranks is full when one stream more would make its passes too long. A request then waits for
-//! a moment that leaves it in time, and is refused with a time to come back otherwise. While all groups
-//! are shut, a request waits only as long as one that shut just now may take to form anew.
+//! A group of ranks is full when one more stream would make its forward passes too long. A request
+//! then waits as long as it can still meet its objective, and is refused with a retry time
+//! otherwise. While no group is available, a request waits only as long as a group that just became
+//! unavailable may take to re-form.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -28,34 +29,37 @@
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamId;
 
-/// Part of a request's objective that it may wait for a place: the rest is for reading the prompt and
-/// the first pass.
-const WAIT_PART: f64 = 0.3;
-/// Shortest and longest time to come back after a refusal for load: a wave of callers that all come
-/// back at once would be refused again, so returns are spread over about the life of a stream.
-const RETURNS: (f64, f64) = (0.2, 1.0);
-/// Longest wait of a request while all groups are shut. Callers leave a stream that shows nothing for two seconds, and after
-/// the wait a place has to be found and the prompt read.
-const REFORM_PATIENCE: Duration = Duration::from_millis(1_500);
-/// Shortest and longest time in seconds between two looks whether a full group has room. They differ by chance: if all
-/// gateways let their requests in when the lead tells of room, one pass would have to read all their prompts.
-const LOOKS: (f64, f64) = (0.015, 0.06);
-/// Time between two looks whether a group is open again.
-const REFORM_LOOK: Duration = Duration::from_millis(100);
-/// Shortest and longest time in seconds to come back when all groups are shut for longer: ranks that
-/// crash are back after some seconds, and callers come back once only.
-const SHUT_RETURNS: (f64, f64) = (1.2, 2.4);
+/// Fraction of a request's objective that it may wait for capacity; the rest is for reading the
+/// prompt and the first forward pass.
+const WAIT_FRACTION: f64 = 0.3;
+/// Bounds of the retry time in seconds after a refusal for load. A wave of callers that all came
+/// back at once would be refused again, so retries are spread over about the lifetime of a stream.
+const OVERLOAD_RETRY_SECONDS: (f64, f64) = (0.2, 1.0);
+/// Longest wait of a request while no group is available. Callers abandon a stream that shows
+/// nothing for two seconds, and after the wait an upstream has to be found and the prompt read.
+const REFORM_MAX_WAIT: Duration = Duration::from_millis(1_500);
+/// Bounds in seconds of the interval at which a waiting request checks a full group for capacity.
+/// The interval is random: if all gateways sent their requests as soon as the leader reports
+/// capacity, one forward pass would have to read all their prompts.
+const CAPACITY_POLL_SECONDS: (f64, f64) = (0.015, 0.06);
+/// Interval at which a waiting request checks whether a group is available again.
+const REFORM_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Bounds of the retry time in seconds when no group becomes available in time: ranks that crash
+/// are back after some seconds, and a caller retries only once.
+const UNAVAILABLE_RETRY_SECONDS: (f64, f64) = (1.2, 2.4);
 
-/// Time for which requests that waited for a group to form go on waiting for a place: leads tell within 0.2 s of each
-/// other that their groups serve again, and fill them over a few words. Such a request is late already, and a
-/// refusal would use up the return that its caller has.
-const REOPENED_WAIT: Duration = Duration::from_millis(800);
-/// Shortest and longest time in seconds between two looks of such a request: longer than for others, so that a place
-/// goes to those that can still be in time.
-const LATE_LOOKS: (f64, f64) = (0.06, 0.15);
-/// Shortest and longest time in seconds to come back after upstreams that serve by themselves refused a request: some
-/// answers at their usual times of 15 to 60 ms, well within the deadlines of such callers.
-const PLAIN_RETURNS: (f64, f64) = (0.1, 0.3);
+/// Time for which requests that waited for a group to re-form go on waiting for capacity. Leaders
+/// report within 0.2 s of each other that their groups serve again, and the groups fill up over
+/// a few reports. Such a request is late already, and a refusal would use up its caller's only
+/// retry.
+const REOPENED_MAX_WAIT: Duration = Duration::from_millis(800);
+/// Bounds in seconds of the polling interval of such a request: longer than for others, so that
+/// capacity goes to requests that can still meet their objective.
+const LATE_POLL_SECONDS: (f64, f64) = (0.06, 0.15);
+/// Bounds of the retry time in seconds after upstreams outside lock-step groups refused a request:
+/// several of their usual response times of 15 to 60 ms, and well within the deadlines of such
+/// callers.
+const INDEPENDENT_RETRY_SECONDS: (f64, f64) = (0.1, 0.3);
 
 impl Gateway {
     /// Decides whether a planned request may be sent now.
@@ -65,7 +69,7 @@
             return Admission::Refuse(refusal);
         }
         if self.pool.ready(&plan.service) == 0 {
-            let refusal = Refusal::of(ErrorKind::Unreachable, "no upstream takes work");
+            let refusal = Refusal::of(ErrorKind::Unreachable, "no upstream accepts requests");
             return Admission::Refuse(refusal.after(NO_UPSTREAM_RETURN));
         }
         if let Some(refusal) = self.all_closed(plan, &[], &[], now) {
@@ -74,47 +78,48 @@
         let (Some(engine), Some(longest)) = (plan.engine, plan.route.longest_pause) else {
             return Admission::Go(None);
         };
-        let Some(room) = self.pick_group(&plan.service, &engine, longest, now) else {
+        let Some(headroom) = self.pick_group(&plan.service, &engine, longest, now) else {
             return self.await_reform(plan, &engine, now);
         };
-        let basis = Some(room.basis());
-        if room.is_free() {
+        let basis = Some(headroom.basis());
+        if headroom.is_free() {
             return Admission::Go(basis);
         }
         let reopened = self.shut_at.get(&plan.service).copied();
         let reopened = reopened.filter(|shut_at| *shut_at >= plan.arrived);
-        let (until, looks) = match reopened {
-            Some(shut_at) => (shut_at + REOPENED_WAIT, LATE_LOOKS),
+        let (until, poll_bounds) = match reopened {
+            Some(shut_at) => (shut_at + REOPENED_MAX_WAIT, LATE_POLL_SECONDS),
             None => (
-                plan.arrived + plan.route.objective.mul_f64(WAIT_PART),
-                LOOKS,
+                plan.arrived + plan.route.objective.mul_f64(WAIT_FRACTION),
+                CAPACITY_POLL_SECONDS,
             ),
         };
         if now < until {
-            let look = self.draw(looks);
-            return Admission::Wait(until.min(now + look));
+            let interval = self.random_duration(poll_bounds);
+            return Admission::Wait(until.min(now + interval));
         }
-        let mut refusal = Refusal::of(ErrorKind::Overloaded, room.reason());
+        let mut refusal = Refusal::of(ErrorKind::Overloaded, headroom.reason());
         refusal.basis = basis;
-        let after = self.draw(RETURNS);
+        let after = self.random_duration(OVERLOAD_RETRY_SECONDS);
         Admission::Refuse(refusal.after(after))
     }
 
-    /// Gives up on a request that upstreams refused unrun and that may not be sent again; says when to come back.
+    /// Refuses a request that upstreams refused without running it and that may not be sent again;
+    /// sets the retry time.
     pub fn give_up(&mut self, plan: &Plan, reason: &'static str, now: Monotonic) -> Refusal {
-        let returns = match (plan.engine, plan.route.longest_pause) {
+        let retry_bounds = match (plan.engine, plan.route.longest_pause) {
             (Some(engine), Some(longest)) => {
-                let room = self.pick_group(&plan.service, &engine, longest, now);
-                room.map_or(SHUT_RETURNS, |_| RETURNS)
+                let headroom = self.pick_group(&plan.service, &engine, longest, now);
+                headroom.map_or(UNAVAILABLE_RETRY_SECONDS, |_| OVERLOAD_RETRY_SECONDS)
             }
-            _ => PLAIN_RETURNS,
+            _ => INDEPENDENT_RETRY_SECONDS,
         };
-        let after = self.draw(returns);
+        let after = self.random_duration(retry_bounds);
         Refusal::of(ErrorKind::Unreachable, reason).after(after)
     }
 
-    /// Refuses a request of which all upstreams that it could go to are at their limits or asked for backoff; says when to
-    /// come back.
+    /// Refuses a request if every upstream that it could go to is at its rate limit or asked for
+    /// backoff. The retry time starts when the first of them opens.
     pub(crate) fn all_closed(
         &mut self,
         plan: &Plan,
@@ -125,40 +130,42 @@
         if self.limits.is_idle() && self.backoffs.is_empty() {
             return None;
         }
-        let mut opens: Option<Monotonic> = None;
+        let mut first_open: Option<Monotonic> = None;
         for usage in self.pool.usages(&plan.service, now) {
             let upstream = usage.upstream;
-            let is_shut = self.groups.is_shut(&self.group_of(upstream), now);
-            if is_shut || tried.contains(&upstream.id) {
+            let is_unavailable = self.groups.is_shut(&self.group_of(upstream), now);
+            if is_unavailable || tried.contains(&upstream.id) {
                 continue;
             }
             let open_at = self.closed_until(upstream, now);
             let open_at = open_at.or_else(|| denied.contains(&upstream.id).then_some(now))?;
-            opens = Some(opens.map_or(open_at, |first| first.min(open_at)));
+            first_open = Some(first_open.map_or(open_at, |first| first.min(open_at)));
         }
-        let closed_for = opens?.saturating_sub(now);
-        let returns = if plan.engine.is_some() {
-            RETURNS
+        let closed_for = first_open?.saturating_sub(now);
+        let retry_bounds = if plan.engine.is_some() {
+            OVERLOAD_RETRY_SECONDS
         } else {
-            PLAIN_RETURNS
+            INDEPENDENT_RETRY_SECONDS
         };
-        let after = closed_for + self.draw(returns);
-        let reason = "the upstreams' limits are reached or they asked for backoff";
+        let after = closed_for + self.random_duration(retry_bounds);
+        let reason = "all remaining upstreams are at their rate limits or asked for backoff";
         let mut refusal = Refusal::of(ErrorKind::Overloaded, reason);
         refusal.is_closed = true;
         Some(refusal.after(after))
     }
 
-    /// Draws a time in seconds between two bounds.
-    pub(crate) fn draw(&mut self, (least, most): (f64, f64)) -> Duration {
+    /// Returns a random time between two bounds in seconds.
+    pub(crate) fn random_duration(&mut self, (least, most): (f64, f64)) -> Duration {
         Duration::from_secs_f64(self.rng.random_range(least..most))
     }
 
-    /// Decides on a request while all groups are shut: a group that shut just now may form anew at once.
+    /// Decides on a request while no group is available: a group that just became unavailable may
+    /// re-form at once.
     fn await_reform(&mut self, plan: &Plan, engine: &Engine, now: Monotonic) -> Admission {
         self.shut_at.insert(Arc::clone(&plan.service), now);
-        // After a loss of all power ranks stall before they give up those that are gone, and form then. A group that is shut for
-        // longer has lost a rank, and nobody knows when that is back.
+        // After a loss of all power, ranks stall before they give up on the missing ones, and only
+        // then form a group. A group that is unavailable for longer has lost a rank, and when that
+        // rank returns is unknown.
         let reform = self.bounds.stall + engine.form;
         let usages = self.pool.usages(&plan.service, now);
         let groups = usages.map(|usage| self.group_of(usage.upstream));
@@ -167,18 +174,18 @@
             .unavailable_since(groups)
             .unwrap_or(plan.arrived);
         let until =
-            (unavailable_since.min(plan.arrived) + reform).min(plan.arrived + REFORM_PATIENCE);
+            (unavailable_since.min(plan.arrived) + reform).min(plan.arrived + REFORM_MAX_WAIT);
         if now < until {
-            return Admission::Wait(until.min(now + REFORM_LOOK));
+            return Admission::Wait(until.min(now + REFORM_POLL_INTERVAL));
         }
-        let refusal = Refusal::of(ErrorKind::Unreachable, "all groups are shut");
-        let after = self.draw(SHUT_RETURNS);
+        let refusal = Refusal::of(ErrorKind::Unreachable, "all groups are unavailable");
+        let after = self.random_duration(UNAVAILABLE_RETRY_SECONDS);
         Admission::Refuse(refusal.after(after))
     }
 
-    /// Returns the traffic of each open group of a service.
+    /// Returns the traffic of each available group of a service.
     ///
-    /// Groups that seem to stand still are left out while another one serves.
+    /// Groups that seem stalled are left out while another one serves.
     fn traffic(&self, service: &str, now: Monotonic) -> BTreeMap<GroupId, Traffic> {
         let mut groups: BTreeMap<GroupId, Traffic> = BTreeMap::new();
         for usage in self.pool.usages(service, now) {
@@ -194,39 +201,41 @@
                 traffic.load.slowest_busy = traffic.load.slowest_busy.max(pace);
             }
         }
-        let silent = self.silent_share(now);
-        let untold = groups
+        let scale = self.unreported_scale(now);
+        let unreported = groups
             .values_mut()
             .filter(|traffic| traffic.report_age.is_none());
-        untold.for_each(|traffic| traffic.add_unreported(silent));
+        unreported.for_each(|traffic| traffic.add_unreported(scale));
         groups.retain(|group, _| !self.groups.is_shut(group, now));
-        let is_still = |group: &GroupId| self.groups.is_stalled(group, now);
-        if groups.keys().any(|group| !is_still(group)) {
-            groups.retain(|group, _| !is_still(group));
+        let is_stalled = |group: &GroupId| self.groups.is_stalled(group, now);
+        if groups.keys().any(|group| !is_stalled(group)) {
+            groups.retain(|group, _| !is_stalled(group));
         }
         groups
     }
 
-    /// Returns how many other gateways live for each of which counts were heard; one if all were, or none.
-    fn silent_share(&self, now: Monotonic) -> f64 {
+    /// Returns the number of other live gateways per gateway that reported its counts; 1 if all
+    /// reported, or none.
+    fn unreported_scale(&self, now: Monotonic) -> f64 {
         let others = self.roster.live(now) - 1;
-        let heard = self.pool.neighbours(now);
-        if heard == 0 {
+        let reporting = self.pool.neighbours(now);
+        if reporting == 0 {
             return 1.0;
         }
-        real(others.max(heard)) / real(heard)
+        real(others.max(reporting)) / real(reporting)
     }
 
-    /// Returns an upstream's group; those of which none is known make one for their service.
+    /// Returns an upstream's group; upstreams without a known group count as one group per service.
     pub(crate) fn group_of(&self, upstream: &Upstream) -> GroupId {
         let known = self.groups.of(upstream.address);
         known.unwrap_or(&upstream.service).clone()
     }
 
-    /// Draws an open group by its room for streams, or the one that is least over full if none has any.
+    /// Picks a random available group, weighted by the streams that may be sent to it, or the least
+    /// overloaded one if none can take any.
     ///
-    /// All gateways see the same counts some hundred milliseconds late; if each took the one with the most
-    /// room, that one would be flooded.
+    /// All gateways see the same counts a few hundred milliseconds late; if each picked the group
+    /// with the most headroom, that group would be flooded.
     pub(crate) fn pick_group(
         &mut self,
         service: &str,
@@ -235,14 +244,14 @@
         now: Monotonic,
     ) -> Option<Headroom> {
         let gateways = self.roster.live(now);
-        let mut rooms = Vec::new();
+        let mut headrooms = Vec::new();
         for (group, traffic) in self.traffic(service, now) {
             if !traffic.has_open_rank {
                 continue;
             }
             let pace = self.paces.entry(group.clone()).or_default();
             let prediction = pace.predict(engine, longest, traffic.load);
-            let mut room = Headroom {
+            let mut headroom = Headroom {
                 group,
                 traffic,
                 prediction,
@@ -252,34 +261,34 @@
                 gateways,
                 is_cautious: pace.is_cautious(),
             };
-            room.allowance = self.allowance(&room, now);
-            rooms.push(room);
+            headroom.allowance = self.allowance(&headroom, now);
+            headrooms.push(headroom);
         }
-        let sum: f64 = rooms.iter().map(Headroom::weight).sum();
-        let mut drawn = self.rng.random::<f64>() * sum;
-        let taken = rooms.iter().position(|room| {
-            let weight = room.weight();
-            drawn -= weight;
-            weight > 0.0 && drawn <= 0.0
+        let sum: f64 = headrooms.iter().map(Headroom::weight).sum();
+        let mut remaining = self.rng.random::<f64>() * sum;
+        let picked = headrooms.iter().position(|headroom| {
+            let weight = headroom.weight();
+            remaining -= weight;
+            weight > 0.0 && remaining <= 0.0
         });
-        match taken {
-            Some(taken) => rooms.into_iter().nth(taken),
-            None => rooms
+        match picked {
+            Some(picked) => headrooms.into_iter().nth(picked),
+            None => headrooms
                 .into_iter()
                 .max_by(|one, other| one.capacity_left().total_cmp(&other.capacity_left())),
         }
     }
 
-    /// Returns this gateway's part of a group's room, if its lead tells the load.
-    fn allowance(&mut self, room: &Headroom, now: Monotonic) -> Option<Allowance> {
-        let told = now.saturating_sub(room.traffic.report_age?);
-        let draw = self.rng.random();
-        let allowance = self.allowances.entry(room.group.clone()).or_default();
-        allowance.update(told, room.sendable(), room.gateways, draw);
+    /// Returns this gateway's share of a group's headroom, if the group's leader reports its load.
+    fn allowance(&mut self, headroom: &Headroom, now: Monotonic) -> Option<Allowance> {
+        let reported_at = now.saturating_sub(headroom.traffic.report_age?);
+        let offset = self.rng.random();
+        let allowance = self.allowances.entry(headroom.group.clone()).or_default();
+        allowance.update(reported_at, headroom.sendable(), headroom.gateways, offset);
         Some(*allowance)
     }
 
-    /// Takes the pause between two events of a stream of `group`.
+    /// Records the pause between two events of a stream of `group`.
     pub fn observe(&mut self, plan: &Plan, group: &GroupId, pause: Duration, now: Monotonic) {
         let (Some(engine), Some(longest)) = (plan.engine, plan.route.longest_pause) else {
             return;
@@ -292,7 +301,7 @@
         pace.observe(&engine, longest, pause, traffic.load, now);
     }
 
-    /// Returns what is known of a group's pace.
+    /// Returns the pass-time model of a group, if there is one yet.
     #[must_use]
     pub fn pace(&self, group: &str) -> Option<&pace::Group> {
         self.paces.get(group)
