--- a/crates/gateway/src/allowance.rs
+++ b/crates/gateway/src/allowance.rs
@@ -1,10 +1,11 @@
-//! A gateway's part of the room that the lead of a group tells.
+//! A gateway's share of the headroom that the leader of a group reports.
 //!
-//! All gateways hear the same room. If each took it as its own, a wave of callers, as after a loss of power,
-//! would fill the group once for each gateway. So each word of the lead gives every gateway its share of the
-//! room. What is not used is kept for a while, since callers don't come evenly: a gateway that gets three
-//! requests within one word has had none in others. A share is mostly a part of a request; every gateway
-//! begins at another part, by chance, so that together they send as many as there is room for.
+//! All gateways see the same headroom. If each took it as its own, a wave of callers, as after a
+//! power loss, would fill the group once per gateway. So each report grants every gateway its share
+//! of the headroom. What is not used is carried over for a while, since callers don't arrive
+//! evenly: a gateway that gets three requests between two reports had none between others. A share
+//! is mostly a fraction of a request; every gateway starts from a random offset, so that together
+//! they send as many requests as there is headroom for.
 
 use std::time::Duration;
 
@@ -12,50 +13,61 @@
 
 use crate::real;
 
-/// Time between two words of a lead.
+/// Interval between two load reports of a leader.
 pub(crate) const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Time without a word after which what was kept is void: the group may have formed anew since.
-const KEPT: Duration = Duration::from_millis(600);
-/// Requests that are kept at most beyond a share: more than callers send to one gateway within one word.
-const MOST_KEPT: f64 = 4.0;
+/// Time without a report after which the carried-over requests are void: the group may have
+/// re-formed since.
+const MAX_REPORT_GAP: Duration = Duration::from_millis(600);
+/// Upper bound of an allowance in requests, unless a single share is larger: more than callers send
+/// to one gateway between two reports.
+const MAX_CARRIED: f64 = 4.0;
 
 /// What one gateway may send to one group.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Allowance {
     requests: f64,
-    told: Option<Monotonic>,
+    reported_at: Option<Monotonic>,
 }
 
 impl Allowance {
-    /// Takes the room that the word of `told` leaves to all `gateways`; `draw` (0 to 1) is a number by chance.
-    pub(crate) fn update(&mut self, told: Monotonic, room: f64, gateways: usize, draw: f64) {
-        if self.told == Some(told) {
+    /// Adds the share of one of `gateways` in the headroom that was reported at `reported_at`, once
+    /// per report; `offset` is a random number from 0 to 1.
+    pub(crate) fn update(
+        &mut self,
+        reported_at: Monotonic,
+        headroom: f64,
+        gateways: usize,
+        offset: f64,
+    ) {
+        if self.reported_at == Some(reported_at) {
             return;
         }
-        let passed = self.told.map(|before| told.saturating_sub(before));
-        self.told = Some(told);
-        let share = room.max(0.0) / real(gateways.max(1));
-        let Some(passed) = passed.filter(|passed| *passed < KEPT && room > 0.0) else {
-            self.requests = share - draw;
+        let elapsed = self
+            .reported_at
+            .map(|previous| reported_at.saturating_sub(previous));
+        self.reported_at = Some(reported_at);
+        let share = headroom.max(0.0) / real(gateways.max(1));
+        let Some(elapsed) = elapsed.filter(|elapsed| *elapsed < MAX_REPORT_GAP && headroom > 0.0)
+        else {
+            self.requests = share - offset;
             return;
         };
-        let words = (passed.as_secs_f64() / REPORT_INTERVAL.as_secs_f64())
+        let reports = (elapsed.as_secs_f64() / REPORT_INTERVAL.as_secs_f64())
             .round()
             .max(1.0);
-        self.requests = (self.requests + share * words).min(share.max(MOST_KEPT));
+        self.requests = (self.requests + share * reports).min(share.max(MAX_CARRIED));
     }
 
-    /// Takes a request that is sent.
+    /// Counts a request that is sent.
     pub(crate) fn spend(&mut self) {
         self.requests -= 1.0;
     }
 
-    /// Returns whether a request may be sent.
     pub(crate) fn is_left(self) -> bool {
         self.requests > 0.0
     }
 
-    /// Returns the requests that are left, or owed below zero.
+    /// Returns the requests that may still be sent; negative if more than the share were sent.
     pub(crate) const fn requests(self) -> f64 {
         self.requests
     }
