--- a/crates/gateway/src/assign.rs
+++ b/crates/gateway/src/assign.rs
@@ -1,7 +1,7 @@
-//! Which upstream a request is sent to next.
+//! Selects the upstream that a request is sent to next.
 //!
-//! Upstreams that were tried, and those that are left alone for their limits or on their own demand, are passed over. A stream goes to a group with
-//! room, and there to a rank with few requests.
+//! Upstreams that were already tried, and those that are at their rate limit or asked for backoff,
+//! are skipped. A stream goes to a group with headroom, and there to a rank with few requests.
 
 use auburnline_core::error::Kind as ErrorKind;
 use auburnline_core::id::GroupId;
@@ -19,11 +19,11 @@
 use crate::upstream::UpstreamId;
 
 impl Gateway {
-    /// Chooses the upstream of the next send and counts it there.
+    /// Chooses the upstream of the next send and counts the request there.
     ///
     /// # Errors
     ///
-    /// Returns a refusal if none is left.
+    /// Returns a refusal if no upstream is left.
     pub fn assign(
         &mut self,
         plan: &Plan,
@@ -33,11 +33,12 @@
         self.assign_within(None, plan, tried, now)
     }
 
-    /// Does the same for a stream that moves to another rank of its group, if one is given.
+    /// Does the same, within `group` if one is given: a stream that moves to another rank stays in
+    /// its group.
     ///
     /// # Errors
     ///
-    /// Returns a refusal if none is left.
+    /// Returns a refusal if no upstream is left.
     pub fn assign_within(
         &mut self,
         group: Option<&GroupId>,
@@ -50,12 +51,12 @@
         Ok((choice, group))
     }
 
-    /// Chooses the upstream of the next send, in a group if one is given, and counts nothing yet. Those whose limits `denied`
-    /// this send are left out.
+    /// Chooses the upstream of the next send, within `group` if one is given, without counting it.
+    /// Upstreams in `denied`, whose rate limits denied this send, are left out.
     ///
     /// # Errors
     ///
-    /// Returns a refusal if none is left.
+    /// Returns a refusal if no upstream is left.
     pub fn choose_within(
         &mut self,
         group: Option<&GroupId>,
@@ -68,8 +69,8 @@
         let engine = plan.engine.zip(plan.route.longest_pause);
         let group = match (engine, group) {
             (Some((engine, longest)), None) => {
-                let room = self.pick_group(&plan.service, &engine, longest, now);
-                room.map(|room| room.group)
+                let headroom = self.pick_group(&plan.service, &engine, longest, now);
+                headroom.map(|headroom| headroom.group)
             }
             (_, group) => group.cloned(),
         };
@@ -97,7 +98,8 @@
         Ok(choice)
     }
 
-    /// Counts a request at the upstream that was chosen for it; returns the upstream's group.
+    /// Counts a request at the upstream that was chosen for it; returns the upstream's group. The
+    /// first send of a request adds to the retry budget.
     pub fn begin(
         &mut self,
         plan: &Plan,
@@ -107,7 +109,7 @@
     ) -> GroupId {
         debug_assert!(
             self.wants_work(&choice.upstream, now),
-            "nothing is sent to an upstream that leaves or asked for backoff"
+            "request sent to an upstream that is leaving or asked for backoff"
         );
         self.pool.begin(&choice.upstream.id);
         if is_first {
@@ -133,17 +135,17 @@
             .choose(&plan.service, preference, domain, may_take, now, rng)
     }
 
-    /// Takes that an upstream refused a request, unrun. One that had a place for it, named no limit and did not ask for backoff
-    /// belongs to a group that is shut.
+    /// Records that an upstream refused a request without running it. If a rank had a free slot, no
+    /// rate limit and did not ask for backoff, its group is considered unavailable for a moment.
     pub fn refused(&mut self, plan: &Plan, id: &str, group: &GroupId, now: Monotonic) {
         let mut usages = self.pool.usages(&plan.service, now);
         let usage = usages.find(|usage| *usage.upstream.id == *id);
-        let had_place = usage.is_some_and(|usage| {
+        let had_slot = usage.is_some_and(|usage| {
             let is_limited = self.limit(usage.upstream, now).is_some();
             let is_backing_off = self.backoffs.until(usage.upstream, now).is_some();
             !is_limited && !is_backing_off && usage.requests <= usage.upstream.slots
         });
-        if plan.engine.is_some() && had_place {
+        if plan.engine.is_some() && had_slot {
             self.groups.suspect(group, now);
         }
     }
