--- a/crates/gateway/src/caution.rs
+++ b/crates/gateway/src/caution.rs
@@ -1,9 +1,11 @@
-//! How far a group is filled where demand shifts often.
+//! Limits how far a group is filled where demand for experts shifts often.
 //!
-//! After a shift of demand passes are too long until a map for it is in force, and every stream that runs then is late.
-//! No change can be in force within the first three passes. Where shifts come so often that most streams meet one, a
-//! group that runs fewer streams serves more in time: only so many that passes stay short enough right after a shift
-//! like those of late. Where few streams are late, the callers refused for that outweigh it.
+//! After a shift of demand, forward passes are too long until a placement map for the new demand is
+//! in force, and every stream that runs meanwhile is late. No change can be in force within the
+//! first three passes. Where shifts are so frequent that most streams meet one, a group that runs
+//! fewer streams serves more of them in time: only as many as keep passes short enough right after
+//! a shift of the size seen recently. Where few streams are late, the callers refused for this
+//! outweigh the gain.
 
 use std::time::Duration;
 
@@ -11,42 +13,41 @@
 
 use crate::pace::ewma_weight;
 
-/// Part of the longest pause that passes may take right after a shift.
+/// Fraction of the longest pause that passes may take right after a shift.
 pub(crate) const SHIFTED_TARGET_FRACTION: f64 = 0.95;
-/// Time in which what was learned of shifts fades to a third: several shifts where they come often.
-const PEAK_TIME: Duration = Duration::from_secs(20);
-/// Part of streams that have a long pass from which on a group is filled with caution, and the part below which it no
-/// longer is; apart, since caution itself lowers it.
-const LATE_PARTS: (f64, f64) = (0.4, 0.1);
-/// Time in which the part of late streams follows what is seen by two thirds: two or three shifts.
-const LATE_TIME: Duration = Duration::from_secs(8);
+/// Time constant of the decay of the peak factor: several shifts where they are frequent.
+const PEAK_TIME_CONSTANT: Duration = Duration::from_secs(20);
+/// Fraction of streams with a long pass above which a group is filled with caution, and the
+/// fraction below which it no longer is. They are apart because caution itself lowers the fraction.
+const LATE_THRESHOLDS: (f64, f64) = (0.4, 0.1);
+/// Time constant of the average of late streams: two or three shifts.
+const LATE_TIME_CONSTANT: Duration = Duration::from_secs(8);
 
-/// One pass, as a stream showed it.
+/// One forward pass, as a stream's events showed it.
 pub(crate) struct Pass {
-    /// Whether it took longer than callers aim at.
+    /// Whether it took longer than the longest pause that callers aim at.
     pub(crate) is_long: bool,
-    /// Factor of the newest passes.
+    /// Imbalance factor of the newest passes; see [`crate::pace`].
     pub(crate) factor: f64,
-    /// How long a usual stream runs.
+    /// Duration of a usual stream.
     pub(crate) stream: Duration,
 }
 
 /// What was learned of a group's long passes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Caution {
-    /// Largest factor of late.
+    /// Largest recent factor; it decays over time.
     peak: f64,
-    /// When a long pass was seen last.
     long_at: Option<Monotonic>,
-    /// Part of streams that have a long pass.
-    late: f64,
+    /// Estimated fraction of streams that have a long pass.
+    late_fraction: f64,
     is_on: bool,
 }
 
 impl Caution {
-    /// Takes a pass, `passed` after the one before.
+    /// Records a pass, `passed` after the previous one.
     pub(crate) fn observe(&mut self, pass: &Pass, passed: Duration, now: Monotonic) {
-        self.peak *= 1.0 - ewma_weight(passed, PEAK_TIME);
+        self.peak *= 1.0 - ewma_weight(passed, PEAK_TIME_CONSTANT);
         self.peak = self.peak.max(pass.factor);
         if pass.is_long {
             self.long_at = Some(now);
@@ -54,9 +55,10 @@
         let since = self.long_at.map(|at| now.saturating_sub(at));
         let is_late = since.is_some_and(|since| since < pass.stream);
         let is_late = f64::from(u8::from(is_late));
-        self.late += (is_late - self.late) * ewma_weight(passed, LATE_TIME);
-        let (begins, ends) = LATE_PARTS;
-        self.is_on = self.late > if self.is_on { ends } else { begins };
+        self.late_fraction +=
+            (is_late - self.late_fraction) * ewma_weight(passed, LATE_TIME_CONSTANT);
+        let (start, end) = LATE_THRESHOLDS;
+        self.is_on = self.late_fraction > if self.is_on { end } else { start };
     }
 
     /// Returns the factor to fill the group for; none while it needs no caution.
