--- a/crates/gateway/src/choice.rs
+++ b/crates/gateway/src/choice.rs
@@ -1,7 +1,7 @@
-//! The choice among upstreams that may take a request.
+//! Scores the upstreams that may take a request and chooses one.
 //!
-//! It counts what this gateway and its neighbours have in flight at each upstream, and what its last answers showed:
-//! failures that are fresh, and times longer than its peers'.
+//! A score counts what this gateway and its neighbours have in flight at an upstream, and what its
+//! latest answers showed: recent failures, and response times longer than those of its peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,48 +16,51 @@
 use crate::upstream::Pool;
 use crate::upstream::Upstream;
 
-/// Requests in flight that one fresh failure weighs as much as, in parts of an upstream's places.
+/// Score of one fresh failure, as a fraction of an upstream's slots.
 const FAILURE_WEIGHT: f64 = 0.75;
-/// Advantage of the own failure domain, in requests: less than one, so that it only breaks ties.
-const NEAR_ADVANTAGE: f64 = 0.25;
+/// Score advantage of an upstream in the gateway's own failure domain, in requests: less than one,
+/// so that it only breaks ties.
+const LOCAL_ADVANTAGE: f64 = 0.25;
 
-/// Ranks drawn by chance among which the least loaded is chosen: more than one, so that loads count, and few of all, so
-/// that gateways differ.
-const DRAWN: usize = 3;
+/// Ranks sampled at random, of which the least loaded is chosen: more than one, so that load
+/// counts, and few of all, so that gateways differ.
+const SAMPLE_SIZE: usize = 3;
 
 /// How upstreams of a service are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preference {
-    /// Ranks in lock-step: all are as slow as the slowest, so only what is in flight counts.
+    /// Ranks in lock-step: all are as slow as the slowest one, so only requests in flight count.
     EvenLoad,
-    /// Upstreams by themselves: the time to the answer counts.
+    /// Independent upstreams: the response time counts.
     ShortestTime,
 }
 
-/// Why an upstream was chosen, for the log.
+/// A chosen upstream and what decided it, for the log.
 #[derive(Clone, Debug)]
 pub struct Choice {
-    /// Upstream.
+    /// Upstream that the request goes to.
     pub upstream: Arc<Upstream>,
-    /// Its score; the least wins.
+    /// Score in requests; the lowest wins.
     pub score: f64,
-    /// Requests in flight there from all gateways.
+    /// Requests in flight there from all gateways, without this one.
     pub in_flight: u32,
-    /// Age of its group's word that tells them; none if this gateway's and its neighbours' counts do.
+    /// Age of the leader's report that `in_flight` comes from; none if it is the sum of this
+    /// gateway's and its neighbours' counts.
     pub told: Option<Duration>,
-    /// Upstreams that could have been chosen.
+    /// Number of upstreams that were compared.
     pub candidates: usize,
-    /// Rate limit that the upstream named.
+    /// Rate limit that the upstream named, in requests per second from all gateways together.
     pub limit: Option<Rate>,
 }
 
 impl Pool {
-    /// Chooses an upstream of `service` among those that `may_take` the request.
+    /// Chooses an upstream of `service` among those that `may_take` the request, with an advantage
+    /// for the failure domain `local_domain`.
     pub fn choose(
         &self,
         service: &str,
         preference: Preference,
-        near: &str,
+        local_domain: &str,
         may_take: impl Fn(&Upstream) -> bool,
         now: Monotonic,
         rng: &mut impl Rng,
@@ -66,17 +69,17 @@
             .of(service)
             .filter(|member| may_take(&member.upstream))
             .collect();
-        let usual = least_mean(&candidates);
+        let shortest = shortest_mean(&candidates);
         let candidates = match preference {
-            Preference::EvenLoad => some(candidates, rng),
+            Preference::EvenLoad => sample(candidates, rng),
             Preference::ShortestTime => candidates,
         };
         let scored = candidates.iter().map(|member| {
-            let mut score = self.score(member, preference, usual, now);
-            if *member.upstream.failure_domain == *near {
-                score -= NEAR_ADVANTAGE;
+            let mut score = self.score(member, preference, shortest, now);
+            if *member.upstream.failure_domain == *local_domain {
+                score -= LOCAL_ADVANTAGE;
             }
-            (score + rng.random::<f64>() * NEAR_ADVANTAGE, *member)
+            (score + rng.random::<f64>() * LOCAL_ADVANTAGE, *member)
         });
         let (score, member) = scored.min_by(|one, other| one.0.total_cmp(&other.0))?;
         let usage = self.usage(member, now);
@@ -90,12 +93,13 @@
         })
     }
 
-    /// Returns the score in requests: those before a new one, and what failures and slowness weigh.
+    /// Returns the score in requests: those ahead of a new one, and the weight of failures and
+    /// slowness.
     fn score(
         &self,
         member: &Member,
         preference: Preference,
-        usual: Option<f64>,
+        shortest: Option<f64>,
         now: Monotonic,
     ) -> f64 {
         let slots = f64::from(member.upstream.slots.max(1));
@@ -104,24 +108,25 @@
         let failures = member.failures(now) * FAILURE_WEIGHT * slots;
         match preference {
             Preference::EvenLoad => {
-                // Its own part of a pass is longer even before it runs anything, and all others wait for it.
+                // A slow rank's part of a pass is longer even before it runs anything, and all
+                // other ranks wait for it.
                 let slowness = usage.told.map_or(1.0, |load| slowness(load.pace));
                 load * slowness + (slowness - 1.0) * slots + failures
             }
-            Preference::ShortestTime => (load + 1.0) * member.slowness(usual, now) + failures,
+            Preference::ShortestTime => (load + 1.0) * member.slowness(shortest, now) + failures,
         }
     }
 }
 
-/// Returns a few of the candidates, drawn by chance.
+/// Returns a few of the candidates, sampled at random.
 ///
-/// All gateways see the same loads some hundred milliseconds late; if each took the least loaded rank of all, that
-/// one would be flooded.
-fn some<'a>(candidates: Vec<&'a Member>, rng: &mut impl Rng) -> Vec<&'a Member> {
-    candidates.into_iter().choose_multiple(rng, DRAWN)
+/// All gateways see the same loads a few hundred milliseconds late; if each took the least loaded
+/// of all ranks, that rank would be flooded.
+fn sample<'a>(candidates: Vec<&'a Member>, rng: &mut impl Rng) -> Vec<&'a Member> {
+    candidates.into_iter().choose_multiple(rng, SAMPLE_SIZE)
 }
 
-fn least_mean(candidates: &[&Member]) -> Option<f64> {
+fn shortest_mean(candidates: &[&Member]) -> Option<f64> {
     let means = candidates.iter().filter_map(|member| member.mean_seconds);
     means.min_by(f64::total_cmp)
 }
