--- a/crates/gateway/src/group.rs
+++ b/crates/gateway/src/group.rs
@@ -1,7 +1,8 @@
-//! Which upstreams run in lock-step with each other.
+//! Tracks which upstreams run in lock-step with each other and whether their groups are available.
 //!
-//! The sidecar that leads a group tells gateways who belongs to it and whether it serves. What is not
-//! heard of counts as one group of the service that is open: a wrong guess costs balance, never safety.
+//! The sidecar that leads a group reports to gateways which upstreams belong to it and whether it
+//! serves. Upstreams without a report count as one available group of their service: a wrong guess
+//! costs balance, never safety.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -14,72 +15,77 @@
 
 use crate::upstream::UpstreamId;
 
-/// Age from which on the word that a group is shut is not believed: the lead may have died since, and
-/// a group forms anew within about a second.
-const SHUT_AGE: Duration = Duration::from_secs(2);
-/// Time for which a group counts as shut after one of its ranks refused a request although it had a
-/// place: then the next request tries again.
-const SUSPECT_AGE: Duration = Duration::from_millis(250);
-/// Time without a word of its lead and without an event of its streams after which a group counts as
-/// standing still: three words, and several passes.
-const STILL_AGE: Duration = Duration::from_millis(650);
-/// Time after which a group that stood still is tried again, whatever its lead says: the lead alone may be
-/// gone, and the group may serve.
-const STILL_TRIED: Duration = Duration::from_secs(6);
+/// Age from which a report that a group is unavailable is ignored: the leader may have died since,
+/// and a group re-forms within about a second.
+const UNAVAILABLE_REPORT_MAX_AGE: Duration = Duration::from_secs(2);
+/// Time for which a group counts as unavailable after one of its ranks refused a request although
+/// it had a free slot. The next request after that tries the group again.
+const SUSPECT_DURATION: Duration = Duration::from_millis(250);
+/// Time without a report of its leader and without an event of its streams after which a group
+/// counts as stalled: three reports, and several forward passes.
+const STALL_TIMEOUT: Duration = Duration::from_millis(650);
+/// Time after which a stalled group is tried again, even without a report: only the leader may be
+/// gone while the group serves.
+const STALL_RETRY_AFTER: Duration = Duration::from_secs(6);
 /// Time within which streams of two of a group's upstreams break off if the group itself broke.
-const BROKE_TOGETHER: Duration = Duration::from_millis(100);
-/// Groups that are remembered at most.
-const MOST: usize = 1_024;
+const CORRELATED_BREAK_WINDOW: Duration = Duration::from_millis(100);
+const MAX_GROUPS: usize = 1_024;
 
 #[derive(Clone, Copy, Debug)]
 struct State {
     is_open: bool,
-    heard: Monotonic,
+    reported_at: Monotonic,
 }
 
-/// All groups that this gateway heard of.
+/// All groups that leaders reported to this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Groups {
     by_address: HashMap<SocketAddr, GroupId>,
     states: HashMap<GroupId, State>,
     suspects: HashMap<GroupId, Monotonic>,
-    /// Since when groups have been shut.
-    shut: HashMap<GroupId, Monotonic>,
-    /// When an event of a group's streams came last.
-    moved: HashMap<GroupId, Monotonic>,
-    /// The upstream whose stream broke off last, by group.
-    broke: HashMap<GroupId, (UpstreamId, Monotonic)>,
-    /// Groups that stood still at the last look.
-    still: HashSet<GroupId>,
+    unavailable_since: HashMap<GroupId, Monotonic>,
+    /// When an event of a group's streams last arrived.
+    last_events: HashMap<GroupId, Monotonic>,
+    /// Upstream whose stream broke off last, and when, by group.
+    last_breaks: HashMap<GroupId, (UpstreamId, Monotonic)>,
+    /// Groups that were stalled at the last [`Groups::look`].
+    stalled: HashSet<GroupId>,
 }
 
-/// A group that came to stand still or goes on, for the log.
+/// A group that stalled or resumed, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stillness {
-    /// Group.
+pub struct Change {
+    /// Group whose state changed.
     pub group: GroupId,
-    /// Whether it stands still.
+    /// Whether it is stalled now.
     pub is_still: bool,
-    /// Time since its lead or one of its streams was heard.
+    /// Time since its leader or one of its streams was last heard.
     pub silent: Duration,
 }
 
 impl Groups {
-    /// Takes the word of a lead; returns whether the group opened or shut.
+    /// Records the report of a group's leader; returns whether the group became available or
+    /// unavailable.
     pub fn hear(&mut self, digest: &Digest, now: Monotonic) -> bool {
         let group = GroupId::from(digest.group.as_str());
         let is_known = self.states.contains_key(&group);
-        if !is_known && self.states.len() >= MOST {
+        if !is_known && self.states.len() >= MAX_GROUPS {
             return false;
         }
         let is_open = digest.is_open;
-        let heard = now;
+        let reported_at = now;
         if is_open {
             self.trust(&digest.group);
         } else {
-            self.shut.entry(group.clone()).or_insert(now);
+            self.unavailable_since.entry(group.clone()).or_insert(now);
         }
-        let before = self.states.insert(group.clone(), State { is_open, heard });
+        let before = self.states.insert(
+            group.clone(),
+            State {
+                is_open,
+                reported_at,
+            },
+        );
         self.by_address.retain(|_, of| *of != group);
         let engines = digest.engines.iter();
         self.by_address
@@ -87,34 +93,37 @@
         before.is_none_or(|before| before.is_open != is_open)
     }
 
-    /// Returns the group of the upstream at `address`.
+    /// Returns the group of the upstream at `address`, if a leader reported one.
     #[must_use]
     pub fn of(&self, address: SocketAddr) -> Option<&GroupId> {
         self.by_address.get(&address)
     }
 
-    /// Takes that a rank of a group refused a request although it had a place.
+    /// Considers a group unavailable for a moment, for instance after one of its ranks refused a
+    /// request although it had a free slot.
     pub fn suspect(&mut self, group: &GroupId, now: Monotonic) {
         self.suspects.insert(group.clone(), now);
-        self.shut.entry(group.clone()).or_insert(now);
+        self.unavailable_since.entry(group.clone()).or_insert(now);
     }
 
-    /// Takes that an event of a group's streams came.
+    /// Records that an event of one of a group's streams arrived.
     pub fn record_event(&mut self, group: &GroupId, now: Monotonic) {
-        match self.moved.get_mut(group) {
+        match self.last_events.get_mut(group) {
             Some(at) => *at = now,
             None => {
-                self.moved.insert(group.clone(), now);
+                self.last_events.insert(group.clone(), now);
             }
         }
     }
 
-    /// Takes that a stream of an upstream broke off; returns whether the group itself seems to be broken,
-    /// since streams of another upstream just did too.
+    /// Records that a stream of an upstream broke off; returns whether the group itself seems
+    /// broken, since a stream of another of its upstreams just broke off too.
     pub fn broke(&mut self, group: &GroupId, upstream: &UpstreamId, now: Monotonic) -> bool {
-        let before = self.broke.insert(group.clone(), (upstream.clone(), now));
+        let before = self
+            .last_breaks
+            .insert(group.clone(), (upstream.clone(), now));
         let is_group = before.is_some_and(|(other, at)| {
-            other != *upstream && now.saturating_sub(at) < BROKE_TOGETHER
+            other != *upstream && now.saturating_sub(at) < CORRELATED_BREAK_WINDOW
         });
         if is_group {
             self.suspect(group, now);
@@ -122,28 +131,29 @@
         is_group
     }
 
-    /// Returns whether a group seems to stand still: its lead was heard before and is silent, and none of
-    /// its streams moves.
+    /// Returns whether a group seems stalled: its leader reported before but is silent, and none of
+    /// its streams gets events.
     #[must_use]
     pub fn is_stalled(&self, group: &str, now: Monotonic) -> bool {
         let silent = self.silent(group, now).unwrap_or_default();
-        silent > STILL_AGE && silent < STILL_TRIED
+        silent > STALL_TIMEOUT && silent < STALL_RETRY_AFTER
     }
 
-    /// Returns the time since a group's lead or one of its streams was heard; none if its lead never was.
+    /// Returns the time since a group's leader or one of its streams was heard; none if its leader
+    /// never was.
     fn silent(&self, group: &str, now: Monotonic) -> Option<Duration> {
         let state = self.states.get(group)?;
-        let moved = self.moved.get(group).copied().unwrap_or_default();
-        Some(now.saturating_sub(state.heard.max(moved)))
+        let last_event = self.last_events.get(group).copied().unwrap_or_default();
+        Some(now.saturating_sub(state.reported_at.max(last_event)))
     }
 
-    /// Returns the groups that came to stand still or go on since the last look.
-    pub fn look(&mut self, now: Monotonic) -> Vec<Stillness> {
+    /// Returns the groups that stalled or resumed since the last call.
+    pub fn look(&mut self, now: Monotonic) -> Vec<Change> {
         let groups = self.states.keys();
         let changed = groups.filter_map(|group| {
             let is_still = self.is_stalled(group, now);
-            let is_changed = is_still != self.still.contains(group);
-            is_changed.then(|| Stillness {
+            let is_changed = is_still != self.stalled.contains(group);
+            is_changed.then(|| Change {
                 group: group.clone(),
                 is_still,
                 silent: self.silent(group, now).unwrap_or_default(),
@@ -152,33 +162,35 @@
         let changed: Vec<_> = changed.collect();
         for change in &changed {
             if change.is_still {
-                self.still.insert(change.group.clone());
+                self.stalled.insert(change.group.clone());
             } else {
-                self.still.remove(&change.group);
+                self.stalled.remove(&change.group);
             }
         }
         changed
     }
 
-    /// Takes that a rank of a group answered.
+    /// Considers a group available, after one of its ranks answered or its leader reported so.
     pub fn trust(&mut self, group: &str) {
         self.suspects.remove(group);
-        self.shut.remove(group);
+        self.unavailable_since.remove(group);
     }
 
-    /// Returns whether a group was lately said or seen to be shut.
+    /// Returns whether a group was recently reported or seen to be unavailable.
     #[must_use]
     pub fn is_shut(&self, group: &str, now: Monotonic) -> bool {
         let state = self.states.get(group);
-        let is_said =
-            state.is_some_and(|state| !state.is_open && now.saturating_sub(state.heard) < SHUT_AGE);
+        let is_reported = state.is_some_and(|state| {
+            !state.is_open && now.saturating_sub(state.reported_at) < UNAVAILABLE_REPORT_MAX_AGE
+        });
         let suspected = self.suspects.get(group);
-        is_said || suspected.is_some_and(|at| now.saturating_sub(*at) < SUSPECT_AGE)
+        is_reported || suspected.is_some_and(|at| now.saturating_sub(*at) < SUSPECT_DURATION)
     }
 
-    /// Returns since when the one of `groups` that shut last has been so; none if none has.
+    /// Returns since when the one of `groups` that became unavailable last has been so; none if all
+    /// are available.
     pub fn unavailable_since(&self, groups: impl Iterator<Item = GroupId>) -> Option<Monotonic> {
-        let since = groups.filter_map(|group| self.shut.get(&group).copied());
+        let since = groups.filter_map(|group| self.unavailable_since.get(&group).copied());
         since.max()
     }
 }
