--- a/crates/gateway/src/moving.rs
+++ b/crates/gateway/src/moving.rs
@@ -1,4 +1,4 @@
-//! When a stream is better off at another rank.
+//! Decides when a stream should move to another rank.
 
 use auburnline_core::time::Monotonic;
 use auburnline_lockstep::sight::slowness;
@@ -7,13 +7,14 @@
 use crate::request::Plan;
 use crate::upstream::Upstream;
 
-/// Part of the longest pause for which a group may wait in each pass for a slow rank that runs streams. A stream that is
-/// moved has its prompt read anew, which is paid for by all others of its group coming in time.
-const WAITING_PART: f64 = 0.1;
+/// Fraction of the longest pause that a group may wait in each forward pass for a slow rank that
+/// runs streams. A stream that moves has its prompt read again, which pays off because all others
+/// of its group are in time.
+const MAX_WAIT_FRACTION: f64 = 0.1;
 
 impl Gateway {
-    /// Returns whether a stream should leave the rank that it runs at: the rank is so much slower than others of its group
-    /// that these wait for it in each pass.
+    /// Returns whether a stream should leave its rank: the rank is so much slower than others of
+    /// its group that they wait for it in each pass.
     #[must_use]
     pub fn is_better_off_elsewhere(
         &self,
@@ -36,11 +37,11 @@
         let paces = ranks.filter_map(|usage| usage.told).map(|load| load.pace);
         let least = paces.min().unwrap_or(load.pace);
         let slower = slowness(load.pace) - slowness(least);
-        engine.base().mul_f64(slower) > longest.mul_f64(WAITING_PART)
+        engine.base().mul_f64(slower) > longest.mul_f64(MAX_WAIT_FRACTION)
     }
 
-    /// Returns whether another rank of the same group takes streams without a limit and now: one that leaves its rank and is
-    /// denied by all others would break off.
+    /// Returns whether another rank of the same group has no rate limit and is open now: a stream
+    /// that left its rank and was denied by all others would break off.
     fn has_other_rank(&self, plan: &Plan, upstream: &Upstream, now: Monotonic) -> bool {
         let group = self.group_of(upstream);
         let mut others = self.pool.usages(&plan.service, now);
