--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/pace.rs
@@ -1,10 +1,11 @@
-//! How many streams a group of ranks can carry in time.
+//! Predicts how many streams a group of ranks can carry in time.
 //!
-//! The ranks of a group run each pass together, so one stream too many makes all of them late. The
-//! published cost model gives the time of a pass without requests and what each request adds; how
-//! unevenly the work lies on the ranks it does not give. [`Group`] learns that as one factor from
-//! the pauses between the events of its own streams, predicts the pass with one request more, and
-//! lets it in while that stays under the pause that callers aim at.
+//! The ranks of a group run each forward pass together, so one stream too many makes all of them
+//! late. The published cost model gives the time of a pass without requests and what each request
+//! adds, but not how unevenly the work is spread over the ranks. [`Group`] learns that as one
+//! imbalance factor from the pauses between the events of its own streams and predicts the pass
+//! with one more request, which is admitted while the pass stays below the longest pause that
+//! callers aim at.
 
 use std::time::Duration;
 
@@ -17,65 +18,69 @@
 use crate::caution::SHIFTED_TARGET_FRACTION;
 use crate::route::Engine;
 
-/// Part of the longest pause that the mean pass may take: single passes are longer than the mean by
-/// the prompts that are read in them, but a refused caller comes back late for certain.
-const TARGET_PART: f64 = 0.82;
-/// Factor before anything was seen, on the map that a group forms with, which spreads experts without regard to demand.
-const FIRST_FACTOR: f64 = 3.4;
-/// Bounds of the factor, so that a stall can't shut a group and a lull can't open it.
-const FACTORS: (f64, f64) = (0.8, 6.0);
-/// Time in which the factor follows what is seen by two thirds: about ten passes.
-const FACTOR_TIME: Duration = Duration::from_millis(800);
-/// The same for the factor of the newest passes: about one pass. A shift of demand makes passes twice as long at once, and
-/// what is sent meanwhile makes them longer still.
-const RECENT_TIME: Duration = Duration::from_millis(100);
-/// Pauses beyond this many longest pauses are stalls of a broken rank and tell nothing of load.
+/// Fraction of the longest pause that the mean pass may take. Single passes are longer than the
+/// mean because prompts are read in them, but a refused caller is certain to come back late.
+const TARGET_FRACTION: f64 = 0.82;
+/// Factor before any observation, on the first placement map of a group, which spreads experts
+/// without regard to demand.
+const INITIAL_FACTOR: f64 = 3.4;
+/// Bounds of the factor, so that a stall can't close a group and a lull can't overfill it.
+const FACTOR_BOUNDS: (f64, f64) = (0.8, 6.0);
+/// Time constant of the factor's moving average: about ten passes.
+const FACTOR_TIME_CONSTANT: Duration = Duration::from_millis(800);
+/// Time constant of the factor of the newest passes: about one pass. A shift of demand doubles the
+/// length of passes at once, and streams sent meanwhile make them longer still.
+const RECENT_TIME_CONSTANT: Duration = Duration::from_millis(100);
+/// Pauses longer than this many longest pauses are stalls of a broken rank and say nothing about
+/// load.
 const STALL_PAUSES: f64 = 4.0;
-/// Hundredths by which the slowest rank of a group may differ without being slow anew or well again.
-const PACE_NOISE: u16 = 10;
-/// Fewest requests on a rank, so that a wrong factor never shuts a group.
-const LEAST_PER_RANK: f64 = 1.0;
+/// Difference in the pace of the slowest rank, in hundredths, up to which it counts as unchanged.
+const PACE_TOLERANCE: u16 = 10;
+/// Fewest requests per rank, so that a wrong factor never closes a group.
+const MIN_PER_RANK: f64 = 1.0;
 
-/// What runs at a group.
+/// Load of a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     /// Ranks that take requests.
     pub ranks: u32,
     /// Requests in flight from all gateways.
     pub in_flight: u32,
-    /// Times that the slowest rank takes longer than it should, in hundredths, as far as told.
+    /// Pace of the slowest rank: the time of its part of a pass relative to normal, in hundredths;
+    /// 0 if none was reported.
     pub slowest: u16,
-    /// The same of the slowest that runs requests: one that runs none has no part of its own in a pass.
+    /// The same of the slowest rank that runs requests: an idle rank has no work of its own in a
+    /// pass.
     pub slowest_busy: u16,
 }
 
-/// One prediction, for the log.
+/// Predicted capacity and pass time of a group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prediction {
-    /// Most requests that keep the pass in time.
+    /// Most requests in flight that keep the pass in time.
     pub most: f64,
-    /// Pass with one request more.
+    /// Time of a pass with one more request.
     pub pass: Duration,
-    /// Learned factor.
+    /// Imbalance factor that the prediction used.
     pub factor: f64,
 }
 
 impl Prediction {
-    /// Returns how long a usual stream runs at this pace.
+    /// Returns the duration of a usual stream at the predicted pass time.
     #[must_use]
     pub fn stream(&self, engine: &Engine) -> Duration {
         self.pass.max(engine.step).mul_f64(engine.passes())
     }
 }
 
-/// What this gateway knows of one group's pace.
+/// Pass-time model of one group, as this gateway learned it.
 #[derive(Clone, Debug)]
 pub struct Group {
     factor: f64,
     /// Factor of the newest passes.
     recent: f64,
     caution: Caution,
-    /// Slowest rank while that was learned.
+    /// Pace of the slowest rank while `caution` was learned.
     slowest: u16,
     seen_at: Option<Monotonic>,
     mean_pass: f64,
@@ -84,8 +89,8 @@
 impl Default for Group {
     fn default() -> Group {
         Group {
-            factor: FIRST_FACTOR,
-            recent: FIRST_FACTOR,
+            factor: INITIAL_FACTOR,
+            recent: INITIAL_FACTOR,
             caution: Caution::default(),
             slowest: USUAL_PACE,
             seen_at: None,
@@ -95,7 +100,7 @@
 }
 
 impl Group {
-    /// Takes the pause between two events of a stream, while `load` ran.
+    /// Records the pause between two events of a stream, while `load` ran.
     pub fn observe(
         &mut self,
         engine: &Engine,
@@ -105,8 +110,9 @@
         now: Monotonic,
     ) {
         let slowest = load.slowest.max(USUAL_PACE);
-        if slowest.abs_diff(self.slowest) > PACE_NOISE {
-            // Passes became as long by a slow rank, or no longer are; they tell nothing of shifts to come.
+        if slowest.abs_diff(self.slowest) > PACE_TOLERANCE {
+            // Passes changed because a rank turned slow or recovered, which says nothing about
+            // future shifts of demand.
             self.slowest = slowest;
             self.caution = Caution::default();
         }
@@ -116,14 +122,14 @@
         }
         let passed = self
             .seen_at
-            .map_or(FACTOR_TIME, |at| now.saturating_sub(at));
+            .map_or(FACTOR_TIME_CONSTANT, |at| now.saturating_sub(at));
         self.seen_at = Some(now);
-        let weight = ewma_weight(passed, FACTOR_TIME);
+        let weight = ewma_weight(passed, FACTOR_TIME_CONSTANT);
         let slope = slope(engine, load.ranks) * f64::from(load.in_flight);
-        let seen = ((pause - base(engine, load)) / slope).clamp(FACTORS.0, FACTORS.1);
+        let seen = ((pause - base(engine, load)) / slope).clamp(FACTOR_BOUNDS.0, FACTOR_BOUNDS.1);
         self.factor += (seen - self.factor) * weight;
         self.mean_pass += (pause - self.mean_pass) * weight;
-        let weight = ewma_weight(passed, RECENT_TIME);
+        let weight = ewma_weight(passed, RECENT_TIME_CONSTANT);
         self.recent += (seen - self.recent) * weight;
         let pass = caution::Pass {
             is_long: pause > longest.as_secs_f64(),
@@ -133,32 +139,35 @@
         self.caution.observe(&pass, passed, now);
     }
 
-    /// Returns the mean pass seen of late.
+    /// Returns the moving average of the passes seen.
     #[must_use]
     pub fn mean_pass(&self) -> Duration {
         Duration::from_secs_f64(self.mean_pass)
     }
 
-    /// Returns whether the group is filled for the passes after a shift of demand.
+    /// Returns whether the group is filled only as far as passes right after a shift of demand
+    /// allow.
     pub(crate) fn is_cautious(&self) -> bool {
         self.caution.factor().is_some()
     }
 
-    /// Predicts the pass with one request more.
+    /// Predicts the pass with one more request, and how many requests the group can carry.
     #[must_use]
     pub fn predict(&self, engine: &Engine, longest: Duration, load: Load) -> Prediction {
-        let even = slope(engine, load.ranks);
+        let even_slope = slope(engine, load.ranks);
         let factor = self.factor.max(self.recent);
-        let slope = even * factor;
+        let slope = even_slope * factor;
         let longest = longest.as_secs_f64();
         let ranks = f64::from(load.ranks.max(1));
-        let places = ranks * f64::from(engine.slots);
+        let slots = ranks * f64::from(engine.slots);
         let base = base(engine, load);
-        let most = (longest * TARGET_PART - base) / slope;
-        let shifted = self.caution.factor().map_or(f64::INFINITY, |factor| {
-            (longest * SHIFTED_TARGET_FRACTION - base) / (even * factor)
+        let most = (longest * TARGET_FRACTION - base) / slope;
+        let most_after_shift = self.caution.factor().map_or(f64::INFINITY, |factor| {
+            (longest * SHIFTED_TARGET_FRACTION - base) / (even_slope * factor)
         });
-        let most = most.min(shifted).clamp(ranks * LEAST_PER_RANK, places);
+        let most = most
+            .min(most_after_shift)
+            .clamp(ranks * MIN_PER_RANK, slots);
         let pass = base + slope * f64::from(load.in_flight + 1);
         Prediction {
             most,
@@ -168,17 +177,19 @@
     }
 }
 
-/// Returns the weight of something seen after `passed` for a value that follows by two thirds in `time`.
+/// Returns the weight of a sample in an exponentially weighted moving average with time constant
+/// `time`, `passed` after the sample before.
 pub(crate) fn ewma_weight(passed: Duration, time: Duration) -> f64 {
     1.0 - (-passed.as_secs_f64() / time.as_secs_f64()).exp()
 }
 
-/// Returns the seconds of a pass without requests: the slowest one's, for which all others wait.
+/// Returns the seconds of a pass without requests: those of the slowest busy rank, for which all
+/// others wait.
 fn base(engine: &Engine, load: Load) -> f64 {
     engine.base().as_secs_f64() * slowness(load.slowest_busy)
 }
 
-/// Returns the seconds that one request adds to a pass if the work lies evenly on the ranks.
+/// Returns the seconds that one request adds to a pass if the work is spread evenly over the ranks.
 fn slope(engine: &Engine, ranks: u32) -> f64 {
     engine.writing().as_secs_f64() / f64::from(ranks.max(1))
 }
