--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/room.rs
@@ -1,7 +1,8 @@
-//! How much room a group of ranks has, as this gateway sees it.
+//! Headroom of a group of ranks, as this gateway sees it.
 //!
-//! A group whose lead tells its load has room for what passes bear beyond that, of which this gateway has its part. Without
-//! a word the load is put together from what gateways say of themselves.
+//! Where the leader of a group reports its load, the headroom is what forward passes can carry
+//! beyond that, and this gateway has a share of it. Without a report the load is estimated from the
+//! counts that gateways report about themselves.
 
 use std::time::Duration;
 
@@ -13,77 +14,80 @@
 use crate::real;
 use crate::request::Basis;
 
-/// Streams that a gateway may have in flight, in parts of its share of what a group carries, while no lead tells
-/// the group's load: callers spread unevenly, and what neighbours say is partly missing.
-const UNTOLD_PART: f64 = 1.5;
-/// What runs at a group.
+/// Streams that a gateway may have in flight while no leader reports the group's load, relative to
+/// its share of what the group can carry: callers are spread unevenly, and the counts of other
+/// gateways are partly missing.
+const UNREPORTED_SHARE_FACTOR: f64 = 1.5;
+/// Load of a group and this gateway's part of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Traffic {
     pub(crate) load: Load,
-    /// Requests in flight of this gateway.
+    /// Requests in flight from this gateway.
     pub(crate) own: u32,
-    /// Age of the word of its lead that tells the load; none if there is none that is fresh.
+    /// Age of the leader's report that tells the load; none without a fresh one.
     pub(crate) report_age: Option<Duration>,
-    /// Whether a rank is below the limit that it named, or named none, and did not ask for backoff.
+    /// Whether a rank is below its rate limit, or has none, and did not ask for backoff.
     pub(crate) has_open_rank: bool,
 }
 
 impl Traffic {
-    /// Takes gateways that were not heard to have as much in flight as those that were; `share` is how many others live for each
-    /// one that was heard. In a fleet of hundreds a gateway hears few of the others within the age of a count.
-    pub(crate) fn add_unreported(&mut self, share: f64) {
-        let others = f64::from(self.load.in_flight.saturating_sub(self.own)) * share;
-        self.load.in_flight = self.own.saturating_add(whole(others));
+    /// Scales the load of other gateways up to those whose counts were not received; `scale` is the
+    /// number of other live gateways per gateway that reported. In a fleet of hundreds, a gateway
+    /// receives the counts of few others within the lifetime of a count.
+    pub(crate) fn add_unreported(&mut self, scale: f64) {
+        let others = f64::from(self.load.in_flight.saturating_sub(self.own)) * scale;
+        self.load.in_flight = self.own.saturating_add(rounded(others));
     }
 }
 
-/// Room of one group.
+/// Headroom of one group.
 pub(crate) struct Headroom {
     pub(crate) group: GroupId,
     pub(crate) traffic: Traffic,
     pub(crate) prediction: Prediction,
-    /// This gateway's part of the room, where the lead tells it.
+    /// This gateway's share of the headroom, where the leader reports the load.
     pub(crate) allowance: Option<Allowance>,
-    /// Part of its streams that end between two words of the lead.
+    /// Fraction of its streams that end between two reports of the leader.
     pub(crate) turnover: f64,
     /// Requests that its ranks run at once.
     pub(crate) slots: f64,
     pub(crate) gateways: usize,
-    /// Whether the group is filled for the passes after a shift of demand.
+    /// Whether the group is filled only as far as passes right after a shift of demand allow.
     pub(crate) is_cautious: bool,
 }
 
 impl Headroom {
-    /// Returns the streams that the group can carry beyond those in flight; below zero if it is over full.
+    /// Returns the streams that the group can carry beyond those in flight; negative if it is
+    /// overloaded.
     pub(crate) fn capacity_left(&self) -> f64 {
         self.prediction.most - f64::from(self.traffic.load.in_flight)
     }
 
-    /// Returns the streams that may be sent there until the lead's next word: its places, and those of the streams
-    /// that end by then; none where they would only wait for a slot.
+    /// Returns the streams that may be sent there until the leader's next report: the capacity
+    /// left, plus the streams that end by then, but no more than would find a free slot.
     pub(crate) fn sendable(&self) -> f64 {
         let in_flight = f64::from(self.traffic.load.in_flight);
-        let room = self.capacity_left() + in_flight * self.turnover;
-        room.min(self.slots - in_flight)
+        let sendable = self.capacity_left() + in_flight * self.turnover;
+        sendable.min(self.slots - in_flight)
     }
 
-    /// Returns the streams that this gateway may weigh the group by when it draws one.
+    /// Returns the weight of the group in a random choice among groups, in streams.
     pub(crate) fn weight(&self) -> f64 {
         if self.is_free() { self.sendable() } else { 0.0 }
     }
 
-    /// Returns whether one stream more may go there from this gateway.
+    /// Returns whether this gateway may send one more stream there.
     pub(crate) fn is_free(&self) -> bool {
         if let Some(allowance) = self.allowance {
             return self.sendable() > 0.0 && allowance.is_left();
         }
         let own = f64::from(self.traffic.own);
-        self.capacity_left() > 0.0 && own < self.untold_share().max(1.0)
+        self.capacity_left() > 0.0 && own < self.unreported_share().max(1.0)
     }
 
-    /// Returns the streams that this gateway may have in flight while no lead tells the load.
-    fn untold_share(&self) -> f64 {
-        self.prediction.most * UNTOLD_PART / real(self.gateways)
+    /// Returns the streams that this gateway may have in flight while no leader reports the load.
+    fn unreported_share(&self) -> f64 {
+        self.prediction.most * UNREPORTED_SHARE_FACTOR / real(self.gateways)
     }
 
     pub(crate) fn basis(&self) -> Basis {
@@ -98,10 +102,10 @@
         }
     }
 
-    /// Returns why no stream more may go there.
+    /// Returns why no more streams may be sent there.
     pub(crate) fn reason(&self) -> &'static str {
         if self.sendable() > 0.0 {
-            "this gateway's share of the group is taken"
+            "this gateway's share of the group's capacity is used up"
         } else {
             "the group is full"
         }
@@ -111,8 +115,8 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "some thousand requests at most, rounded"
+    reason = "a few thousand requests at most, rounded"
 )]
-fn whole(requests: f64) -> u32 {
+fn rounded(requests: f64) -> u32 {
     requests.round() as u32
 }
