--- a/crates/gateway/src/share.rs
+++ b/crates/gateway/src/share.rs
@@ -1,7 +1,8 @@
 //! This gateway's share of the fleet's retry budget.
 //!
-//! The budget is the fleet's, and nobody grants it: each gateway takes its part by the most gateways that it
-//! ever saw live at once. That holds when the fleet is split, since no side then takes more than before.
+//! The budget belongs to the whole fleet and nobody grants it: each gateway derives its share from
+//! the largest number of gateways that it ever saw live at once. That also holds during a network
+//! partition, since no side then takes more than before.
 
 use std::time::Duration;
 
@@ -9,25 +10,26 @@
 
 use crate::gateway::Bounds;
 
-/// Part of the fleet's retry slack that is there at once; the other part comes back over the window,
-/// so that both together stay within the slack in each window.
-const RESERVE_PART: f64 = 0.5;
+/// Fraction of the fleet's retry slack that is available at once. The rest is refilled over the
+/// window, so that both together stay within the slack in each window.
+const RESERVE_FRACTION: f64 = 0.5;
 
-/// Least slack that comes back over the window, so that the time for one part of it stays finite: with
-/// less than a hundredth of a retry in each window, practically none comes back.
-const LEAST_RETURN: f64 = 0.01;
+/// Least slack to refill over the window, in retries, so that the refill time of one retry stays
+/// finite: below a hundredth of a retry per window, practically none is refilled.
+const MIN_REFILL: f64 = 0.01;
 
-/// Returns this gateway's share of the fleet's retry budget; no slack while the fleet's size is unknown.
+/// Returns the settings of this gateway's share of the fleet's retry budget; without slack while
+/// the fleet's size is unknown.
 pub(crate) fn shares(bounds: &Bounds, fleet: Option<usize>) -> budget::Settings {
     let slack = fleet.map_or(0.0, |fleet| {
         let fleet = u32::try_from(fleet).unwrap_or(u32::MAX);
         bounds.retry_slack / f64::from(fleet.max(1))
     });
-    let reserve = slack * RESERVE_PART;
-    let refill = bounds.retry_window.as_secs_f64() / (slack - reserve).max(LEAST_RETURN);
+    let reserve = slack * RESERVE_FRACTION;
+    let refill = bounds.retry_window.as_secs_f64() / (slack - reserve).max(MIN_REFILL);
     budget::Settings {
         share: thousandths(bounds.retry_ratio),
-        reserve: whole(reserve),
+        reserve: floor(reserve),
         refill: Duration::from_secs_f64(refill),
     }
 }
@@ -46,6 +48,6 @@
     clippy::cast_sign_loss,
     reason = "a small positive number, rounded down"
 )]
-fn whole(number: f64) -> u64 {
+fn floor(number: f64) -> u64 {
     number.max(0.0) as u64
 }
