--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -1,7 +1,8 @@
-//! Rate limits that upstreams name, as a gateway learns, tells and keeps them.
+//! Rate limits that upstreams name, as a gateway learns, reports and enforces them.
 //!
-//! A request to an upstream with a limit needs a permit of the limit's home. Where that is denied, this gateway leaves the
-//! upstream alone until the home may permit another request, and takes the next best one.
+//! A request to an upstream with a limit needs a permit from the limit's home, which is one of the
+//! gateways. If the home denies it, this gateway doesn't use the upstream until the home may permit
+//! another request, and tries the next best one.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -33,75 +34,76 @@
 use crate::quarantine::start_tag;
 use crate::upstream::Upstream;
 
-/// Time for which an upstream is left alone after its limit's home did not reply.
-const SILENT_RETURN: Duration = Duration::from_millis(500);
-/// Shortest and longest factor of the time to ask again, so that gateways that were denied together don't ask
-/// together.
-const RETURN_FACTORS: (f64, f64) = (1.0, 1.5);
-/// Beats after which shares are lent anew: some times within a lease, since messages are lost.
-const LOAN_BEATS: u64 = 2;
-/// Shortest time to ask again: a round trip between failure domains.
-const LEAST_RETURN: Duration = Duration::from_millis(10);
+/// Time for which an upstream is not used after its limit's home did not reply.
+const NO_REPLY_RETRY: Duration = Duration::from_millis(500);
+/// Bounds of the random factor of the retry time, so that gateways that were denied together don't
+/// ask together.
+const RETRY_JITTER: (f64, f64) = (1.0, 1.5);
+/// Heartbeats between two renewals of loans: several renewals within a lease, since messages get
+/// lost.
+const LOAN_INTERVAL_BEATS: u64 = 2;
+/// Shortest retry time: a round trip between failure domains.
+const MIN_RETRY: Duration = Duration::from_millis(10);
 
 /// A limit that was named, changed or ended, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct News {
-    /// Upstream.
+    /// Upstream that the limit is for.
     pub upstream: Arc<Upstream>,
-    /// Requests a second from all gateways together; none if the limit ended.
+    /// Requests per second from all gateways together; none if the limit ended.
     pub rate: Option<Rate>,
-    /// Who told it.
+    /// Where this gateway learned of it.
     pub teller: Teller,
 }
 
 /// Whether a request may be sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consent {
-    /// It may.
+    /// The request may be sent.
     Granted,
-    /// It may not.
+    /// The request may not be sent to this upstream now.
     Denied,
     /// The limit's home has to be asked.
     Ask {
         /// Address of the home.
         home: SocketAddr,
-        /// Question.
+        /// Question to send; the reply goes to [`Gateway::take_reply`].
         ask: Ask,
     },
 }
 
-/// An upstream at which requests are limited, for the log.
+/// An upstream with a rate limit, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limited {
-    /// Upstream.
+    /// Upstream that named the limit.
     pub upstream: Arc<Upstream>,
-    /// Limit.
+    /// Limit in force.
     pub limit: Limit,
-    /// Address of the home that permits requests.
+    /// Address of the gateway that permits requests to it.
     pub home: SocketAddr,
 }
 
-/// All that a gateway knows of limits.
+/// All that a gateway knows of rate limits.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Limits {
     book: Book,
     lender: Lender,
     home: Home,
-    /// Until when upstreams are left alone.
+    /// Until when upstreams are not used.
     closed: HashMap<StartTag, Monotonic>,
-    /// Questions so far.
+    /// Questions asked so far, which number them.
     asks: u64,
-    /// Shares that were lent to another home and are not told in the log yet.
+    /// Shares that were lent to another home and are not logged yet.
     moved: Vec<(StartTag, SocketAddr)>,
 }
 
 impl Limits {
-    /// Returns whether nothing was heard of any limit.
+    /// Returns whether no limit is known, in force or ended.
     pub(crate) fn is_idle(&self) -> bool {
         self.book.is_empty()
     }
 
-    /// Returns until when an upstream is left alone; none if it is open.
+    /// Returns until when an upstream is not used; none if it is open.
     pub(crate) fn open_at(&self, upstream: &Upstream, now: Monotonic) -> Option<Monotonic> {
         if self.closed.is_empty() {
             return None;
@@ -110,8 +112,8 @@
         until.filter(|until| now < *until)
     }
 
-    /// Opens an upstream whose limit ended or changed.
-    fn note(&mut self, news: book::News) {
+    /// Reopens an upstream whose limit ended or changed.
+    fn reopen(&mut self, news: book::News) {
         self.closed.remove(&news.upstream);
     }
 
@@ -126,7 +128,7 @@
 }
 
 impl Gateway {
-    /// Returns the limit that an upstream named.
+    /// Returns the limit that an upstream named, if it is in force.
     #[must_use]
     pub fn limit(&self, upstream: &Upstream, now: Monotonic) -> Option<Limit> {
         if self.limits.is_idle() {
@@ -150,7 +152,8 @@
         limited.take(most).collect()
     }
 
-    /// Takes what an answer says of its upstream's limit; its request was sent at `sent`.
+    /// Records what an answer says about its upstream's limit; its request was sent at `sent`.
+    /// Returns what changed.
     pub fn take_limit(
         &mut self,
         upstream: &Arc<Upstream>,
@@ -160,7 +163,7 @@
     ) -> Option<News> {
         let start = start_tag(upstream);
         let news = self.limits.book.answered(start, rate, sent, now)?;
-        self.limits.note(news);
+        self.limits.reopen(news);
         Some(News {
             upstream: Arc::clone(upstream),
             rate: news.rate,
@@ -168,8 +171,8 @@
         })
     }
 
-    /// Takes what another gateway tells of limits. Upstreams that are not known here yet are left out: limits are told again and
-    /// again.
+    /// Records the limits that another gateway reports; returns what changed. Upstreams that are
+    /// not known here yet are left out, since limits are reported repeatedly.
     pub fn hear_limits(
         &mut self,
         notices: &[Notice],
@@ -181,7 +184,7 @@
         let notices: Vec<Notice> = notices.iter().filter(is_known).copied().collect();
         let heard = self.limits.book.hear(&notices, from, now);
         let news = heard.into_iter().filter_map(|news: book::News| {
-            self.limits.note(news);
+            self.limits.reopen(news);
             Some(News {
                 upstream: Arc::clone(known.get(&news.upstream)?),
                 rate: news.rate,
@@ -191,8 +194,8 @@
         news.collect()
     }
 
-    /// Takes that a beat is sent; returns what to tell other gateways of limits, and forgets those of upstreams that are
-    /// gone.
+    /// Records that a heartbeat is sent; returns the notices of limits to send with it, and drops
+    /// limits of upstreams that are gone.
     pub fn beat_limits(&mut self, now: Monotonic) -> Vec<Notice> {
         self.limits.home.sent(self.roster.me().beat, now);
         self.limits.closed.retain(|_, until| now < *until);
@@ -210,7 +213,7 @@
     /// Lends this gateway's share of each limit to the limit's home; returns the loans to send.
     pub fn loans(&mut self, now: Monotonic) -> Vec<(SocketAddr, Loan)> {
         let mut loans: BTreeMap<SocketAddr, Loan> = BTreeMap::new();
-        if self.limits.is_idle() || !self.roster.me().beat.is_multiple_of(LOAN_BEATS) {
+        if self.limits.is_idle() || !self.roster.me().beat.is_multiple_of(LOAN_INTERVAL_BEATS) {
             return Vec::new();
         }
         let lender = stable(0, self.roster.me().instance.as_bytes());
@@ -242,10 +245,10 @@
             self.borrow(&own, now);
         }
         let loans = loans.into_iter();
-        loans.flat_map(|(home, loan)| parts(home, &loan)).collect()
+        loans.flat_map(|(home, loan)| split(home, &loan)).collect()
     }
 
-    /// Returns the limits whose share went to another home, once each.
+    /// Returns the limits whose share was lent to another home since the last call.
     pub fn take_moved(&mut self, now: Monotonic) -> Vec<Limited> {
         let moved = std::mem::take(&mut self.limits.moved);
         let moved = moved.into_iter().filter_map(|(start, home)| {
@@ -260,7 +263,8 @@
         moved.collect()
     }
 
-    /// Takes shares that another gateway lends this one; returns what it tells of limits.
+    /// Records shares that another gateway lends to this one; returns what the loan changed in the
+    /// known limits.
     pub fn hear_loan(&mut self, loan: &Loan, from: SocketAddr, now: Monotonic) -> Vec<News> {
         let news = self.hear_limits(&loan.limits, from, now);
         if loan.incarnation == self.roster.me().incarnation {
@@ -275,7 +279,7 @@
         home.borrow(loan, rate, now);
     }
 
-    /// Says whether a request may be sent to an upstream, or who has to be asked.
+    /// Decides whether a request may be sent to an upstream, or which gateway has to be asked.
     pub fn consent(&mut self, upstream: &Upstream, now: Monotonic) -> Consent {
         if self.limit(upstream, now).is_none() {
             return Consent::Granted;
@@ -314,34 +318,34 @@
     }
 
     fn permit(&mut self, upstream: StartTag, now: Monotonic) -> Permit {
-        // A home that knows of no limit has no shares of it either, and says so.
+        // A home that knows of no limit has no shares of it either, so it denies the request.
         let rate = self.limits.rate(upstream, now).unwrap_or(0.0);
         self.limits.home.permit(upstream, rate, now)
     }
 
-    /// Takes the home's word on a request; none if the home did not reply.
+    /// Applies the home's reply to a request; none if the home did not reply.
     pub fn take_reply(&mut self, ask: Ask, permit: Option<Permit>, now: Monotonic) -> Consent {
-        let silent = Permit::Denied {
-            retry_ms: u32::try_from(SILENT_RETURN.as_millis()).unwrap_or(u32::MAX),
+        let no_reply = Permit::Denied {
+            retry_ms: u32::try_from(NO_REPLY_RETRY.as_millis()).unwrap_or(u32::MAX),
         };
-        self.take_permit(ask.upstream, permit.unwrap_or(silent), now)
+        self.take_permit(ask.upstream, permit.unwrap_or(no_reply), now)
     }
 
     fn take_permit(&mut self, upstream: StartTag, permit: Permit, now: Monotonic) -> Consent {
         let Permit::Denied { retry_ms } = permit else {
             return Consent::Granted;
         };
-        let (least, most) = RETURN_FACTORS;
+        let (least, most) = RETRY_JITTER;
         let factor = self.rng.random_range(least..most);
         let retry = Duration::from_millis(retry_ms.into()).mul_f64(factor);
-        let until = now + retry.max(LEAST_RETURN);
+        let until = now + retry.max(MIN_RETRY);
         self.limits.closed.insert(upstream, until);
         Consent::Denied
     }
 }
 
-/// Splits a loan into messages that stay within one packet.
-fn parts(home: SocketAddr, loan: &Loan) -> Vec<(SocketAddr, Loan)> {
+/// Splits a loan into messages that each fit into one packet.
+fn split(home: SocketAddr, loan: &Loan) -> Vec<(SocketAddr, Loan)> {
     let parts = loan.limits.chunks(MOST_NOTICES);
     let parts = parts.map(|limits| {
         let part = Loan {
