--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -1,7 +1,8 @@
 //! Upstreams that asked this gateway to back off.
 //!
-//! Such a word binds the gateway that got it and no other one, so it is not told to others. It holds for one start of an
-//! upstream, also where its entry on the list is removed and written again meanwhile.
+//! Such a request binds only the gateway that received it, so it is not passed on to others. It
+//! holds for one start of an upstream, even if the upstream's entry on the list is removed and
+//! written again meanwhile.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,20 +15,19 @@
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamId;
 
-/// Upstreams that are kept at most; of more, those whose time ends first are let go.
-const MOST_KEPT: usize = 4_096;
+/// Most upstreams that are remembered; beyond that, the backoff that ends first is dropped.
+const MAX_BACKOFFS: usize = 4_096;
 
-/// Until when upstreams are left alone since they asked for it.
+/// Until when upstreams are not used because they asked for backoff.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Backoffs(BTreeMap<StartTag, Monotonic>);
 
 impl Backoffs {
-    /// Returns whether no upstream is left alone.
     pub(crate) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Returns until when an upstream is left alone; none if it is not.
+    /// Returns until when an upstream is not used; none if it may be used now.
     pub(crate) fn until(&self, upstream: &Upstream, now: Monotonic) -> Option<Monotonic> {
         if self.is_empty() {
             return None;
@@ -36,11 +36,11 @@
         until.filter(|until| now < *until)
     }
 
-    /// Leaves an upstream alone; a time that ends sooner than an earlier one does not shorten that.
+    /// Starts or extends the backoff of an upstream; an earlier end never shortens it.
     fn extend(&mut self, upstream: StartTag, until: Monotonic) {
         let known = self.0.entry(upstream).or_insert(until);
         *known = until.max(*known);
-        if self.0.len() > MOST_KEPT {
+        if self.0.len() > MAX_BACKOFFS {
             let first = self.0.iter().min_by_key(|(_, until)| **until);
             if let Some(first) = first.map(|(start, _)| *start) {
                 self.0.remove(&first);
@@ -48,38 +48,41 @@
         }
     }
 
-    /// Forgets the times that are over.
+    /// Drops backoffs that are over.
     pub(crate) fn forget(&mut self, now: Monotonic) {
         self.0.retain(|_, until| now < *until);
     }
 }
 
 impl Gateway {
-    /// Takes that an upstream wants nothing of this gateway for a time.
+    /// Records that an upstream asked this gateway to back off for `time`.
     pub fn back_off(&mut self, upstream: &Upstream, time: Duration, now: Monotonic) {
         let until = now.saturating_add(time);
         self.backoffs.extend(start_tag(upstream), until);
     }
 
-    /// Returns whether an upstream neither leaves nor asked this gateway to back off.
+    /// Returns whether an upstream is not leaving and did not ask this gateway to back off.
     #[must_use]
     pub fn wants_work(&self, upstream: &Upstream, now: Monotonic) -> bool {
         self.pool.takes_work(upstream) && self.backoffs.until(upstream, now).is_none()
     }
 
-    /// Returns whether a request may be sent to an upstream, as far as the upstream's own word goes.
+    /// Returns whether a request may be sent to an upstream, as far as its rate limit and backoff
+    /// allow.
     #[must_use]
     pub fn is_open(&self, upstream: &Upstream, now: Monotonic) -> bool {
         self.closed_until(upstream, now).is_none()
     }
 
-    /// Returns until when an upstream is left alone, for its limit or since it asked for it; none if it is open.
+    /// Returns until when an upstream is not used because of its rate limit or backoff; none if it
+    /// is open.
     pub(crate) fn closed_until(&self, upstream: &Upstream, now: Monotonic) -> Option<Monotonic> {
         let limited = self.limits.open_at(upstream, now);
         limited.max(self.backoffs.until(upstream, now))
     }
 
-    /// Returns the upstreams of a service that asked this gateway to back off, at most `most`, with the time left.
+    /// Returns the upstreams of a service that asked this gateway to back off, at most `most`, with
+    /// the time left.
     #[must_use]
     pub fn backing_off(
         &self,
