--- a/crates/gateway/tests/all/group.rs
+++ b/crates/gateway/tests/all/group.rs
@@ -1,4 +1,4 @@
-//! Which upstreams run in lock-step.
+//! Groups of upstreams that run in lock-step.
 
 use auburnline_gateway::group::Groups;
 use auburnline_lockstep::message::Busy;
@@ -41,7 +41,8 @@
     assert_that!(group(1), none());
 }
 
-/// Pattern: a rank crashes, its group is shut for a second, and its lead may have died with it.
+/// Guards against a group that stays unavailable for good: a rank crashes, the group is reported
+/// unavailable for a second, and its leader may have died with the rank.
 #[gtest]
 fn a_group_that_is_said_to_be_shut_is_believed_for_a_while_only() {
     let mut groups = Groups::default();
@@ -51,8 +52,8 @@
     assert_that!(groups.is_shut("g1", millis(500)), eq(false));
 }
 
-/// Pattern: the instance of a group's rank 0 freezes for seconds; its lead falls silent and all its streams
-/// stop, while other groups serve.
+/// Guards against requests to a stalled group: the instance of a group's rank 0 freezes for
+/// seconds, so its leader falls silent and all its streams stop, while other groups serve.
 #[gtest]
 fn a_group_stands_still_once_neither_its_lead_nor_its_streams_are_heard() {
     let mut groups = Groups::default();
@@ -61,7 +62,7 @@
     groups.record_event(&group, millis(400));
     assert_that!(groups.is_stalled("g0", millis(900)), eq(false));
     assert_that!(groups.is_stalled("g0", millis(1_200)), eq(true));
-    // The lead alone is gone: streams go on.
+    // Only the leader is gone: streams go on.
     groups.record_event(&group, millis(1_250));
     assert_that!(groups.is_stalled("g0", millis(1_300)), eq(false));
     // After some seconds it is tried again.
@@ -74,21 +75,24 @@
     let mut groups = Groups::default();
     groups.hear(&digest("g0", true, &[1]), millis(0));
     assert_that!(groups.look(millis(300)), is_empty());
-    let told = groups.look(millis(900));
-    assert_that!(told.len(), eq(1));
-    assert_that!(told[0].is_still, eq(true));
-    assert_that!(told[0].silent, eq(millis(900)));
+    let changes = groups.look(millis(900));
+    assert_that!(changes.len(), eq(1));
+    assert_that!(changes[0].is_still, eq(true));
+    assert_that!(changes[0].silent, eq(millis(900)));
     assert_that!(groups.look(millis(1_200)), is_empty());
     groups.hear(&digest("g0", true, &[1]), millis(1_300));
-    let told = groups.look(millis(1_400));
+    let changes = groups.look(millis(1_400));
     assert_that!(
-        told.iter().map(|told| told.is_still).collect::<Vec<_>>(),
+        changes
+            .iter()
+            .map(|change| change.is_still)
+            .collect::<Vec<_>>(),
         eq(&vec![false])
     );
 }
 
-/// Pattern: a rank crashes, and the streams of all ranks of its group break off; single servers that spoil an
-/// answer now and then are no sign of that.
+/// A rank crashes, and the streams of all ranks of its group break off. Independent servers that
+/// break an answer now and then don't make their group unavailable.
 #[gtest]
 fn streams_of_two_upstreams_that_break_together_tell_of_their_group() {
     let mut groups = Groups::default();
