--- a/crates/gateway/tests/all/load.rs
+++ b/crates/gateway/tests/all/load.rs
@@ -1,4 +1,4 @@
-//! The load that leads of groups tell.
+//! Decisions based on the load that group leaders report.
 
 use std::net::SocketAddr;
 
@@ -23,7 +23,7 @@
 use crate::support::table;
 use crate::support::upstream;
 
-/// Gateways and ranks of the users' larger deployments.
+/// Gateways and ranks per group of the users' larger deployments.
 const GATEWAYS: u16 = 40;
 const RANKS: u16 = 24;
 
@@ -45,8 +45,8 @@
     }
 }
 
-/// Lets all other gateways and the store be heard.
-fn beat(gateway: &mut Gateway, beat: u64, now: u64) {
+/// Delivers a heartbeat of every other gateway and a confirmation of the store.
+fn deliver_heartbeats(gateway: &mut Gateway, beat: u64, now: u64) {
     for number in 1..GATEWAYS {
         let beat = support::beat(entry(number, 1, beat));
         gateway.roster.hear(&beat, millis(now));
@@ -68,11 +68,11 @@
             });
         }
     }
-    beat(&mut gateway, 1, 1_000);
+    deliver_heartbeats(&mut gateway, 1, 1_000);
     gateway
 }
 
-/// Lets in as many requests as the gateway takes at one instant.
+/// Sends as many requests as the gateway admits at one instant; returns their number.
 fn flood(gateway: &mut Gateway, now: u64) -> u32 {
     let mut sent = 0;
     loop {
@@ -88,44 +88,47 @@
     }
 }
 
-/// Pattern: all power was lost; groups open empty, and callers who waited come to all gateways at the same moment.
-/// On the users' day 40 gateways sent 1,000 requests to places for 570 within half a second, and first
-/// events came 1 to 2 s late for four seconds.
+/// Guards against an empty group that is filled once per gateway: after a power loss groups come
+/// back empty, and waiting callers reach all gateways at the same moment. In the users' deployment,
+/// 40 gateways sent 1,000 requests to capacity for 570 within half a second, and first events came
+/// 1 to 2 s late for four seconds.
 #[gtest]
 fn a_wave_of_callers_fills_an_empty_group_once_and_not_once_for_each_gateway() {
     let mut gateway = gateway(1);
     gateway.hear(&digest(0, 0), millis(1_000));
     let sent = flood(&mut gateway, 1_000);
-    let places = u32::from(RANKS) * 12;
+    let slots = u32::from(RANKS) * 12;
     assert_that!(sent, ge(1));
-    assert_that!(sent * u32::from(GATEWAYS), le(places + u32::from(GATEWAYS)));
-    // The next word of the lead makes room anew.
+    assert_that!(sent * u32::from(GATEWAYS), le(slots + u32::from(GATEWAYS)));
+    // The leader's next report gives new headroom.
     gateway.hear(&digest(0, 1), millis(1_200));
     assert_that!(flood(&mut gateway, 1_200), ge(1));
 }
 
-/// Pattern: the same before the lead has been heard.
+/// The same before any report of the leader has arrived.
 #[gtest]
 fn a_group_of_which_nothing_was_told_gets_a_share_from_each_gateway() {
     let mut gateway = gateway(1);
     let sent = flood(&mut gateway, 1_000);
-    let places = u32::from(RANKS) * 12;
+    let slots = u32::from(RANKS) * 12;
     assert_that!(sent, ge(1));
     assert_that!(
         sent * u32::from(GATEWAYS),
-        le(places * 3 / 2 + u32::from(GATEWAYS))
+        le(slots * 3 / 2 + u32::from(GATEWAYS))
     );
 }
 
-/// Pattern: the lead of a group is silent for seconds before 40 gateways, of which each hears a few. Passes of 100 ms, of 120
-/// that are in time, carry some 150 streams: four on each gateway. Those that were not heard count like those that were, so
-/// that the load and the room are told in the same unit; before, a gateway that knew a third of the load kept to two.
+/// Guards against a load that is underestimated in proportion to the gateways that were not heard:
+/// the leader of a group is silent for seconds before 40 gateways, each of which hears a few
+/// others. Passes of 100 ms, of 120 that are in time, carry some 150 streams: four on each gateway.
+/// Gateways that were not heard count like those that were, so that load and headroom are in the
+/// same unit; a gateway that knew a third of the load used to keep to two streams.
 #[gtest]
 fn without_a_lead_gateways_that_were_not_heard_count_like_those_that_were() {
     let mut gateway = gateway(1);
     for step in 0_u64..30 {
         let now = 1_000 + step * 100;
-        beat(&mut gateway, step + 2, now);
+        deliver_heartbeats(&mut gateway, step + 2, now);
         for neighbour in 0..10 {
             let counts = (0..4)
                 .map(|rank| (tag(&format!("rank-0-{rank}")), 1))
@@ -137,14 +140,15 @@
     }
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 3_900).expect("a plan");
     let Admission::Go(Some(basis)) = gateway.admit(&plan, millis(3_900)) else {
-        panic!("the group has room");
+        panic!("the group has headroom");
     };
-    // 39 others with four streams each, of whom ten were heard.
+    // 39 others with four streams each, of which ten were heard.
     assert_that!(basis.in_flight, eq(156));
     assert_that!(flood(&mut gateway, 3_900), ge(3));
 }
 
-/// Pattern: neighbours' counts reach a gateway of a large fleet late or not at all.
+/// The leader's report counts where the counts of other gateways of a large fleet arrive late or
+/// not at all.
 #[gtest]
 fn a_group_that_its_lead_calls_full_takes_nothing() {
     let mut gateway = gateway(1);
@@ -152,7 +156,7 @@
     assert_that!(flood(&mut gateway, 1_000), eq(0));
 }
 
-/// Pattern: one of three groups freezes with the instance beside which it is led.
+/// Guards against requests to a group that froze together with the instance that runs its leader.
 #[gtest]
 fn a_group_that_stands_still_gets_nothing_while_another_serves() {
     let mut gateway = gateway(2);
@@ -179,7 +183,7 @@
     let requests =
         |reports: &Reports, now| reports.load(engine, millis(now)).map(|load| load.requests);
     assert_that!(requests(&reports, 100), some(eq(7)));
-    // Half of them may have come after the rank was looked at.
+    // Half of them may have arrived after the rank's load was sampled.
     reports.hear(&digest(0, 6), millis(200));
     assert_that!(requests(&reports, 300), some(eq(7)));
     reports.hear(&digest(0, 6), millis(400));
@@ -187,63 +191,67 @@
     assert_that!(requests(&reports, 1_100), none());
 }
 
-/// Pattern: callers come unevenly, and a gateway gets several within one word of the lead while the group has
-/// room (seen on a larger deployment: refused with 156 of 213 places taken).
+/// Guards against refusals while a group has headroom: callers arrive unevenly, and a gateway gets
+/// several requests between two reports of the leader. A larger deployment refused requests
+/// while it ran 156 of 213 possible streams.
 #[gtest]
-fn a_gateway_sends_in_one_word_what_it_kept_of_those_before() {
+fn a_gateway_sends_between_two_reports_what_it_carried_over() {
     let mut gateway = gateway(1);
-    for word in 0..10 {
-        let now = 1_000 + word * 200;
-        beat(&mut gateway, word + 2, now);
+    for report in 0..10 {
+        let now = 1_000 + report * 200;
+        deliver_heartbeats(&mut gateway, report + 2, now);
         gateway.hear(&digest(0, 10), millis(now));
         let plan = ask(&mut gateway, "/draft/", Some("key-1"), now).expect("a plan");
-        // It looks at each word, and sends nothing.
+        // It checks after each report, but sends nothing.
         let _ = gateway.admit(&plan, millis(now));
     }
-    // 48 places are free, little more than one for each gateway.
+    // 48 slots are free, little more than one for each gateway.
     assert_that!(flood(&mut gateway, 2_900), all!(ge(4), le(5)));
 }
 
-/// Pattern: passes are as long as they may be, and streams end all the while; what they free is not lost to callers.
+/// Capacity that ending streams free is given out again where passes are as long as they may be.
 #[gtest]
 fn places_of_streams_that_end_are_given_out_again() {
     let mut gateway = gateway(1);
     let mut sent = 0;
-    for word in 0..40 {
-        let now = 1_000 + word * 200;
-        beat(&mut gateway, word + 2, now);
+    for report in 0..40 {
+        let now = 1_000 + report * 200;
+        deliver_heartbeats(&mut gateway, report + 2, now);
         gateway.hear(&digest(0, 10), millis(now));
         let plan = ask(&mut gateway, "/draft/", Some("key-1"), now).expect("a plan");
         gateway.observe(&plan, &"g0".into(), millis(100), millis(now));
-        // Before that the gateway learns how long passes are.
-        if word >= 20 {
+        // Before that the gateway learns the length of passes.
+        if report >= 20 {
             sent += flood(&mut gateway, now);
         }
     }
-    // With passes of 100 ms 240 streams are 6 too many, and 17 end in each word: 11 for forty gateways.
+    // With passes of 100 ms, 240 streams are 6 too many, and 17 end between two reports: this
+    // leaves 11 for forty gateways.
     assert_that!(sent, all!(ge(3), le(7)));
 }
 
-/// Pattern: a rank crashes or all power is lost; the group forms anew with its first map, on which the most loaded rank has
-/// three times the mean, and callers who waited fill it. By the pace of the map before it seemed to have room for all:
-/// on the users' day passes lasted 127 ms until the next map was in force, and no stream was in time.
+/// Guards against a re-formed group that is overfilled: after a crash or a power loss a group
+/// starts with its first placement map, on which the most loaded rank has three times the mean, and
+/// waiting callers fill it. By the pass times of the previous map it seemed to have capacity for
+/// all: in the users' deployment passes lasted 127 ms until the next map was in force, and no
+/// stream was in time.
 #[gtest]
 fn a_group_that_forms_anew_is_filled_by_the_pace_of_its_first_map() {
     let mut gateway = gateway(1);
-    for word in 0..20 {
-        let now = 1_000 + word * 200;
-        beat(&mut gateway, word + 2, now);
+    for report in 0..20 {
+        let now = 1_000 + report * 200;
+        deliver_heartbeats(&mut gateway, report + 2, now);
         gateway.hear(&digest(0, 6), millis(now));
         let plan = ask(&mut gateway, "/draft/", Some("key-1"), now).expect("a plan");
         gateway.observe(&plan, &"g0".into(), millis(60), millis(now));
     }
     let learned = gateway.pace("g0").expect("a pace").clone();
-    let shut = Digest {
+    let unavailable = Digest {
         is_open: false,
         ..digest(0, 0)
     };
-    gateway.hear(&shut, millis(5_000));
-    beat(&mut gateway, 30, 6_000);
+    gateway.hear(&unavailable, millis(5_000));
+    deliver_heartbeats(&mut gateway, 30, 6_000);
     gateway.hear(&digest(0, 0), millis(6_000));
     let load = Load {
         ranks: u32::from(RANKS),
@@ -256,24 +264,25 @@
     assert_that!(most(&first), lt(most(&learned) * 0.9));
 }
 
-/// Lets the lead of a group tell that one of its ranks takes so many hundredths of its time, and runs `requests`.
-fn slowed(gateway: &mut Gateway, pace: u16, requests: u32, now: u64) -> bool {
+/// Delivers a report that one rank has this pace, in hundredths, and runs `requests`; returns
+/// whether a rank turned slow.
+fn report_pace(gateway: &mut Gateway, pace: u16, requests: u32, now: u64) -> bool {
     let mut digest = digest(0, 5);
     digest.engines[7].pace = pace;
     digest.engines[7].requests = requests;
     gateway.hear(&digest, millis(now)).has_slowed
 }
 
-/// Pattern: one rank of a group takes twelve times as long for some seconds. In each pass all others wait for what runs
-/// there, so that streams leave it and new ones go to other ranks.
+/// One rank of a group takes twelve times as long for some seconds. In each pass all other ranks
+/// wait for what runs there, so streams leave it and new ones go to other ranks.
 #[gtest]
 fn streams_leave_a_rank_that_turned_slow_and_no_new_ones_go_there() {
     let mut gateway = gateway(1);
-    beat(&mut gateway, 2, 1_000);
-    assert_that!(slowed(&mut gateway, 100, 5, 1_000), eq(false));
-    assert_that!(slowed(&mut gateway, 1_200, 5, 1_200), eq(true));
-    // It is told once.
-    assert_that!(slowed(&mut gateway, 1_200, 5, 1_400), eq(false));
+    deliver_heartbeats(&mut gateway, 2, 1_000);
+    assert_that!(report_pace(&mut gateway, 100, 5, 1_000), eq(false));
+    assert_that!(report_pace(&mut gateway, 1_200, 5, 1_200), eq(true));
+    // Only the change is reported.
+    assert_that!(report_pace(&mut gateway, 1_200, 5, 1_400), eq(false));
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 1_400).expect("a plan");
     let at = |rank| Upstream {
         address: engine(0, rank),
@@ -294,12 +303,13 @@
     }
 }
 
-/// Pattern: a rank is a little slower than others. Moving its streams would cost more than the others wait for them.
+/// Guards against moving streams off a rank that is only a little slower than others: that would
+/// cost more than the others wait for them.
 #[gtest]
 fn streams_stay_at_a_rank_that_is_hardly_slow() {
     let mut gateway = gateway(1);
-    beat(&mut gateway, 2, 1_000);
-    slowed(&mut gateway, 120, 5, 1_000);
+    deliver_heartbeats(&mut gateway, 2, 1_000);
+    report_pace(&mut gateway, 120, 5, 1_000);
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 1_000).expect("a plan");
     let rank = Upstream {
         address: engine(0, 7),
@@ -309,11 +319,12 @@
     assert_that!(leaves, eq(false));
 }
 
-/// Pattern: all ranks of a group turn slow together. No stream is better off elsewhere.
+/// Guards against moving streams where all ranks of a group turn slow together, so that no other
+/// rank is better.
 #[gtest]
 fn streams_stay_where_all_ranks_are_slow() {
     let mut gateway = gateway(1);
-    beat(&mut gateway, 2, 1_000);
+    deliver_heartbeats(&mut gateway, 2, 1_000);
     let mut digest = digest(0, 5);
     for busy in &mut digest.engines {
         busy.pace = 400;
