--- a/crates/gateway/tests/all/pace.rs
+++ b/crates/gateway/tests/all/pace.rs
@@ -1,4 +1,4 @@
-//! How many streams a group can carry.
+//! Predictions of how many streams a group can carry.
 
 use auburnline_gateway::pace::Group;
 use auburnline_gateway::pace::Load;
@@ -16,7 +16,7 @@
     }
 }
 
-/// Lets a group see passes of one length for some seconds.
+/// Returns a group that saw passes of one length for some seconds.
 fn group(pause: u64, in_flight: u32) -> Group {
     let mut group = Group::default();
     for tick in 0..40 {
@@ -31,8 +31,9 @@
     group
 }
 
-/// Pattern: more callers than a group can serve in time. Its passes grow with all that it runs, and
-/// past the longest pause all its streams are late at once (measured: 0.33 of the credit).
+/// Guards against overload: with more callers than a group can serve in time, its passes grow with
+/// all that it runs, and beyond the longest pause all its streams are late at once, which left
+/// 0.33 of the credit.
 #[gtest]
 fn a_group_whose_passes_grow_takes_fewer_streams() {
     let slow = group(110, 100).predict(&ENGINE, millis(120), load(100));
@@ -47,7 +48,8 @@
     assert_that!(predicted.pass.as_secs_f64(), near(0.080, 0.002));
 }
 
-/// Pattern: a rank crashes and the whole group stalls for more than a second.
+/// Guards against a stall counted as load: a rank crashes and the whole group stalls for more than
+/// a second.
 #[gtest]
 fn a_stall_is_no_load() {
     let mut group = group(60, 60);
@@ -58,13 +60,13 @@
 
 #[gtest]
 fn no_lull_opens_a_group_beyond_its_places_and_no_burst_shuts_it() {
-    let open = group(30, 100).predict(&ENGINE, millis(120), load(0));
-    assert_that!(open.most, le(144.0));
-    let shut = group(400, 30).predict(&ENGINE, millis(120), load(0));
-    assert_that!(shut.most, ge(12.0));
+    let lightly_loaded = group(30, 100).predict(&ENGINE, millis(120), load(0));
+    assert_that!(lightly_loaded.most, le(144.0));
+    let overloaded = group(400, 30).predict(&ENGINE, millis(120), load(0));
+    assert_that!(overloaded.most, ge(12.0));
 }
 
-/// Pattern: demand shifts, and passes of 60 ms take 130 ms from one to the next (the users' pages of now).
+/// Demand shifts, and passes grow from 60 ms to 130 ms from one to the next.
 #[gtest]
 fn two_long_passes_stop_what_is_sent() {
     let mut group = group(60, 80);
@@ -77,7 +79,8 @@
     assert_that!(group.predict(&ENGINE, millis(120), load(80)).most, lt(80.0));
 }
 
-/// Lets demand shift each `period` ms, with three long passes each; returns what the group may carry in calm passes.
+/// Shifts demand each `period` ms, with three long passes after each shift; returns how many
+/// streams the group may carry by its calm passes.
 fn shifting(period: u64) -> f64 {
     let mut group = Group::default();
     let mut most = 0.0;
@@ -94,20 +97,22 @@
     most
 }
 
-/// Pattern: shifts come so often that nearly every stream meets one (each 2.5 s on the users' grown deployment).
+/// Shifts are so frequent that nearly every stream meets one, as on the users' grown deployment
+/// with one each 2.5 s.
 #[gtest]
 fn a_group_that_shifts_often_is_filled_for_the_passes_after_a_shift() {
     assert_that!(shifting(2_500), lt(125.0));
 }
 
-/// Pattern: shifts are rare, and most streams meet none.
+/// Shifts are rare, and most streams meet none.
 #[gtest]
 fn a_group_that_shifts_rarely_is_filled_for_calm_passes() {
     assert_that!(shifting(10_000), gt(135.0));
 }
 
-/// Pattern: a rank turns slow, all passes are long, and it is well again some seconds later. What was learned of long passes
-/// meanwhile tells nothing of shifts of demand: the group is filled as before at once.
+/// Guards against a group that is kept underfilled after a slow rank recovered: all passes were
+/// long meanwhile, which says nothing about shifts of demand, so the group must be filled as before
+/// at once.
 #[gtest]
 fn a_group_is_filled_again_as_soon_as_its_slow_rank_is_well() {
     let slow = Load {
@@ -134,8 +139,8 @@
     assert_that!(after, gt(0.9 * before));
 }
 
-/// Pattern: the streams of a slow rank left it. It has no part of its own in a pass then, and the group serves as well as
-/// without it.
+/// Guards against counting a slow rank that runs nothing: once its streams left, it has no work of
+/// its own in a pass, and the group serves as well as without it.
 #[gtest]
 fn a_slow_rank_that_runs_nothing_leaves_room_for_streams() {
     let group = group(60, 100);
