--- a/crates/gateway/tests/all/limit.rs
+++ b/crates/gateway/tests/all/limit.rs
@@ -1,7 +1,7 @@
-//! Rate limits that upstreams name, kept by one gateway's decisions.
+//! Rate limits that upstreams name, enforced by the decisions of one gateway.
 //!
-//! Pattern: an upstream in need names how many requests a second it takes from all gateways together, while others of
-//! its service or group have room.
+//! An upstream short of capacity names how many requests per second it takes from all gateways
+//! together, while others of its service or group have headroom.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -39,7 +39,8 @@
     ([10, 0, 0, 1], number).into()
 }
 
-/// Returns a gateway that lives alone, with two ranks of each of two groups and two plain upstreams.
+/// Returns a gateway without others, with two ranks in each of two groups and two independent
+/// upstreams.
 pub(crate) fn gateway() -> Gateway {
     let mut gateway = blank();
     gateway.set_table(table(3));
@@ -71,7 +72,7 @@
     gateway
 }
 
-/// Does what a gateway does with each beat.
+/// Does what a gateway does at each heartbeat.
 pub(crate) fn tick(gateway: &mut Gateway, now: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let now = millis(now);
@@ -91,7 +92,7 @@
     gateway.take_limit(&upstream, Some(rate), millis(now - 1), millis(now));
 }
 
-/// Sends requests for a time, one each ten milliseconds; returns how often each upstream was chosen.
+/// Sends one request every ten milliseconds for a time; returns when and where each was sent.
 pub(crate) fn press(
     gateway: &mut Gateway,
     path: &str,
@@ -120,7 +121,8 @@
     sent.iter().filter(|(_, to)| to == id).count()
 }
 
-/// Guards against an upstream in need that gets more than the rate it named, while another one has room.
+/// Guards against an upstream short of capacity that gets more than the rate it named while another
+/// one has headroom.
 #[gtest]
 fn an_upstream_gets_no_more_than_it_named_and_the_rest_goes_elsewhere() {
     let mut gateway = gateway();
@@ -130,7 +132,8 @@
     expect_that!(sent.len(), eq(1_000));
 }
 
-/// Guards against a rank in need that gets more streams than it takes because its group as a whole has room.
+/// Guards against a rank short of capacity that gets more streams than its rate because its group
+/// as a whole has headroom.
 #[gtest]
 fn a_rank_gets_no_more_streams_than_it_named_and_its_group_serves_on() {
     let mut gateway = gateway();
@@ -141,7 +144,8 @@
     expect_that!(sent.len(), eq(400));
 }
 
-/// Guards against streams that are turned away because a group is drawn whose ranks are all at their limits.
+/// Guards against streams that are refused because a group was picked whose ranks are all at their
+/// limits.
 #[gtest]
 fn streams_go_to_another_group_where_all_ranks_of_one_are_at_their_limits() {
     let mut gateway = gateway();
@@ -153,7 +157,7 @@
     expect_that!(sent.len(), ge(390));
 }
 
-/// Guards against callers who wait for upstreams that are known to take nothing now.
+/// Guards against callers who wait for upstreams that are known to be at their limits.
 #[gtest]
 fn a_request_is_refused_at_once_where_all_upstreams_are_at_their_limits() {
     let mut gateway = gateway();
@@ -163,7 +167,7 @@
     press(&mut gateway, "/desk/a", 2_400, 4_400);
     let plan = ask(&mut gateway, "/desk/a", Some("key-1"), 4_410).expect("a plan");
     let Admission::Refuse(refusal) = gateway.admit(&plan, millis(4_410)) else {
-        panic!("it was let in");
+        panic!("the request was not refused");
     };
     expect_that!(refusal.kind, eq(Kind::Overloaded));
     expect_that!(refusal.is_closed, eq(true));
@@ -203,7 +207,7 @@
     expect_that!(gateway.limit(&again, millis(2_300)), none());
 }
 
-/// Lets the lead of the first group tell that its first rank is slow.
+/// Delivers a report of the first group's leader that its first rank is slow.
 pub(crate) fn slow_down(gateway: &mut Gateway, now: u64) {
     let busy = |rank, pace| Busy {
         engine: address(rank),
@@ -219,7 +223,8 @@
     gateway.hear(&slowed, millis(now));
 }
 
-/// Guards against a stream that gives up its slow rank and then breaks off since no other one takes it.
+/// Guards against a stream that leaves its slow rank and then breaks off because no other rank
+/// takes it.
 #[gtest]
 fn a_stream_stays_at_its_slow_rank_where_the_others_have_limits() {
     let mut gateway = gateway();
@@ -235,7 +240,7 @@
     );
 }
 
-/// Guards against a whole group that is left without work because one rank in need turns a stream away.
+/// Guards against a whole group that gets no work because one rank with a limit refused a stream.
 #[gtest]
 fn a_rank_with_a_limit_that_refuses_does_not_shut_its_group() {
     let mut gateway = gateway();
@@ -248,7 +253,8 @@
     expect_that!(gateway.groups.is_shut("a", now), eq(true));
 }
 
-/// Lets others of these gateways be heard until one comes first for the limit of `upstream`.
+/// Adds gateways with these numbers until one is the home of the limit of `upstream`; returns its
+/// address.
 fn with_home(
     gateway: &mut Gateway,
     upstream: &Upstream,
@@ -257,16 +263,16 @@
 ) -> SocketAddr {
     gateways
         .find_map(|number| {
-            let address = hear(gateway, number, now);
+            let address = add_gateway(gateway, number, now);
             match gateway.consent(upstream, millis(now)) {
                 Consent::Ask { home, .. } => (home == address).then_some(home),
                 Consent::Granted | Consent::Denied => None,
             }
         })
-        .expect("a gateway that comes first")
+        .expect("a gateway that becomes the home")
 }
 
-fn hear(gateway: &mut Gateway, number: u16, now: u64) -> SocketAddr {
+fn add_gateway(gateway: &mut Gateway, number: u16, now: u64) -> SocketAddr {
     let from = Entry {
         instance: format!("gateway-{number}").into(),
         ..entry(number, 1, now)
@@ -277,7 +283,7 @@
     address
 }
 
-/// Returns the homes to which shares are lent with the next beats.
+/// Returns the homes to which shares are lent with the next two heartbeats.
 fn lent(gateway: &mut Gateway, now: u64) -> Vec<SocketAddr> {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let now = millis(now);
@@ -290,7 +296,7 @@
     homes
 }
 
-/// Guards against a fleet in which each gateway permits itself what the upstream takes in all.
+/// Guards against a fleet in which each gateway permits itself the upstream's whole rate.
 #[gtest]
 fn a_gateway_that_is_not_the_home_asks_it_and_keeps_to_its_word() {
     let mut gateway = gateway();
@@ -298,7 +304,7 @@
     let upstream = find(&gateway, "desk-0");
     let address = with_home(&mut gateway, &upstream, 1..=99, 2_250);
     let Consent::Ask { home, ask } = gateway.consent(&upstream, millis(2_300)) else {
-        panic!("it permits itself");
+        panic!("the gateway did not ask the home");
     };
     expect_that!(home, eq(address));
     let granted = gateway.take_reply(ask, Some(Permit::Granted), millis(2_302));
@@ -314,7 +320,8 @@
     );
 }
 
-/// Guards against a share that counts at two homes, where the first is only cut off and still permits requests.
+/// Guards against a share that counts at two homes because the first, only cut off by the network,
+/// still permits requests.
 #[gtest]
 fn a_share_goes_to_another_home_only_once_the_first_counts_on_it_no_more() {
     let mut gateway = gateway();
@@ -322,14 +329,14 @@
     let upstream = find(&gateway, "desk-0");
     let first = with_home(&mut gateway, &upstream, 1..=99, 2_250);
     expect_that!(lent(&mut gateway, 2_300), elements_are![eq(&first)]);
-    // Of so many that start, one comes before the first home, which was heard last at 2,250.
+    // Of this many new gateways, one precedes the first home, which was last heard at 2,250.
     for number in 100..=2_000 {
-        hear(&mut gateway, number, 3_000);
+        add_gateway(&mut gateway, number, 3_000);
     }
     let asked = |gateway: &mut Gateway, now: u64| {
         let consent = gateway.consent(&upstream, millis(now));
         let Consent::Ask { home, .. } = consent else {
-            panic!("it permits itself");
+            panic!("the gateway did not ask the home");
         };
         home
     };
@@ -342,7 +349,8 @@
     expect_that!(asked(&mut gateway, lapsed), eq(second[0]));
 }
 
-/// Guards against a gateway that lends its share anew while the loan of the process before it still counts.
+/// Guards against a gateway that lends its share again after a restart while the loan of its
+/// previous process still counts.
 #[gtest]
 fn a_gateway_that_just_started_lends_nothing() {
     let mut gateway = gateway();
