--- a/crates/gateway/tests/all/backoff.rs
+++ b/crates/gateway/tests/all/backoff.rs
@@ -20,13 +20,14 @@
 
 const BACKOFF: Duration = Duration::from_secs(3);
 
-/// Lets an upstream ask for three seconds, from now on.
+/// Lets an upstream ask for a backoff of three seconds, starting now.
 fn back_off(gateway: &mut Gateway, id: &str, now: u64) {
     let upstream = find(gateway, id);
     gateway.back_off(&upstream, BACKOFF, millis(now));
 }
 
-/// Guards against first sends to an upstream that asked for backoff, and against one that is never used again.
+/// Guards against first sends to an upstream that asked for backoff, and against an upstream that
+/// is never used again.
 #[gtest]
 fn an_upstream_gets_nothing_until_its_time_is_over_and_then_its_part() {
     let mut gateway = gateway();
@@ -38,7 +39,8 @@
     expect_that!(count(&sent, "desk-0"), gt(20));
 }
 
-/// Guards against streams to a rank that asked for backoff because its group as a whole has room.
+/// Guards against streams to a rank that asked for backoff because its group as a whole has
+/// headroom.
 #[gtest]
 fn a_rank_gets_no_streams_until_its_time_is_over_and_its_group_serves_on() {
     let mut gateway = gateway();
@@ -49,7 +51,8 @@
     expect_that!(sent.len(), eq(299));
 }
 
-/// Guards against streams that are turned away because a group is drawn whose ranks all asked for backoff.
+/// Guards against streams that are refused because a group was picked whose ranks all asked for
+/// backoff.
 #[gtest]
 fn streams_go_to_another_group_where_all_ranks_of_one_asked() {
     let mut gateway = gateway();
@@ -60,7 +63,8 @@
     expect_that!(sent.len(), eq(299));
 }
 
-/// Guards against retries, and streams that leave their rank, that go to an upstream which asked for backoff.
+/// Guards against retries, and streams that leave their rank, that go to an upstream that asked for
+/// backoff.
 #[gtest]
 fn neither_a_retry_nor_a_moved_stream_goes_to_an_upstream_that_asked() {
     let mut gateway = gateway();
@@ -79,7 +83,7 @@
     }
 }
 
-/// Guards against callers who wait for upstreams that are known to want nothing.
+/// Guards against callers who wait for upstreams that are known to be backing off.
 #[gtest]
 fn a_request_is_refused_at_once_where_all_upstreams_asked() {
     let mut gateway = gateway();
@@ -88,11 +92,11 @@
     let plan = ask(&mut gateway, "/desk/a", Some("key-1"), 3_000).expect("a plan");
     let now = millis(3_000);
     let Admission::Refuse(refusal) = gateway.admit(&plan, now) else {
-        panic!("it was let in");
+        panic!("the request was not refused");
     };
     expect_that!(refusal.kind, eq(Kind::Overloaded));
     expect_that!(refusal.is_closed, eq(true));
-    // The first of them takes work again after 2.2 s.
+    // The first of them accepts requests again after 2.2 s.
     expect_that!(refusal.retry_after, some(ge(millis(2_200))));
     let backing_off = gateway.backing_off("desk", 9, now);
     let expected = [("desk-0", 2_200), ("desk-1", 2_700)];
@@ -100,7 +104,7 @@
     expect_that!(backing_off, eq(&expected.to_vec()));
 }
 
-/// Guards against a later word with a shorter time that takes back an earlier one.
+/// Guards against a later, shorter backoff that cuts an earlier one short.
 #[gtest]
 fn the_longest_time_holds() {
     let mut gateway = gateway();
@@ -114,7 +118,8 @@
     expect_that!(gateway.is_open(&upstream, millis(900_000)), eq(false));
 }
 
-/// Guards against a word that is lost because the upstream's entry was removed and written again.
+/// Guards against a backoff that is lost because the upstream's entry was removed and written
+/// again.
 #[gtest]
 fn a_time_outlives_the_entry_and_ends_with_the_start_of_the_upstream() {
     let mut gateway = gateway();
@@ -133,7 +138,7 @@
     expect_that!(gateway.is_open(&again, millis(2_500)), eq(true));
 }
 
-/// Guards against a whole group that is left without work because one rank asked for backoff.
+/// Guards against a whole group that gets no work because one rank asked for backoff.
 #[gtest]
 fn a_rank_that_refuses_and_asks_does_not_shut_its_group() {
     let mut gateway = gateway();
@@ -144,7 +149,8 @@
     expect_that!(gateway.groups.is_shut("a", now), eq(false));
 }
 
-/// Guards against a stream that gives up its slow rank and then breaks off since no other one takes it.
+/// Guards against a stream that leaves its slow rank and then breaks off because no other rank
+/// takes it.
 #[gtest]
 fn a_stream_stays_at_its_slow_rank_where_the_others_asked() {
     let mut gateway = gateway();
