--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,13 +1,27 @@
-//! Decisions of a gateway.
+//! Routing decisions of a gateway.
 //!
-//! A gateway is an entry that relays the HTTP requests of callers straight to upstreams, where no
-//! process of the system stands beside the caller. [`route`] finds what a request may do,
-//! [`upstream`] who may take it, `departure` who of them leaves or left, [`choice`] who of them does, [`group`] which of them run in lock-step, [`pace`] whether a group can
-//! take it in time, `caution` how far it is filled where demand shifts often, [`report`] what the groups' leads tell of their load,
-//! [`neighbour`] which other gateways live, [`message`] what they say to each other, [`quarantine`] which requests crash what runs them, [`limit`] which rates upstreams take, `backoff` which of them want nothing for a time, [`knowledge`] how old the published state may be,
-//! [`spread`] who reads the store for whom, `version` whether another gateway has a newer configuration, and [`event`] cuts streams into whole events.
-//! [`gateway`] joins them. Nothing here sends, reads a clock or knows how a platform spells its
-//! messages.
+//! A gateway is an entry that relays the HTTP requests of callers directly to upstreams. It is used
+//! where no process of the system runs beside the caller. [`gateway`] combines these modules:
+//!
+//! - [`route`]: which route and service apply to a request, by the configuration in force
+//! - [`upstream`]: the pool of upstreams that accept work
+//! - `departure`: which upstreams are leaving or have left
+//! - [`choice`]: which upstream a request is sent to
+//! - [`group`]: which upstreams run in lock-step
+//! - [`pace`]: how many streams a group can serve in time
+//! - `caution`: how far a group is filled where demand shifts often
+//! - [`report`]: the load that group leaders report
+//! - [`neighbour`]: which other gateways are alive
+//! - [`message`]: the messages between gateways
+//! - [`quarantine`]: which requests crash the upstreams that run them
+//! - [`limit`]: the rate limits that upstreams announce
+//! - `backoff`: which upstreams have asked for backoff
+//! - [`knowledge`]: how old the known state may be
+//! - [`spread`]: which gateways read the store on behalf of others
+//! - `version`: whether another gateway has a newer configuration
+//! - [`event`]: splitting streams into whole events
+//!
+//! This crate does no I/O, reads no clock and is independent of a platform's message format.
 
 mod address;
 mod admission;
@@ -39,7 +53,7 @@
 
 pub use gateway::Gateway;
 
-/// Returns a count as a real number.
+/// Converts a count to a floating-point number.
 #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
 pub(crate) const fn real(count: usize) -> f64 {
     count as f64
