--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -1,7 +1,8 @@
-//! The configuration in force, as a gateway uses it.
+//! Lookup table of the configuration in force.
 //!
-//! A [`Table`] is built whole from one version and never changes; a newer version replaces it. It
-//! answers two questions: which route takes a request, and which workspace holds a key.
+//! A [`Table`] is built from one version of the configuration and is immutable; a newer version
+//! replaces it. Its main lookups are the route that applies to a request and the workspace that
+//! holds a key.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -14,21 +15,21 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Name of a service.
+/// Name that identifies a service.
 pub type ServiceId = Arc<str>;
-/// Version of the configuration; it only grows.
+/// Version of the configuration; increases monotonically.
 pub type Version = u64;
 
-/// What may be repeated.
+/// Whether the requests of a route may be retried, and how they are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// Idempotent: may run more than once.
     Safe,
     /// Non-idempotent: runs at most once for each attempt of the caller.
     Unsafe,
-    /// Answered by events. Idempotent only where another run can go on after an event.
+    /// Answered by a stream of events. Idempotent only if it is resumable.
     Stream {
-        /// Whether another run can go on after an event.
+        /// Whether another run can resume the stream after a given event.
         resumable: bool,
     },
 }
@@ -40,88 +41,88 @@
         matches!(self, Kind::Safe | Kind::Stream { resumable: true })
     }
 
-    /// Returns whether the answer comes as events.
+    /// Returns whether the answer is a stream of events.
     #[must_use]
     pub const fn is_stream(self) -> bool {
         matches!(self, Kind::Stream { .. })
     }
 }
 
-/// A service that takes a share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Service.
+    /// Name of the service.
     pub service: ServiceId,
-    /// Share relative to the route's other targets.
+    /// Relative weight among the route's targets.
     pub weight: u32,
 }
 
-/// One route.
+/// Rules for the requests under one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name used in logs.
     pub name: String,
-    /// Host that the request names.
+    /// Host of the request, compared without regard to case.
     pub host: String,
-    /// Beginning of the path, with a slash at both ends.
+    /// Path prefix, with a slash at both ends.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried, and how they are answered.
     pub kind: Kind,
-    /// Longest time until the final answer.
+    /// Maximum time until the final answer; a caller may ask for less.
     pub timeout: Duration,
-    /// Time to the answer, or to its first event, that callers aim at.
+    /// Latency objective for the answer, or for the first event of a stream.
     pub objective: Duration,
-    /// Longest pause between two events that callers aim at; none if answers are not streams.
+    /// Objective for the longest pause between two events; `None` if answers are not streams.
     pub longest_pause: Option<Duration>,
-    /// Services, each with its share.
+    /// Services among which requests are distributed by weight.
     pub targets: Vec<Target>,
-    /// Most upstreams that one attempt of a caller may be sent to.
+    /// Maximum number of upstreams that one attempt of a caller may be sent to.
     pub max_attempts: u32,
-    /// Whether callers need no key.
+    /// Whether requests are accepted without a key.
     pub is_anonymous: bool,
 }
 
-/// Published cost model of a group of ranks in lock-step.
+/// Published cost model of a group of ranks that run in lock-step.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that one rank runs at once.
+    /// Maximum number of requests that one rank runs concurrently.
     pub slots: u32,
-    /// Steps of one pass while anything is written; each event of a stream is one pass.
+    /// Steps per pass while any request is decoding. A stream gets one event per pass.
     pub steps: u32,
-    /// Time of a step without requests.
+    /// Duration of a step without requests.
     pub step: Duration,
-    /// Time that each request in writing adds to a step.
+    /// Time that each decoding request adds to a step.
     pub per_request: Duration,
     /// Time that 1,000 tokens of context add to a step.
     pub per_context: Duration,
-    /// Tokens of prompts that are read in a second.
+    /// Prefill rate, in prompt tokens per second.
     pub read_rate: f64,
-    /// Part of the work for tokens that goes to experts.
+    /// Fraction of the work per token that is done by experts.
     pub expert_part: f64,
-    /// Mean tokens of a prompt.
+    /// Mean prompt length, in tokens.
     pub usual_prompt: f64,
-    /// Mean tokens of an answer.
+    /// Mean answer length, in tokens.
     pub usual_answer: f64,
-    /// Time that a group needs to form anew.
+    /// Time that a group takes to form again.
     pub form: Duration,
-    /// Shape of its experts, where it has some.
+    /// Layout of the model's experts; `None` if it has none.
     pub shape: Option<Shape>,
 }
 
 impl Engine {
-    /// Returns a pass without requests.
+    /// Returns the duration of a pass without requests.
     #[must_use]
     pub fn base(&self) -> Duration {
         self.step * self.steps
     }
 
-    /// Returns the passes in which a usual answer is written.
+    /// Returns the number of passes that decode an answer of mean length; at least 1.
     #[must_use]
     pub fn passes(&self) -> f64 {
         (self.usual_answer / f64::from(self.steps.max(1))).max(1.0)
     }
 
-    /// Returns what a usual request adds to a pass of its rank by writing.
+    /// Returns the time that decoding a request of mean length adds to a pass of its rank.
     #[must_use]
     pub fn writing(&self) -> Duration {
         let context = (self.usual_prompt + self.usual_answer / 2.0) / 1_000.0;
@@ -129,68 +130,69 @@
         request * self.steps
     }
 
-    /// Returns what reading a usual prompt adds to each pass of its request, in the mean.
+    /// Returns the prefill time of a prompt of mean length, averaged over its request's passes.
     #[must_use]
-    pub fn reading(&self) -> Duration {
+    pub fn prefill_time(&self) -> Duration {
         let prompt = self.usual_prompt / self.read_rate.max(1.0);
         Duration::try_from_secs_f64(prompt / self.passes()).unwrap_or_default()
     }
 
-    /// Returns the cost of passes for callers that aim at pauses of at most `longest_pause`.
+    /// Returns the cost of a pass, for callers whose objective is a pause of at most
+    /// `longest_pause`.
     #[must_use]
     pub fn cost(&self, longest_pause: Duration) -> Cost {
         Cost {
             base: self.base(),
-            request: self.writing() + self.reading(),
+            request: self.writing() + self.prefill_time(),
             expert_part: self.expert_part,
             longest_pause,
         }
     }
 }
 
-/// One service.
+/// A service that routes refer to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Name.
+    /// Name that targets refer to.
     pub name: ServiceId,
-    /// Cost model, where the service is a group of ranks.
+    /// Cost model; `None` if the service does not run on groups of ranks.
     pub engine: Option<Engine>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on the requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Longest time that a connection may stay idle, and that a body may take to arrive.
+    /// Maximum time that a connection may be idle, and that a request's body may take to arrive.
     pub idle: Duration,
 }
 
-/// A workspace, as the holder of a key.
+/// A workspace that holds keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Name.
+    /// Name used in logs.
     pub name: WorkspaceId,
 }
 
-/// What a table is built from.
+/// Content of one version of the configuration, from which a [`Table`] is built.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Content {
-    /// Version.
+    /// Version; a table is only replaced by one of a newer version.
     pub version: Version,
-    /// Routes.
+    /// Routes; the last one wins where several have the same host and prefix.
     pub routes: Vec<Route>,
-    /// Services.
+    /// Services; the last one wins where several have the same name.
     pub services: Vec<Service>,
-    /// Workspaces with their keys.
+    /// Workspaces, each with the keys that it holds.
     pub workspaces: Vec<(Workspace, Vec<String>)>,
-    /// Bounds on what callers may send.
+    /// Limits on the requests of callers.
     pub limits: Limits,
 }
 
-/// One version of the configuration, ready for lookups.
+/// One version of the configuration, indexed for lookups.
 #[derive(Clone, Debug)]
 pub struct Table {
     version: Version,
@@ -201,7 +203,7 @@
 }
 
 impl Table {
-    /// Builds the table of one version.
+    /// Indexes one version of the configuration.
     #[must_use]
     pub fn new(content: Content) -> Table {
         let mut routes: HashMap<String, HashMap<String, Arc<Route>>> = HashMap::new();
@@ -225,19 +227,19 @@
         }
     }
 
-    /// Returns the version.
+    /// Returns the version that the table was built from.
     #[must_use]
     pub const fn version(&self) -> Version {
         self.version
     }
 
-    /// Returns the bounds on what callers may send.
+    /// Returns the limits on the requests of callers.
     #[must_use]
     pub const fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// Returns the route with the longest prefix that begins `path` on `host`.
+    /// Returns the route on `host` with the longest prefix of `path`.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(&host.to_ascii_lowercase())?;
@@ -251,13 +253,14 @@
         self.keys.get(key)
     }
 
-    /// Returns a service.
+    /// Returns the service of this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// Returns the shortest of the longest pauses that callers of a service aim at.
+    /// Returns the strictest pause objective of the routes to a service; `None` if none of them has
+    /// one.
     #[must_use]
     pub fn longest_pause(&self, service: &str) -> Option<Duration> {
         let routes = self.routes.values().flat_map(HashMap::values);
@@ -268,7 +271,7 @@
         routes.filter_map(|route| route.longest_pause).min()
     }
 
-    /// Returns all services.
+    /// Returns all services, in order of their names.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
