--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! One request on its way through the decisions.
+//! A request, and what the gateway decides about it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,87 +12,92 @@
 use crate::route::ServiceId;
 use crate::route::Workspace;
 
-/// What a caller asks for.
+/// What a caller requests, as far as routing depends on it.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Host.
+    /// Host that the request names.
     pub host: &'a str,
-    /// Path without query.
+    /// Path without the query.
     pub path: &'a str,
-    /// Key.
+    /// Key; `None` if the request has none.
     pub key: Option<&'a str>,
-    /// How long the caller waits.
+    /// How long the caller waits for the final answer; `None` for as long as the route's timeout,
+    /// which is the upper bound.
     pub patience: Option<Duration>,
 }
 
-/// How a request may be served.
+/// How a request is to be served.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Route.
+    /// Route that applies to the request.
     pub route: Arc<Route>,
-    /// Service.
+    /// Service drawn from the route's targets.
     pub service: ServiceId,
-    /// Cost model, where the service is a group of ranks.
+    /// Cost model; `None` if the service does not run on groups of ranks.
     pub engine: Option<Engine>,
-    /// Holder of the key.
+    /// Workspace that holds the key; `None` on an anonymous route.
     pub workspace: Option<Arc<Workspace>>,
-    /// Version of the configuration that decided.
+    /// Version of the configuration that the plan is based on.
     pub version: u64,
-    /// Age of what was known.
+    /// Age of the known state at that time; [`Duration::MAX`] if nothing was known.
     pub age: Duration,
     /// When the request arrived.
     pub arrived: Monotonic,
-    /// When the final answer is due.
+    /// Deadline of the final answer.
     pub due: Monotonic,
 }
 
-/// What a decision on load rested on, for the log.
+/// Inputs of a load-based decision, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Basis {
-    /// What was predicted.
+    /// Predicted capacity and pass time of the group.
     pub prediction: Prediction,
-    /// Requests at the group.
+    /// Requests in flight at the group, from all gateways.
     pub in_flight: u32,
-    /// Requests in flight of this gateway.
+    /// Those of this gateway.
     pub own: u32,
-    /// Gateways that share the group.
+    /// Live gateways that share the group, this one included.
     pub gateways: u32,
-    /// Whether the group is filled for the passes after a shift of demand.
+    /// Whether the group is filled less, so that passes stay in time right after a shift of demand.
     pub is_cautious: bool,
-    /// Age of the lead's word; none if this gateway's and its neighbours' counts stand in.
+    /// Age of the load that the group's leader reported; `None` if the counts of this gateway and
+    /// its peers are used instead.
     pub told: Option<Duration>,
-    /// Requests that this gateway may still send of its share; below zero if it is ahead of it.
+    /// Requests left of this gateway's share of the group's capacity; negative if it is overdrawn,
+    /// `None` if the leader does not report the load.
     pub allowance: Option<f64>,
 }
 
-/// Part of the streams that a group carries below which a refusal for load tells of a wrong judgement, not of load.
-const ROOMY_PART: f64 = 2.0 / 3.0;
+/// Fraction of a group's predicted capacity below which a refusal for load indicates a wrong
+/// decision rather than load.
+const SPARE_CAPACITY_FRACTION: f64 = 2.0 / 3.0;
 
 impl Basis {
-    /// Returns whether the group had plenty of room.
+    /// Returns whether the group had so much spare capacity that a refusal for load was wrong.
     #[must_use]
     pub fn is_roomy(&self) -> bool {
-        f64::from(self.in_flight) < self.prediction.most * ROOMY_PART
+        f64::from(self.in_flight) < self.prediction.most * SPARE_CAPACITY_FRACTION
     }
 }
 
-/// A request that is not served; none of these has run.
+/// Refusal of a request that no upstream has run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refusal {
-    /// Kind of answer.
+    /// Kind of error that the caller gets.
     pub kind: ErrorKind,
-    /// When to come back.
+    /// Time after which the caller should retry; `None` if it is told none.
     pub retry_after: Option<Duration>,
-    /// Why, for the log.
+    /// Reason, for the log.
     pub reason: &'static str,
-    /// What it rested on, where load decided.
+    /// Inputs of the decision; `None` unless the load of a group decided.
     pub basis: Option<Basis>,
-    /// Whether all upstreams that are left are at the limits that they named, or asked for backoff.
+    /// Whether all remaining upstreams are at the rate limits that they announced or have asked for
+    /// backoff.
     pub is_closed: bool,
 }
 
 impl Refusal {
-    /// Returns a refusal that tells no time to come back.
+    /// Returns a refusal without a retry time.
     #[must_use]
     pub const fn of(kind: ErrorKind, reason: &'static str) -> Refusal {
         Refusal {
@@ -104,7 +109,7 @@
         }
     }
 
-    /// Returns the refusal with a time to come back.
+    /// Sets the time after which the caller should retry.
     #[must_use]
     pub fn after(mut self, time: Duration) -> Refusal {
         self.retry_after = Some(time);
@@ -115,10 +120,10 @@
 /// Whether a request may be sent now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It may.
+    /// It may be sent, on this basis; `None` if load was not considered.
     Go(Option<Basis>),
-    /// It may wait for a place until this time.
+    /// It waits for capacity and is decided on again at this time at the latest.
     Wait(Monotonic),
-    /// It is refused.
+    /// It is not served.
     Refuse(Refusal),
 }
