--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,12 +1,14 @@
-//! Requests that crash the upstreams that run them.
+//! Quarantine of requests that crash the upstreams that run them.
 //!
-//! A request may bring down each upstream that begins to run it, and its caller, who sees only a broken connection, sends
-//! it again, through any gateway. Each run costs a group of ranks some seconds, so that a few repetitions stop a whole
-//! service. Gateways tell each other of crashes. A request that was running at [`LIMIT`] crashes, one after the other, is
-//! held back everywhere until nothing was heard of it for [`MEMORY`].
+//! A request may crash every upstream that starts to run it. Its caller only sees a broken
+//! connection and retries, through any gateway. Each run takes a group of ranks out of service for
+//! some seconds, so a few retries stop a whole service. Gateways therefore tell each other of
+//! crashes. A request that was running at [`CRASH_LIMIT`] successive crashes is held back by all
+//! gateways until nothing has been heard of it for [`RETENTION`].
 //!
-//! What else runs at a crash is innocent, and mostly is served by its next upstream: an answer clears a request. An upstream
-//! that starts anew is another one, so that each crash counts once, whoever tells of it.
+//! The other requests that run at a crash are not its cause, and mostly their next upstream answers
+//! them: an answer clears a request. A restarted upstream counts as a different one, so that each
+//! crash counts once, whichever gateways report it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,24 +20,25 @@
 
 use crate::upstream::Upstream;
 
-/// What tells one request from others, whatever attempt of its caller it is.
+/// Hash that identifies a request; all attempts of the caller have the same one.
 pub type Fingerprint = u64;
 
-/// Crashes from which on a request is held back. Each takes a group out of service for seconds, and where gateways lost
-/// what they knew, so many more are needed again.
-pub const LIMIT: usize = 2;
+/// Number of crashes at which a request is held back. Each takes a group out of service for
+/// seconds, and gateways that have lost their state need the same number again.
+pub const CRASH_LIMIT: usize = 2;
 /// Time for which a crash is remembered.
-pub const MEMORY: Duration = Duration::from_mins(5);
-/// Time for which a crash is told after it was heard first: enough beats to reach each gateway of a fleet of hundreds.
-const TOLD: Duration = Duration::from_secs(4);
-/// Requests that are remembered at most: those that ran at the crash of some groups at once.
-const MOST_CASES: usize = 2_048;
-/// Crashes of one request that are remembered at most.
-const MOST_CRASHES: usize = 4;
-/// Marks in one message, which then stays within one packet.
-pub const MOST_MARKS: usize = 48;
-
-/// Returns what tells the request with this method, path, key and body from others.
+pub const RETENTION: Duration = Duration::from_mins(5);
+/// Time for which a request is gossiped after its last news: enough heartbeats to reach every
+/// gateway of a fleet of hundreds.
+const GOSSIP_TIME: Duration = Duration::from_secs(4);
+/// Maximum number of requests tracked: those that were running when some groups crashed at once.
+const MAX_RECORDS: usize = 2_048;
+/// Maximum number of crashes remembered for one request.
+const MAX_CRASHES: usize = 4;
+/// Maximum number of marks in one message, so that it fits into one packet.
+pub const MAX_MARKS: usize = 48;
+
+/// Returns the fingerprint of the request with this method, path, key and body.
 #[must_use]
 pub fn fingerprint(method: &str, path: &str, key: Option<&str>, body: &[u8]) -> Fingerprint {
     let parts = [method.as_bytes(), path.as_bytes()];
@@ -45,66 +48,67 @@
     parts.fold(0, stable)
 }
 
-/// Number of one start of an upstream, which all gateways know it by.
+/// Hash that identifies one start of an upstream; all gateways compute the same one.
 pub type StartTag = u64;
 
-/// Returns the number of this start of an upstream.
+/// Returns the tag of an upstream's present start.
 #[must_use]
 pub fn start_tag(upstream: &Upstream) -> StartTag {
     stable(upstream.born.unwrap_or(0), upstream.id.as_bytes())
 }
 
-/// What became of one run of a request.
+/// How a run of a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
-    /// Its upstream crashed.
+pub enum Outcome {
+    /// This start of an upstream crashed while the request was running there.
     Crashed(StartTag),
-    /// It was answered.
+    /// The request was answered.
     Answered,
 }
 
-/// What one gateway tells others of a request.
+/// Report of one run of a request, as gateways exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
-    /// Request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// What became of it.
-    pub end: End,
-    /// Milliseconds since then.
+    /// How the run ended.
+    pub outcome: Outcome,
+    /// Time since then, in milliseconds.
     pub age_ms: u32,
 }
 
-/// A crash at which a request ran.
+/// Crash of an upstream that was running the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Crash {
     upstream: StartTag,
-    at: Moment,
+    at: Timestamp,
 }
 
-/// What is known of one request.
+/// Crashes and last answer known of one request.
 #[derive(Clone, Debug)]
-struct Case {
-    /// Crashes since it was answered last.
+struct Record {
+    /// Crashes since the last answer.
     crashes: Vec<Crash>,
-    answered: Option<Moment>,
-    /// When something new was heard last.
-    heard: Moment,
+    answered: Option<Timestamp>,
+    /// When the record last changed.
+    changed: Timestamp,
 }
 
-impl Case {
-    /// Takes a crash; returns whether it is news.
-    fn crashed(&mut self, crash: Crash) -> bool {
+impl Record {
+    /// Records a crash; returns `false` if it is known, was followed by an answer or is one too
+    /// many.
+    fn add_crash(&mut self, crash: Crash) -> bool {
         let is_cleared = self.answered.is_some_and(|at| crash.at <= at);
         let is_known = |known: &Crash| known.upstream == crash.upstream;
-        if is_cleared || self.crashes.len() >= MOST_CRASHES || self.crashes.iter().any(is_known) {
+        if is_cleared || self.crashes.len() >= MAX_CRASHES || self.crashes.iter().any(is_known) {
             return false;
         }
         self.crashes.push(crash);
         true
     }
 
-    /// Takes an answer; returns whether it is news.
-    fn answered(&mut self, at: Moment) -> bool {
+    /// Records an answer; returns whether it cleared a crash.
+    fn add_answer(&mut self, at: Timestamp) -> bool {
         let before = self.crashes.len();
         self.crashes.retain(|crash| crash.at > at);
         self.answered = self.answered.max(Some(at));
@@ -112,79 +116,84 @@
     }
 
     fn is_held(&self) -> bool {
-        self.crashes.len() >= LIMIT
+        self.crashes.len() >= CRASH_LIMIT
     }
 
-    fn newest(&self) -> Moment {
+    fn last_event(&self) -> Timestamp {
         let crashes = self.crashes.iter().map(|crash| crash.at);
         crashes.chain(self.answered).max().unwrap_or_default()
     }
 
-    fn marks(&self, request: Fingerprint, now: Moment) -> impl Iterator<Item = Mark> {
+    fn marks(&self, request: Fingerprint, now: Timestamp) -> impl Iterator<Item = Mark> {
         let crashes = self.crashes.iter();
-        let crashes = crashes.map(|crash| (End::Crashed(crash.upstream), crash.at));
-        let answered = self.answered.map(|at| (End::Answered, at));
+        let crashes = crashes.map(|crash| (Outcome::Crashed(crash.upstream), crash.at));
+        let answered = self.answered.map(|at| (Outcome::Answered, at));
         answered
             .into_iter()
             .chain(crashes)
-            .map(move |(end, at)| Mark {
+            .map(move |(outcome, at)| Mark {
                 request,
-                end,
+                outcome,
                 age_ms: millis(now.saturating_sub(at)),
             })
     }
 }
 
-/// Time since [`MEMORY`] before the start of the process: a crash that others tell of may be older than this gateway.
-type Moment = Duration;
+/// Time since [`RETENTION`] before the start of the process: a crash that another gateway reports
+/// may have happened before this one started.
+type Timestamp = Duration;
 
-fn since_memory(now: Monotonic) -> Moment {
-    now + MEMORY
+fn timestamp(now: Monotonic) -> Timestamp {
+    now + RETENTION
 }
 
-/// All requests that ran at a crash of late.
+/// All requests that were running at a recent crash.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    cases: BTreeMap<Fingerprint, Case>,
+    records: BTreeMap<Fingerprint, Record>,
 }
 
 impl Quarantine {
-    /// Returns whether no request ran at a crash of late, so that none needs to be looked for.
+    /// Returns whether no request is tracked, so that lookups can be skipped.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.cases.is_empty()
+        self.records.is_empty()
     }
 
-    /// Returns for how much longer a request is held back, if it is.
+    /// Returns for how much longer a request is held back; `None` if it is not.
     #[must_use]
     pub fn held_for(&self, request: Fingerprint, now: Monotonic) -> Option<Duration> {
-        let case = self.cases.get(&request).filter(|case| case.is_held())?;
-        let left = (case.newest() + MEMORY).saturating_sub(since_memory(now));
+        let record = self
+            .records
+            .get(&request)
+            .filter(|record| record.is_held())?;
+        let left = (record.last_event() + RETENTION).saturating_sub(timestamp(now));
         (!left.is_zero()).then_some(left)
     }
 
-    /// Takes that an upstream crashed that ran a request; returns whether the request is held back from now on.
+    /// Records that an upstream crashed while it was running a request; returns whether that puts
+    /// the request into quarantine.
     pub fn crashed(&mut self, request: Fingerprint, upstream: StartTag, now: Monotonic) -> bool {
-        let now = since_memory(now);
-        self.take(request, Crash { upstream, at: now }, now)
+        let now = timestamp(now);
+        self.add_crash(request, Crash { upstream, at: now }, now)
     }
 
-    /// Takes that a request was answered.
+    /// Records that a request was answered.
     pub fn answered(&mut self, request: Fingerprint, now: Monotonic) {
-        let now = since_memory(now);
+        let now = timestamp(now);
         self.clear(request, now, now);
     }
 
-    /// Takes what another gateway tells; returns the requests that are held back from now on.
+    /// Merges the marks of another gateway; returns the requests that these put into quarantine.
     pub fn hear(&mut self, marks: &[Mark], now: Monotonic) -> Vec<Fingerprint> {
-        let now = since_memory(now);
+        let now = timestamp(now);
         let mut held = Vec::new();
         for mark in marks {
             let at = now.saturating_sub(Duration::from_millis(mark.age_ms.into()));
-            match mark.end {
-                End::Answered => self.clear(mark.request, at, now),
-                End::Crashed(upstream) => {
-                    if self.take(mark.request, Crash { upstream, at }, now) {
+            match mark.outcome {
+                Outcome::Answered => self.clear(mark.request, at, now),
+                Outcome::Crashed(upstream) => {
+                    if self.add_crash(mark.request, Crash { upstream, at }, now) {
                         held.push(mark.request);
                     }
                 }
@@ -193,50 +202,55 @@
         held
     }
 
-    /// Returns what to tell another gateway: of requests that are held back always, of others while they are news.
+    /// Returns the marks to send to another gateway: requests in quarantine first and always,
+    /// others only for a time after their last news.
     #[must_use]
     pub fn marks(&self, now: Monotonic) -> Vec<Mark> {
-        let now = since_memory(now);
-        let is_told = |case: &Case| case.is_held() || now.saturating_sub(case.heard) < TOLD;
-        let told = self.cases.iter().filter(|(_, case)| is_told(case));
-        let mut told: Vec<_> = told.collect();
-        told.sort_by_key(|(_, case)| (!case.is_held(), now.saturating_sub(case.heard)));
-        let marks = told
+        let now = timestamp(now);
+        let is_gossiped =
+            |record: &Record| record.is_held() || now.saturating_sub(record.changed) < GOSSIP_TIME;
+        let gossiped = self
+            .records
+            .iter()
+            .filter(|(_, record)| is_gossiped(record));
+        let mut gossiped: Vec<_> = gossiped.collect();
+        gossiped.sort_by_key(|(_, record)| (!record.is_held(), now.saturating_sub(record.changed)));
+        let marks = gossiped
             .into_iter()
-            .flat_map(|(request, case)| case.marks(*request, now));
-        marks.take(MOST_MARKS).collect()
+            .flat_map(|(request, record)| record.marks(*request, now));
+        marks.take(MAX_MARKS).collect()
     }
 
-    fn take(&mut self, request: Fingerprint, crash: Crash, now: Moment) -> bool {
-        self.forget(now);
-        let is_old = now.saturating_sub(crash.at) >= MEMORY;
-        let is_new = !self.cases.contains_key(&request);
-        if is_old || (is_new && self.cases.len() >= MOST_CASES) {
+    fn add_crash(&mut self, request: Fingerprint, crash: Crash, now: Timestamp) -> bool {
+        self.expire(now);
+        let is_old = now.saturating_sub(crash.at) >= RETENTION;
+        let is_new = !self.records.contains_key(&request);
+        if is_old || (is_new && self.records.len() >= MAX_RECORDS) {
             return false;
         }
-        let case = self.cases.entry(request).or_insert_with(|| Case {
+        let record = self.records.entry(request).or_insert_with(|| Record {
             crashes: Vec::new(),
             answered: None,
-            heard: now,
+            changed: now,
         });
-        let was_held = case.is_held();
-        if case.crashed(crash) {
-            case.heard = now;
+        let was_held = record.is_held();
+        if record.add_crash(crash) {
+            record.changed = now;
         }
-        case.is_held() && !was_held
+        record.is_held() && !was_held
     }
 
-    fn clear(&mut self, request: Fingerprint, at: Moment, now: Moment) {
-        if let Some(case) = self.cases.get_mut(&request)
-            && case.answered(at)
+    fn clear(&mut self, request: Fingerprint, at: Timestamp, now: Timestamp) {
+        if let Some(record) = self.records.get_mut(&request)
+            && record.add_answer(at)
         {
-            case.heard = now;
+            record.changed = now;
         }
     }
 
-    fn forget(&mut self, now: Moment) {
-        self.cases
-            .retain(|_, case| now.saturating_sub(case.newest()) < MEMORY);
+    fn expire(&mut self, now: Timestamp) {
+        self.records
+            .retain(|_, record| now.saturating_sub(record.last_event()) < RETENTION);
     }
 }
 
--- a/crates/gateway/tests/all/quarantine.rs
+++ b/crates/gateway/tests/all/quarantine.rs
@@ -1,18 +1,19 @@
-//! Requests that crash what runs them.
+//! Quarantine of requests that crash upstreams.
 //!
-//! Pattern: one request comes again and again, at any gateway, and each upstream that begins to run it is gone for some
-//! seconds. Other requests that run there are innocent.
+//! These tests guard against one request that is retried again and again through any gateway and
+//! takes each upstream that starts to run it out of service for some seconds. Other requests that
+//! run there at the time must not be held back.
 
 use std::time::Duration;
 
 use auburnline_core::time::Monotonic;
-use auburnline_gateway::quarantine::End;
+use auburnline_gateway::quarantine::CRASH_LIMIT;
 use auburnline_gateway::quarantine::Fingerprint;
-use auburnline_gateway::quarantine::LIMIT;
-use auburnline_gateway::quarantine::MEMORY;
-use auburnline_gateway::quarantine::MOST_MARKS;
+use auburnline_gateway::quarantine::MAX_MARKS;
 use auburnline_gateway::quarantine::Mark;
+use auburnline_gateway::quarantine::Outcome;
 use auburnline_gateway::quarantine::Quarantine;
+use auburnline_gateway::quarantine::RETENTION;
 use auburnline_gateway::quarantine::fingerprint;
 use auburnline_gateway::quarantine::start_tag;
 use auburnline_gateway::upstream::State;
@@ -51,9 +52,12 @@
 fn a_request_that_ran_at_two_crashes_is_held_back_until_they_are_forgotten() {
     let mut quarantine = crashed(&[1], millis(100));
     expect_that!(quarantine.crashed(REQUEST, 2, millis(900)), eq(true));
-    expect_that!(quarantine.held_for(REQUEST, millis(900)), some(eq(MEMORY)));
-    expect_that!(is_held(&quarantine, millis(800) + MEMORY), eq(true));
-    expect_that!(is_held(&quarantine, millis(900) + MEMORY), eq(false));
+    expect_that!(
+        quarantine.held_for(REQUEST, millis(900)),
+        some(eq(RETENTION))
+    );
+    expect_that!(is_held(&quarantine, millis(800) + RETENTION), eq(true));
+    expect_that!(is_held(&quarantine, millis(900) + RETENTION), eq(false));
     expect_that!(quarantine.held_for(REQUEST + 1, millis(900)), none());
 }
 
@@ -83,7 +87,7 @@
     let mut new = Quarantine::default();
     new.hear(&known.marks(millis(60_000)), millis(20));
     let left = new.held_for(REQUEST, millis(20)).unwrap_or_default();
-    expect_that!(left, eq(MEMORY.saturating_sub(millis(59_000))));
+    expect_that!(left, eq(RETENTION.saturating_sub(millis(59_000))));
 }
 
 #[gtest]
@@ -145,21 +149,22 @@
         quarantine.crashed(100 + request, 3, millis(2_000));
     }
     let marks = quarantine.marks(millis(2_000));
-    expect_that!(marks.len(), eq(MOST_MARKS));
+    expect_that!(marks.len(), eq(MAX_MARKS));
     expect_that!(marks[0].request, eq(REQUEST));
-    expect_that!(marks[1].end, eq(End::Crashed(2)));
-    // News grow old; what is held back is told for as long as it is.
+    expect_that!(marks[1].outcome, eq(Outcome::Crashed(2)));
+    // News is sent for a limited time, requests in quarantine for as long as they are held back.
     let later = quarantine.marks(millis(60_000));
     let requests: Vec<_> = later.iter().map(|mark| mark.request).collect();
     expect_that!(requests, each(eq(&REQUEST)));
-    expect_that!(later.len(), eq(LIMIT));
+    expect_that!(later.len(), eq(CRASH_LIMIT));
 }
 
-/// Gateways of a fleet that tell each other of crashes, as beats do.
+/// Fleet of gateways that exchange crashes with each heartbeat.
 struct Fleet {
     gateways: Vec<Quarantine>,
     rng: ChaCha8Rng,
-    lost: f64,
+    /// Fraction of messages that are lost.
+    loss: f64,
 }
 
 impl Fleet {
@@ -171,15 +176,16 @@
             let marks = self.gateways[sender].marks(now);
             let others = (0..self.gateways.len()).filter(|other| *other != sender);
             for other in others.choose_multiple(&mut self.rng, Self::FANOUT) {
-                if self.rng.random::<f64>() >= self.lost {
+                if self.rng.random::<f64>() >= self.loss {
                     self.gateways[other].hear(&marks, now);
                 }
             }
         }
     }
 
-    /// Plays fifteen seconds in which the request comes each `period` at any gateway; returns when upstreams crashed.
-    fn play(&mut self, period: u64, restart: Option<u64>) -> Vec<Monotonic> {
+    /// Simulates 15 s in which the request arrives every `period` ms at a random gateway, and a
+    /// gateway restarts every `restart` ms; returns when upstreams crashed.
+    fn run(&mut self, period: u64, restart: Option<u64>) -> Vec<Monotonic> {
         let mut crashes = Vec::new();
         for tick in 1..150 {
             let at = tick * 100;
@@ -204,7 +210,7 @@
     }
 }
 
-/// Returns how many of the crashes came later than `stability` after the third.
+/// Returns the number of crashes later than `stability` after the third one.
 fn late(crashes: &[Monotonic], stability: Duration) -> usize {
     let third = crashes.get(2).copied().unwrap_or(Duration::MAX);
     let bound = third.saturating_add(stability);
@@ -224,13 +230,13 @@
             let mut fleet = Fleet {
                 gateways: vec![Quarantine::default(); gateways],
                 rng: ChaCha8Rng::seed_from_u64(seed),
-                lost: 0.1,
+                loss: 0.1,
             };
-            let crashes = fleet.play(period, restart);
+            let crashes = fleet.run(period, restart);
             expect_that!(
                 late(&crashes, Duration::from_secs(3)),
                 le(3),
-                "{gateways} gateways, each {period} ms, restarts {restart:?}, seed {seed}: {crashes:?}"
+                "{gateways} gateways, every {period} ms, restarts {restart:?}, seed {seed}: {crashes:?}"
             );
         }
     }
