--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -1,43 +1,44 @@
-//! Whole events of a stream.
+//! Splitting of a stream into whole events.
 //!
-//! A [`Splitter`] takes the bytes of a `text/event-stream` as they come and gives back whole events
-//! only, so that a stream that breaks off in the middle of an event can go on at another upstream
-//! without a torn or doubled event.
+//! A [`Splitter`] takes the bytes of a `text/event-stream` as they arrive and passes on whole
+//! events only. A stream that breaks off within an event can then be resumed at another upstream
+//! without truncated or duplicate events.
 
-/// Most bytes of one event; a longer one is passed on in parts and can't be resumed.
+/// Maximum size of one event, in bytes. A longer one is passed on in parts and can't be resumed.
 pub const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// Number of an event; it grows within a stream.
+/// Value of an event's `id` field; increases within a stream.
 pub type EventId = u64;
 
-/// Cuts a stream into whole events.
+/// Incremental splitter of a stream.
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
-    waiting: Vec<u8>,
-    /// First byte of `waiting` that no search has seen.
-    seen: usize,
+    buffer: Vec<u8>,
+    /// Offset in `buffer` from which the search for the end of an event goes on.
+    scanned: usize,
     last: Option<EventId>,
-    /// Events up to this one are dropped: an earlier run delivered them.
+    /// Events up to this one are dropped, since an earlier run has delivered them.
     delivered: Option<EventId>,
 }
 
-/// Whole events that came with one push.
+/// Whole events completed by one push.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Events {
-    /// Their bytes, in order.
+    /// Bytes of the events, in order; at the end perhaps a part of one longer than
+    /// [`MAX_EVENT_BYTES`].
     pub bytes: Vec<u8>,
-    /// How many they are.
+    /// Number of whole events.
     pub count: usize,
 }
 
 impl Splitter {
-    /// Returns a splitter of a stream's first run.
+    /// Returns a splitter for the first run of a stream.
     #[must_use]
     pub fn new() -> Splitter {
         Splitter::default()
     }
 
-    /// Returns a splitter of a run that goes on after the event `delivered`.
+    /// Returns a splitter for a run that resumes after the event `delivered`.
     #[must_use]
     pub fn after(delivered: Option<EventId>) -> Splitter {
         Splitter {
@@ -47,47 +48,48 @@
         }
     }
 
-    /// Returns the number of the last whole event.
+    /// Returns the id of the last whole event passed on, or else of the event that the run resumes
+    /// after.
     #[must_use]
     pub const fn last(&self) -> Option<EventId> {
         self.last
     }
 
-    /// Returns whether bytes of an unfinished event wait.
+    /// Returns whether the buffer holds a part of an event.
     #[must_use]
-    pub fn is_torn(&self) -> bool {
-        !self.waiting.is_empty()
+    pub fn has_partial_event(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
-    /// Takes the next bytes and returns the events that they complete.
+    /// Appends the next bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Events {
-        self.waiting.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         let mut events = Events::default();
         let mut start = 0;
-        while let Some(end) = event_end(&self.waiting, start.max(self.seen)) {
-            self.take(start, end, &mut events);
+        while let Some(end) = event_end(&self.buffer, start.max(self.scanned)) {
+            self.pass_on(start, end, &mut events);
             start = end;
-            self.seen = end;
+            self.scanned = end;
         }
-        self.waiting.drain(..start);
+        self.buffer.drain(..start);
         // The end of an event spans up to four bytes, so the last three are searched again.
-        self.seen = self.waiting.len().saturating_sub(3);
-        if self.waiting.len() > MAX_EVENT_BYTES {
-            events.bytes.append(&mut self.waiting);
-            self.seen = 0;
+        self.scanned = self.buffer.len().saturating_sub(3);
+        if self.buffer.len() > MAX_EVENT_BYTES {
+            events.bytes.append(&mut self.buffer);
+            self.scanned = 0;
         }
         events
     }
 
-    /// Returns what waits, for a stream that ended as complete.
+    /// Takes the unfinished event out of the buffer, for a stream that ended normally.
     #[must_use]
     pub fn rest(&mut self) -> Vec<u8> {
-        self.seen = 0;
-        std::mem::take(&mut self.waiting)
+        self.scanned = 0;
+        std::mem::take(&mut self.buffer)
     }
 
-    fn take(&mut self, start: usize, end: usize, events: &mut Events) {
-        let event = &self.waiting[start..end];
+    fn pass_on(&mut self, start: usize, end: usize, events: &mut Events) {
+        let event = &self.buffer[start..end];
         let id = event_id(event);
         let is_repeated = matches!((id, self.delivered), (Some(id), Some(last)) if id <= last);
         if is_repeated {
@@ -99,7 +101,7 @@
     }
 }
 
-/// Returns the end of the first event that ends at or after `from`.
+/// Returns the offset after the first event whose end is found from `from` on.
 fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while let Some(found) = bytes[at..].iter().position(|byte| *byte == b'\n') {
--- a/crates/gateway/tests/all/event.rs
+++ b/crates/gateway/tests/all/event.rs
@@ -1,4 +1,4 @@
-//! Whole events of a stream.
+//! Splitting of streams into whole events.
 
 use auburnline_gateway::event::Splitter;
 use googletest::prelude::*;
@@ -19,7 +19,7 @@
         assert_that!(passed, eq(STREAM));
         assert_that!(count, eq(3));
         assert_that!(splitter.last(), some(eq(3)));
-        assert_that!(splitter.is_torn(), eq(false));
+        assert_that!(splitter.has_partial_event(), eq(false));
     }
 }
 
@@ -30,7 +30,7 @@
     assert_that!(events.count, eq(1));
     assert_that!(events.bytes, eq(b"id: 1\ndata: a\n\n"));
     assert_that!(splitter.last(), some(eq(1)));
-    assert_that!(splitter.is_torn(), eq(true));
+    assert_that!(splitter.has_partial_event(), eq(true));
 }
 
 #[gtest]
@@ -54,5 +54,5 @@
     let mut splitter = Splitter::new();
     let _ = splitter.push(b"id: 1\ndata: a\n\ndata: b");
     assert_that!(splitter.rest(), eq(b"data: b"));
-    assert_that!(splitter.is_torn(), eq(false));
+    assert_that!(splitter.has_partial_event(), eq(false));
 }
