--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,8 +1,9 @@
-//! The decisions of one gateway, joined.
+//! All routing state and decisions of one gateway.
 //!
-//! A request passes through [`Gateway::plan`] (route, key, age of what is known),
-//! [`Gateway::admit`] (whether the group can take it in time) and [`Gateway::assign`] (which
-//! upstream); [`Gateway::may_repeat`] answers after a failure. Each answer tells what decided it.
+//! A request passes through [`Gateway::plan`] (route, key and age of the known state),
+//! [`Gateway::admit`] (whether a group can serve it in time) and [`Gateway::assign`] (which
+//! upstream). After a failure, [`Gateway::may_repeat`] decides whether it may be retried. Plans,
+//! admissions and refusals carry the inputs that they were decided on, for the log.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -46,76 +47,78 @@
 use crate::upstream::Upstream;
 use crate::version::Lag;
 
-/// Time to come back when no upstream takes work: a group forms anew within about a second.
+/// Retry time when no upstream accepts work: a group forms again within about a second.
 pub(crate) const NO_UPSTREAM_RETURN: Duration = Duration::from_millis(800);
-/// Time to come back to a gateway that knows too little: the caller finds another one.
-const ELSEWHERE_RETURN: Duration = Duration::from_millis(100);
+/// Retry time when this gateway's configuration is missing or too old: the caller finds another
+/// gateway.
+const NOT_READY_RETRY: Duration = Duration::from_millis(100);
 
-/// Heartbeats of upstreams within which an entry lapses that nobody writes: three, and one for the way of the news.
-const HEARTBEATS_DOUBTED: u32 = 4;
+/// Heartbeats of upstreams within which an entry that is not renewed has expired: three until it
+/// expires, and one for the news to arrive.
+const EXPIRY_HEARTBEATS: u32 = 4;
 
-/// Gateways that a sidecar is told of, within one datagram.
-const MOST_GATEWAYS: usize = 512;
+/// Maximum number of gateways named to a sidecar, so that the message fits into one datagram.
+const MAX_GATEWAYS: usize = 512;
 
-/// Bounds that the platform's operators set.
+/// Bounds set by the platform's operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Longest time for which a key that was taken away may work.
+    /// Maximum time for which a revoked key may still be accepted.
     pub revocation: Duration,
-    /// Repetitions for each request, in the whole fleet.
+    /// Retries allowed per request, over the whole fleet.
     pub retry_ratio: f64,
-    /// Repetitions beyond that in a window, in the whole fleet.
+    /// Retries allowed beyond `retry_ratio` in a window, over the whole fleet.
     pub retry_slack: f64,
-    /// That window.
+    /// Window of `retry_slack`.
     pub retry_window: Duration,
-    /// Time for which the ranks of a group stall before they give up one that is gone.
+    /// Time for which the ranks of a group stall before they give up a lost rank.
     pub stall: Duration,
-    /// Time within which an upstream writes its entry again.
+    /// Time within which an upstream renews its entry in the store.
     pub heartbeat: Duration,
 }
 
-/// What the word of a lead changes.
+/// What a group leader's digest changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heard {
-    /// Whether its group opened or shut.
+pub struct Update {
+    /// Whether the group opened or closed.
     pub is_changed: bool,
-    /// Whether a rank turned slow.
+    /// Whether a rank of the group became slow.
     pub has_slowed: bool,
 }
 
-/// All that one gateway decides with.
+/// State of one gateway. It is changed by what the gateway learns and by its own decisions.
 pub struct Gateway {
     pub(crate) failure_domain: FailureDomainId,
     pub(crate) bounds: Bounds,
     table: Option<Arc<Table>>,
     pub(crate) paces: HashMap<GroupId, Group>,
     pub(crate) allowances: HashMap<GroupId, Allowance>,
-    /// When a request last found all groups of a service shut.
+    /// When a request last found all groups of a service closed.
     pub(crate) shut_at: HashMap<ServiceId, Monotonic>,
     pub(crate) budget: Budget<ServiceId, ServiceId>,
     pub(crate) rng: ChaCha8Rng,
-    /// Upstreams.
+    /// Known upstreams and the requests in flight there.
     pub pool: Pool,
-    /// Other gateways.
+    /// This gateway and the others that it knows.
     pub roster: Roster,
-    /// Which upstreams run in lock-step.
+    /// Which upstreams run in lock-step, and which of these groups serve.
     pub groups: Groups,
-    /// Age of what is known.
+    /// Age of the known state of the store.
     pub knowledge: Knowledge,
-    /// How far this gateway may be behind others.
+    /// How far this gateway's configuration may be behind those of others.
     pub(crate) lag: Lag,
-    /// What was read of the store.
+    /// How far the store has been read, and what is passed on to other gateways.
     pub spread: Spread,
-    /// Requests that crash what runs them.
+    /// Requests held back because they crash the upstreams that run them.
     pub quarantine: Quarantine,
-    /// Rate limits that upstreams named.
+    /// Rate limits that upstreams announced.
     pub(crate) limits: Limits,
-    /// Upstreams that asked this gateway to back off.
+    /// Upstreams that asked this gateway for backoff.
     pub(crate) backoffs: Backoffs,
 }
 
 impl Gateway {
-    /// Returns a gateway that knows nothing yet.
+    /// Returns a gateway without any knowledge of the fleet, which can't serve yet.
     #[must_use]
     pub fn new(
         failure_domain: FailureDomainId,
@@ -144,13 +147,13 @@
         }
     }
 
-    /// Sets the operators' bounds.
+    /// Replaces the operators' bounds.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         self.knowledge.set_bound(bounds.revocation);
         self.bounds = bounds;
     }
 
-    /// Takes a configuration; returns whether it is newer than the one in force.
+    /// Puts a configuration into force if it is newer than the present one; returns whether it is.
     pub fn set_table(&mut self, table: Table) -> bool {
         let version = self.version();
         if version.is_some_and(|version| version >= table.version()) {
@@ -163,7 +166,8 @@
         true
     }
 
-    /// Takes all that is published, as of `revision`, with a configuration written at `configuration`; returns what changed.
+    /// Applies a full read of the store as of `revision`, whose configuration was written at
+    /// `configuration`; returns what changed in the pool.
     pub fn read_all(
         &mut self,
         upstreams: Vec<Upstream>,
@@ -175,13 +179,13 @@
             Reading::Whole => self.pool.replace(upstreams),
             Reading::Restored => {
                 self.knowledge.restored(now);
-                let until = now + self.bounds.heartbeat * HEARTBEATS_DOUBTED;
+                let until = now + self.bounds.heartbeat * EXPIRY_HEARTBEATS;
                 self.pool.restore(upstreams, until)
             }
         }
     }
 
-    /// Returns the version in force.
+    /// Returns the version of the configuration in force.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         self.table.as_ref().map(|table| table.version())
@@ -193,7 +197,8 @@
         self.table.as_ref()
     }
 
-    /// Does what is due now and then: shares of the retry budget follow the fleet's size.
+    /// Does periodic work: adjusts this gateway's share of the retry budget to the size of the
+    /// fleet, and drops expired backoffs.
     pub fn tick(&mut self, now: Monotonic) {
         let is_settled = now > crate::neighbour::LIFE;
         let fleet = is_settled.then_some(self.roster.most());
@@ -202,33 +207,35 @@
         self.backoffs.forget(now);
     }
 
-    /// Returns whether this gateway can serve callers.
+    /// Returns whether this gateway has a configuration and knows that it is current enough to
+    /// serve.
     #[must_use]
     pub fn is_able(&self, now: Monotonic) -> bool {
         self.table.is_some() && self.knowledge.is_fresh(now)
     }
 
-    /// Says what this gateway has to read of the store now.
+    /// Returns what this gateway has to read from the store now.
     pub fn need(&mut self, now: Monotonic) -> Need {
         let (_, is_reader) = self.roster.readers(now);
         let is_alone = spread::helps_itself(self.knowledge.age(now));
         self.spread.need(is_reader || is_alone, now)
     }
 
-    /// Finds out how a request may be served.
+    /// Decides how a request is to be served.
     ///
     /// # Errors
     ///
-    /// Returns why it may not.
+    /// Returns a refusal if the route or the key is unknown, or if this gateway's configuration is
+    /// missing or may be outdated.
     pub fn plan(&mut self, request: &Request<'_>, now: Monotonic) -> Result<Plan, Refusal> {
         let Some(table) = self.table.clone() else {
             let refusal = Refusal::of(ErrorKind::NotReady, "no configuration");
-            return Err(refusal.after(ELSEWHERE_RETURN));
+            return Err(refusal.after(NOT_READY_RETRY));
         };
         let age = self.knowledge.age(now).unwrap_or(Duration::MAX);
         let is_fresh = self.knowledge.is_fresh(now);
         let stale = Refusal::of(ErrorKind::NotReady, "configuration may be outdated");
-        let stale = stale.after(ELSEWHERE_RETURN);
+        let stale = stale.after(NOT_READY_RETRY);
         let Some(route) = table.route(request.host, request.path) else {
             let refusal = Refusal::of(ErrorKind::UnknownRoute, "no route");
             return Err(if is_fresh { refusal } else { stale });
@@ -257,7 +264,8 @@
         })
     }
 
-    /// Draws one of a route's services by weight, among those that have upstreams.
+    /// Draws one of a route's services by weight, among those with upstreams that accept work if
+    /// there are any.
     fn service(&mut self, route: &Route) -> ServiceId {
         let usable = |service: &str| self.pool.ready(service) > 0;
         let mut targets: Vec<_> = route.targets.iter().collect();
@@ -280,7 +288,7 @@
             .map_or_else(|| Arc::from(""), |target| Arc::clone(&target.service))
     }
 
-    /// Answers a sidecar that asks who serves a service.
+    /// Answers a sidecar's question which upstreams serve a service.
     #[must_use]
     pub fn members(&self, ask: &Ask, now: Monotonic) -> Members {
         let table = self.table.as_ref();
@@ -292,7 +300,7 @@
         Members {
             service: ask.service.clone(),
             upstreams: upstreams.map(|upstream| upstream.address).collect(),
-            gateways: self.roster.addresses(now, MOST_GATEWAYS),
+            gateways: self.roster.addresses(now, MAX_GATEWAYS),
             shape: engine.and_then(|engine| engine.shape),
             cost: engine
                 .zip(longest)
@@ -300,26 +308,28 @@
         }
     }
 
-    /// Takes the word of a group's lead; returns what it changes.
-    pub fn hear(&mut self, digest: &Digest, now: Monotonic) -> Heard {
+    /// Applies the digest of a group's leader; returns what it changed.
+    pub fn hear(&mut self, digest: &Digest, now: Monotonic) -> Update {
         let has_slowed = self.pool.reports.hear(digest, now);
         let is_changed = self.groups.hear(digest, now);
         if is_changed {
-            // It forms with the first map, on which passes are longer than those that were seen.
+            // A group forms with the initial map, on which passes take longer than those seen
+            // before.
             self.paces.remove(digest.group.as_str());
         }
-        Heard {
+        Update {
             is_changed,
             has_slowed,
         }
     }
 
-    /// Takes how a send ended.
+    /// Records how a send to an upstream ended.
     pub fn end(&mut self, id: &str, outcome: Outcome, now: Monotonic) {
         self.pool.end(id, outcome, now);
     }
 
-    /// Takes a repetition out of the fleet's budget, if one is left.
+    /// Takes a retry out of this gateway's share of the fleet's budget; returns whether one was
+    /// left.
     pub fn may_repeat(&mut self, plan: &Plan, now: Monotonic) -> bool {
         let permit = self.budget.repeat(now, &plan.service, &plan.service);
         permit.is_ok()
