--- a/crates/gateway/tests/all/gateway.rs
+++ b/crates/gateway/tests/all/gateway.rs
@@ -1,4 +1,4 @@
-//! The joined decisions.
+//! Decisions of a whole gateway.
 
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
     Gateway::new("north".into(), BOUNDS, Roster::new(me, Vec::new()), 7)
 }
 
-/// Returns a gateway that knows all as of one second after its start.
+/// Returns a gateway whose knowledge is complete as of 1 s after its start.
 fn gateway(ranks: usize) -> Gateway {
     let mut gateway = blank();
     gateway.set_table(table(3));
@@ -97,7 +97,7 @@
     assert_that!(kind(missing), some(eq(Kind::Unauthorized)));
 }
 
-/// Pattern: an instance is cut off from the store while a key is taken away.
+/// Guards against a revoked key that is still accepted by a gateway that can't reach the store.
 #[gtest]
 fn a_key_is_not_served_once_its_revocation_could_be_unknown() {
     let mut gateway = gateway(1);
@@ -119,7 +119,8 @@
     assert_that!(gateway.set_table(table(9)), eq(true));
 }
 
-/// Pattern: several times more callers than the group can serve in time (measured on scale days).
+/// Guards against requests that wait without bound or get no retry time when several times more
+/// callers arrive than the group can serve in time.
 #[gtest]
 fn a_full_group_holds_a_request_for_a_bounded_moment_and_then_says_when_to_come_back() {
     let mut gateway = gateway(12);
@@ -155,8 +156,9 @@
     );
 }
 
-/// Pattern: all instances lose power and start again; engines take requests before their group has formed,
-/// and refuse them. A caller comes back once only, so a refusal then costs it the answer.
+/// Guards against refusals after all instances lost power and restarted: engines receive requests
+/// before their group has formed, and refuse them. A caller retries only once, so it would get no
+/// answer.
 #[gtest]
 fn a_request_waits_for_a_group_that_shut_just_now_and_no_longer_than_forming_takes() {
     let mut gateway = gateway(12);
@@ -168,7 +170,7 @@
     gateway.end(&choice.upstream.id, Outcome::Refused, millis(1_010));
     let waits = gateway.admit(&plan, millis(1_010));
     assert_that!(waits, matches_pattern!(Admission::Wait(le(millis(1_110)))));
-    // The group is tried again now and then.
+    // The group is tried again from time to time.
     assert_that!(
         gateway.admit(&plan, millis(1_300)),
         matches_pattern!(Admission::Go(anything()))
@@ -186,9 +188,9 @@
     );
 }
 
-/// Pattern: the same; the ranks stall for 1.5 s before they form, longer than it was waited, and a refusal just before they
-/// served again cost the answer (230 on one day of the users' largest deployment). Nobody waits past the two seconds after
-/// which callers leave.
+/// Guards against refusals just before ranks serve again after a loss of power: they stall for
+/// 1.5 s before they form, and a shorter wait lost 230 answers on one day of the users' largest
+/// deployment. No request may wait past the 2 s after which callers leave.
 #[gtest]
 fn a_request_waits_for_ranks_that_stall_before_they_form_but_not_until_its_caller_leaves() {
     let mut gateway = gateway(12);
@@ -211,9 +213,9 @@
     assert_that!(refused, matches_pattern!(Admission::Refuse(anything())));
 }
 
-/// Pattern: the same; when groups serve again, callers who waited outnumber what the first words of their leads leave
-/// room for. On the users' day 577 of them were refused within a quarter of a second while the groups ran a
-/// quarter of what they can.
+/// Guards against refusals of requests that have waited for their groups after a loss of power:
+/// they outnumber the room that the leaders' first load reports leave. On one day 577 of them were
+/// refused within 0.25 s, while the groups ran a quarter of what they can.
 #[gtest]
 fn a_request_that_waited_for_its_group_goes_on_waiting_for_a_place() {
     let mut gateway = gateway(1);
@@ -223,7 +225,7 @@
     let shut = gateway.admit(&plan, millis(1_100));
     assert_that!(shut, matches_pattern!(Admission::Wait(anything())));
     gateway.groups.trust(&group);
-    // Others were quicker and fill the group.
+    // Other requests were sent first and fill the group.
     let other = ask(&mut gateway, "/draft/", Some("key-1"), 1_500).expect("a plan");
     while let Admission::Go(_) = gateway.admit(&other, millis(1_500)) {
         gateway
@@ -234,13 +236,14 @@
     assert_that!(full, matches_pattern!(Admission::Wait(gt(millis(1_500)))));
     let refused = gateway.admit(&plan, millis(2_000));
     assert_that!(refused, matches_pattern!(Admission::Refuse(anything())));
-    // One that came when the group served already has its usual moment only.
+    // A request that arrived when the group already served waits no longer than usual.
     let refused = gateway.admit(&other, millis(1_800));
     assert_that!(refused, matches_pattern!(Admission::Refuse(anything())));
 }
 
-/// Pattern: the same; an engine whose group forms refuses unrun. Told no time to come back, callers came at once, were
-/// refused once more and had no return left (239 on one day of the users' larger deployments).
+/// Guards against lost requests while a group forms: its engines refuse them without running them.
+/// Callers that were given no retry time retried at once, were refused again and had no retry left
+/// (239 on one day of the users' larger deployments).
 #[gtest]
 fn a_caller_refused_by_a_group_that_forms_is_told_to_come_back_when_it_may_have_formed() {
     let mut gateway = gateway(12);
@@ -253,7 +256,8 @@
     assert_that!(refusal.retry_after, some(ge(ENGINE.form * 2)));
 }
 
-/// Pattern: one service's group has been shut for seconds when that of another service shuts.
+/// Guards against requests that wait for a group that has been closed for seconds because the group
+/// of another service just closed.
 #[gtest]
 fn a_group_of_another_service_that_shuts_makes_nobody_wait() {
     let mut gateway = gateway(12);
@@ -265,7 +269,7 @@
     assert_that!(refused, matches_pattern!(Admission::Refuse(anything())));
 }
 
-/// A rank that is full refuses, and its group serves on.
+/// Guards against closing a whole group because one of its ranks is full and refuses.
 #[gtest]
 fn a_full_rank_does_not_shut_its_group() {
     let mut gateway = gateway(2);
@@ -280,27 +284,27 @@
     let mut gateway = gateway(0);
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 1_000).expect("a plan");
     let Admission::Refuse(refusal) = gateway.admit(&plan, millis(1_000)) else {
-        panic!("nobody takes work");
+        panic!("no upstream accepts work");
     };
     assert_that!(refusal.kind, eq(Kind::Unreachable));
 }
 
-/// Pattern: an upstream refuses all, and each request would be sent once more.
+/// Guards against doubling the load by retries when an upstream refuses everything.
 #[gtest]
 fn repetitions_keep_to_the_share_of_the_fleets_budget() {
     let mut gateway = gateway(1);
     let plan = ask(&mut gateway, "/desk/", Some("key-1"), 2_000).expect("a plan");
     gateway.tick(millis(2_000));
-    let mut repeated = 0;
+    let mut retried = 0;
     for tick in 0..1_000 {
         let now = millis(2_000 + tick * 10);
         let (choice, _) = gateway.assign(&plan, &[], now).expect("an upstream");
         gateway.end(&choice.upstream.id, Outcome::Refused, now);
-        repeated += u32::from(gateway.may_repeat(&plan, now));
+        retried += u32::from(gateway.may_repeat(&plan, now));
     }
-    // 1,000 requests in the window of 10 s: 0.2 of them, and the slack.
-    assert_that!(repeated, le(220));
-    assert_that!(repeated, ge(150));
+    // 1,000 requests in the window of 10 s: 0.2 retries for each, and the slack of 20.
+    assert_that!(retried, le(220));
+    assert_that!(retried, ge(150));
 }
 
 #[gtest]
