--- a/crates/gateway/tests/all/main.rs
+++ b/crates/gateway/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of a gateway's decisions.
+//! Tests of a gateway's routing decisions.
 
 mod backoff;
 mod departure;
--- a/crates/gateway/tests/all/route.rs
+++ b/crates/gateway/tests/all/route.rs
@@ -1,4 +1,4 @@
-//! Lookups in a configuration.
+//! Lookups in a configuration table.
 
 use auburnline_gateway::route::Kind;
 use auburnline_gateway::route::Table;
--- a/crates/gateway/tests/all/support.rs
+++ b/crates/gateway/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! Configurations and upstreams for the tests.
+//! Configurations, upstreams and gateways shared by the tests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -108,7 +108,7 @@
     }
 }
 
-/// Returns a gateway as it tells of itself.
+/// Returns the entry that a gateway announces of itself.
 pub(crate) fn entry(number: u16, incarnation: u64, beat: u64) -> Entry {
     Entry {
         instance: format!("front-{number}").into(),
@@ -123,7 +123,7 @@
     }
 }
 
-/// Returns a beat that tells of its sender alone.
+/// Returns a heartbeat that only announces its sender.
 pub(crate) fn beat(from: Entry) -> Beat {
     Beat {
         from,
@@ -133,13 +133,13 @@
     }
 }
 
-/// Returns the address of a gateway of a fleet towards others.
+/// Returns the address at which a gateway of a fleet receives messages of others.
 pub(crate) fn peers(number: usize) -> SocketAddr {
     let port = u16::try_from(number).expect("a small fleet") + 1;
     ([10, 0, 2, 1], port).into()
 }
 
-/// Returns the number of the gateway with this address.
+/// Returns the number of the gateway with this address; the inverse of [`peers`].
 pub(crate) fn number(address: SocketAddr) -> usize {
     usize::from(address.port()) - 1
 }
