--- a/crates/gateway/tests/all/fleet/backoff.rs
+++ b/crates/gateway/tests/all/fleet/backoff.rs
@@ -1,13 +1,14 @@
-//! Upstreams that ask each gateway to back off: what reaches them from a gateway that was asked.
+//! Upstreams that ask each gateway for backoff: they must get no requests from a gateway that they
+//! asked.
 
 use std::time::Duration;
 
 use googletest::prelude::*;
 
+use super::ANNOUNCED;
 use super::LIMITED;
-use super::NAMED;
 use super::World;
-use super::play;
+use super::run_fleets;
 
 const BACKOFF: Duration = Duration::from_secs(3);
 
@@ -17,19 +18,22 @@
     world
 }
 
-/// Expects that each upstream was asked again after its time, and got nothing before from those it had asked.
-fn expect_heeded(world: &World) {
+/// Expects that each upstream got no requests from a gateway during the backoff that it had asked
+/// it for, and got requests again afterwards.
+fn expect_obeyed(world: &World) {
     let gateways = world.nodes.len();
     expect_that!(world.unwanted, eq(0), "{gateways} gateways");
     for arrived in &world.arrived[..LIMITED] {
-        let later = arrived.iter().filter(|(at, _)| *at >= NAMED + BACKOFF * 2);
+        let later = arrived
+            .iter()
+            .filter(|(at, _)| *at >= ANNOUNCED + BACKOFF * 2);
         expect_that!(later.count(), gt(0), "{gateways} gateways");
     }
 }
 
-/// Guards against gateways that go on sending to an upstream which asked them for backoff, and against a time that is forgotten or
-/// stretched while they start, stop, freeze and are cut off.
+/// Guards against gateways that still send to an upstream which asked them for backoff, and against
+/// backoff that ends too early or too late while gateways start, stop, freeze and are cut off.
 #[gtest]
 fn backoff_is_heeded_by_fleets_that_start_stop_freeze_and_are_cut() {
-    play(start, expect_heeded);
+    run_fleets(start, expect_obeyed);
 }
--- a/crates/gateway/tests/all/fleet/leaving.rs
+++ b/crates/gateway/tests/all/fleet/leaving.rs
@@ -1,16 +1,17 @@
-//! Upstreams that say in their answers that they leave, while the list has them ready: what reaches them from a gateway that passed
-//! such an answer on.
+//! Upstreams that say in their answers that they leave, while the published list has them as ready:
+//! they must get no requests from a gateway that received such an answer.
 
 use std::time::Duration;
 
 use googletest::prelude::*;
 
+use super::ANNOUNCED;
 use super::LIMITED;
-use super::NAMED;
 use super::World;
-use super::play;
+use super::run_fleets;
 
-/// Time at which the upstreams begin to say so, while they have a limit: permits are on their way.
+/// When the upstreams begin to leave. They have a limit, so that permits are in transit at that
+/// time.
 const LEAVING: Duration = Duration::from_secs(8);
 
 fn start(count: usize, seed: u64) -> World {
@@ -19,24 +20,25 @@
     world
 }
 
-/// Expects that the upstreams were used until they left, and got nothing from gateways that knew it.
-fn expect_heeded(world: &World) {
+/// Expects that the upstreams got requests until they left, and none from gateways that knew it.
+fn expect_obeyed(world: &World) {
     let gateways = world.nodes.len();
     expect_that!(world.unwanted, eq(0), "{gateways} gateways");
     for arrived in &world.arrived[..LIMITED] {
         let before = arrived
             .iter()
-            .filter(|(at, _)| *at >= NAMED && *at < LEAVING);
+            .filter(|(at, _)| *at >= ANNOUNCED && *at < LEAVING);
         expect_that!(before.count(), gt(0), "{gateways} gateways");
     }
     let nodes = world.nodes.iter().flatten();
-    let told = nodes.filter(|node| node.knows_leaving.contains(&true));
-    expect_that!(told.count(), gt(0), "{gateways} gateways");
+    let informed = nodes.filter(|node| node.knows_leaving.contains(&true));
+    expect_that!(informed.count(), gt(0), "{gateways} gateways");
 }
 
-/// Guards against gateways that go on sending to an upstream which told them that it leaves, and against a word that is forgotten or
-/// taken back while they start, stop, freeze and are cut off.
+/// Guards against gateways that still send to an upstream which informed them that it leaves, and
+/// against a departure that is forgotten or revoked while gateways start, stop, freeze and are cut
+/// off.
 #[gtest]
 fn leaving_is_heeded_by_fleets_that_start_stop_freeze_and_are_cut() {
-    play(start, expect_heeded);
+    run_fleets(start, expect_obeyed);
 }
--- a/crates/gateway/tests/all/fleet/mod.rs
+++ b/crates/gateway/tests/all/fleet/mod.rs
@@ -1,8 +1,10 @@
-//! What upstreams say of themselves, heeded by whole fleets.
+//! Simulated fleets of gateways that must obey the rate limits, backoff requests and departures of
+//! upstreams.
 //!
-//! All gateways run their own decisions on their own clocks; messages between them take a few milliseconds and are
-//! sometimes lost. Gateways start, stop, freeze and are cut off from each other while callers want far more of a few upstreams
-//! than these take. What reaches each upstream is counted.
+//! Each gateway makes its own decisions on its own clock. Messages between gateways take a few
+//! milliseconds and are sometimes lost. Gateways start, stop, freeze and are cut off from each
+//! other while callers request far more of a few upstreams than these accept. The requests that
+//! reach each upstream are counted.
 
 mod backoff;
 mod leaving;
@@ -27,20 +29,22 @@
 use auburnline_quota::loan::Loan;
 use rand_chacha::ChaCha8Rng;
 
-/// Time on the common clock of a run.
+/// Time on the simulation's clock.
 type Time = Duration;
 
-/// Time at which upstreams begin to speak of themselves: all gateways know each other by then.
-const NAMED: Time = Duration::from_secs(4);
-/// Time after a gateway got an upstream's word from which on its requests count.
-const TOLD: Duration = Duration::from_millis(500);
+/// When upstreams begin to announce limits, backoff or their departure: all gateways know each
+/// other by then.
+const ANNOUNCED: Time = Duration::from_secs(4);
+/// Time from an upstream's announcement to a gateway until the gateway's requests count.
+const GRACE: Duration = Duration::from_millis(500);
+/// End of the simulation.
 const END: Time = Duration::from_secs(16);
-/// Time from a request to its answer's head.
-const ANSWER: Duration = Duration::from_millis(25);
-/// Messages that are lost, of 100.
-const LOST: u32 = 1;
-/// Longest time that a message is on its way, in microseconds.
-const LATENCY: u64 = 4_000;
+/// Time from a request to the head of its answer.
+const RESPONSE_TIME: Duration = Duration::from_millis(25);
+/// Percentage of messages between gateways that are lost.
+const LOSS_PERCENT: u32 = 1;
+/// Maximum latency of a message between gateways, in microseconds.
+const MAX_LATENCY_US: u64 = 4_000;
 
 /// Message between two gateways.
 #[derive(Clone)]
@@ -53,44 +57,46 @@
     Reply(Reply),
 }
 
-/// What happens to a gateway.
+/// Event at a gateway.
 enum Event {
     Tick,
     Request,
+    /// A message of this gateway arrives.
     Deliver(usize, Message),
-    /// The answer of an upstream to a request that was sent at the given time.
+    /// An upstream answers a request that was sent at the given time.
     Answer(usize, Time),
     Fault(Fault),
 }
 
-/// What goes wrong with a gateway.
+/// Fault of a gateway.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// It ends, and starts again after this time.
+    /// It stops, and starts again after this time.
     Restart(Duration),
-    /// It stands still for this time.
+    /// Its process makes no progress for this time.
     Freeze(Duration),
-    /// It reaches no other gateway for this time; requests go on.
+    /// Messages from and to other gateways are lost for this time; requests go on.
     Cut(Duration),
-    /// It hears the others, and is not heard by them for this time.
+    /// Its messages to other gateways are lost for this time; it still receives theirs.
     OneWay(Duration),
 }
 
 struct Node {
     gateway: Gateway,
     started: Time,
-    /// Number of this start; events of an earlier one are void.
-    life: u32,
+    /// Number of this start; events of an earlier one are dropped.
+    incarnation: u32,
     plan: Plan,
     frozen_until: Time,
-    deaf_until: Time,
-    mute_until: Time,
-    /// When it first passed on each upstream's limit.
-    told: Vec<Option<Time>>,
+    inbound_cut_until: Time,
+    outbound_cut_until: Time,
+    /// When it first got an answer with each upstream's limit.
+    limited_at: Vec<Option<Time>>,
     /// When each upstream last asked it to back off.
-    asked: Vec<Option<Time>>,
-    /// Whether it passed on that each upstream leaves.
+    backoff_at: Vec<Option<Time>>,
+    /// Whether it got an answer that says that each upstream leaves.
     knows_leaving: Vec<bool>,
+    /// Unanswered requests for permits by their numbers, with the upstream of each.
     waiting: BTreeMap<u64, (Ask, usize)>,
 }
 
@@ -102,33 +108,36 @@
     rng: ChaCha8Rng,
     upstreams: Vec<Arc<Upstream>>,
     rate: Rate,
-    /// Time for which the limited upstreams ask each gateway to back off with each answer, in place of a limit.
+    /// Time for which each answer of the limited upstreams asks its gateway to back off, in place
+    /// of announcing a limit.
     backoff: Option<Duration>,
-    /// When the limited upstreams begin to say in all answers that they leave; the list goes on to have them ready.
+    /// When the limited upstreams begin to say in all answers that they leave; the published list
+    /// still has them as ready.
     leaving_from: Option<Time>,
-    /// Requests sent to an upstream that its gateway knows not to want them.
+    /// Requests sent to an upstream although its gateway knew that it leaves or asked for backoff.
     unwanted: usize,
-    /// Mean time between two requests at one gateway.
+    /// Mean time between two requests at a gateway.
     pause: Duration,
-    /// Requests that reached each limited upstream, with their gateways.
+    /// Requests that reached each limited upstream: time and gateway.
     arrived: Vec<Vec<(Time, usize)>>,
-    lives: u32,
-    /// When half of the gateways don't reach the other half.
+    incarnations: u32,
+    /// When the gateways are partitioned into two halves.
     split: Range<Time>,
-    /// When no caller sends anything.
-    quiet: Range<Time>,
-    /// Gateways that callers use.
-    used: usize,
+    /// When callers send no requests.
+    idle: Range<Time>,
+    /// Number of gateways that callers use, from the first one on.
+    active_gateways: usize,
 }
 
-/// Upstreams that name a limit or ask for backoff; one more takes everything.
+/// Number of upstreams that announce a limit, backoff or their departure; one more accepts
+/// everything.
 const LIMITED: usize = 2;
 
-/// Gateways of each fleet.
+/// Number of gateways of each fleet.
 const FLEETS: [usize; 3] = [6, 98, 340];
 
-/// Plays fleets of all sizes, without faults and then with faults of all kinds.
-fn play(start: impl Fn(usize, u64) -> World, expect: impl Fn(&World)) {
+/// Simulates fleets of all sizes, first without faults and then with random faults.
+fn run_fleets(start: impl Fn(usize, u64) -> World, expect: impl Fn(&World)) {
     for count in FLEETS {
         let mut world = start(count, 1);
         world.run();
--- a/crates/gateway/tests/all/fleet/world.rs
+++ b/crates/gateway/tests/all/fleet/world.rs
@@ -1,4 +1,4 @@
-//! The course of a run: who sends what to whom, and what goes wrong.
+//! The simulation: requests, messages between gateways, and faults.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -21,17 +21,17 @@
 use rand::seq::IndexedRandom as _;
 use rand_chacha::ChaCha8Rng;
 
-use super::ANSWER;
+use super::ANNOUNCED;
 use super::END;
 use super::Event;
 use super::Fault;
-use super::LATENCY;
+use super::GRACE;
 use super::LIMITED;
-use super::LOST;
+use super::LOSS_PERCENT;
+use super::MAX_LATENCY_US;
 use super::Message;
-use super::NAMED;
 use super::Node;
-use super::TOLD;
+use super::RESPONSE_TIME;
 use super::Time;
 use super::World;
 use crate::gateway::BOUNDS;
@@ -44,7 +44,7 @@
 use crate::support::upstream;
 
 impl World {
-    /// Starts a fleet in which callers want some times more of the limited upstreams than these take.
+    /// Starts a fleet whose callers request several times more than the limited upstreams accept.
     pub(super) fn start(count: usize, rate: Rate, seed: u64) -> World {
         let upstreams = (0..=LIMITED).map(|number| {
             let id = format!("desk-{number}");
@@ -67,10 +67,10 @@
             unwanted: 0,
             pause: Duration::from_secs_f64(f64::from(gateways) / (rate * 40.0).max(60.0)),
             arrived: vec![Vec::new(); LIMITED],
-            lives: 0,
+            incarnations: 0,
             split: Time::ZERO..Time::ZERO,
-            quiet: Time::ZERO..Time::ZERO,
-            used: count,
+            idle: Time::ZERO..Time::ZERO,
+            active_gateways: count,
         };
         for node in 0..count {
             world.boot(node, Time::ZERO);
@@ -79,8 +79,8 @@
     }
 
     fn boot(&mut self, node: usize, now: Time) {
-        self.lives += 1;
-        let me = entry(peers(node).port(), u64::from(self.lives), 0);
+        self.incarnations += 1;
+        let me = entry(peers(node).port(), u64::from(self.incarnations), 0);
         let roster = Roster::new(me, (0..3).map(peers).collect());
         let seed = self.rng.random();
         let mut gateway = Gateway::new("north".into(), BOUNDS, roster, seed);
@@ -93,32 +93,32 @@
         self.nodes[node] = Some(Node {
             gateway,
             started: now,
-            life: self.lives,
+            incarnation: self.incarnations,
             plan,
             frozen_until: Time::ZERO,
-            deaf_until: Time::ZERO,
-            mute_until: Time::ZERO,
-            told: vec![None; LIMITED],
-            asked: vec![None; LIMITED],
+            inbound_cut_until: Time::ZERO,
+            outbound_cut_until: Time::ZERO,
+            limited_at: vec![None; LIMITED],
+            backoff_at: vec![None; LIMITED],
             knows_leaving: vec![false; LIMITED],
             waiting: BTreeMap::new(),
         });
         let first = Duration::from_micros(self.rng.random_range(0..300_000));
-        self.put(now + first, node, Event::Tick);
+        self.schedule(now + first, node, Event::Tick);
         self.next_request(node, now + first);
     }
 
-    pub(super) fn put(&mut self, at: Time, node: usize, event: Event) {
-        let life = self.nodes[node].as_ref().map_or(0, |node| node.life);
+    pub(super) fn schedule(&mut self, at: Time, node: usize, event: Event) {
+        let incarnation = self.nodes[node].as_ref().map_or(0, |node| node.incarnation);
         self.number += 1;
         self.queue.push(Reverse((at, self.number)));
-        self.events.insert(self.number, (node, life, event));
+        self.events.insert(self.number, (node, incarnation, event));
     }
 
     fn next_request(&mut self, node: usize, now: Time) {
         let draw: f64 = self.rng.random_range(1e-9..1.0);
         let pause = self.pause.mul_f64(-draw.ln());
-        self.put(now + pause, node, Event::Request);
+        self.schedule(now + pause, node, Event::Request);
     }
 
     pub(super) fn run(&mut self) {
@@ -126,22 +126,22 @@
             if at > END {
                 return;
             }
-            let (node, life, event) = self.events.remove(&number).expect("an event");
+            let (node, incarnation, event) = self.events.remove(&number).expect("an event");
             if let Event::Fault(fault) = event {
-                self.harm(node, fault, at);
+                self.inject(node, fault, at);
                 continue;
             }
             let is_message = matches!(event, Event::Deliver(..));
             let Some(of) = &self.nodes[node] else {
                 continue;
             };
-            if of.life != life && !is_message {
+            if of.incarnation != incarnation && !is_message {
                 continue;
             }
             if at < of.frozen_until {
-                // What comes in meanwhile is found when the process goes on.
+                // The process handles it when it resumes.
                 let until = of.frozen_until;
-                self.put(until, node, event);
+                self.schedule(until, node, event);
                 continue;
             }
             match event {
@@ -154,7 +154,7 @@
         }
     }
 
-    fn harm(&mut self, node: usize, fault: Fault, now: Time) {
+    fn inject(&mut self, node: usize, fault: Fault, now: Time) {
         match (fault, &mut self.nodes[node]) {
             (Fault::Restart(pause), _) => {
                 self.nodes[node] = None;
@@ -162,34 +162,39 @@
             }
             (Fault::Freeze(time), Some(of)) => of.frozen_until = now + time,
             (Fault::Cut(time), Some(of)) => {
-                of.deaf_until = now + time;
-                of.mute_until = now + time;
+                of.inbound_cut_until = now + time;
+                of.outbound_cut_until = now + time;
             }
-            (Fault::OneWay(time), Some(of)) => of.mute_until = now + time,
+            (Fault::OneWay(time), Some(of)) => of.outbound_cut_until = now + time,
             (_, None) => {}
         }
     }
 
     fn at(&mut self, node: usize, now: Time) -> (&mut Node, Monotonic) {
-        let node = self.nodes[node].as_mut().expect("a gateway that lives");
+        let node = self.nodes[node].as_mut().expect("a running gateway");
         let local = now.saturating_sub(node.started);
         (node, local)
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: Message, now: Time) {
         let to = number(to);
-        let is_mute = self.nodes[from]
+        let is_outbound_cut = self.nodes[from]
             .as_ref()
-            .is_none_or(|one| now < one.mute_until);
+            .is_none_or(|one| now < one.outbound_cut_until);
         let is_cut = self.split.contains(&now) && from % 2 != to % 2;
-        let is_deaf = self.nodes[to]
+        let is_inbound_cut = self.nodes[to]
             .as_ref()
-            .is_none_or(|one| now < one.deaf_until);
-        if is_mute || is_deaf || is_cut || to == from || self.rng.random_ratio(LOST, 100) {
+            .is_none_or(|one| now < one.inbound_cut_until);
+        if is_outbound_cut
+            || is_inbound_cut
+            || is_cut
+            || to == from
+            || self.rng.random_ratio(LOSS_PERCENT, 100)
+        {
             return;
         }
-        let latency = Duration::from_micros(self.rng.random_range(200..LATENCY));
-        self.put(now + latency, to, Event::Deliver(from, message));
+        let latency = Duration::from_micros(self.rng.random_range(200..MAX_LATENCY_US));
+        self.schedule(now + latency, to, Event::Deliver(from, message));
     }
 
     fn tick(&mut self, number: usize, now: Time) {
@@ -215,7 +220,7 @@
         for (home, loan) in loans {
             self.send(number, home, Message::Loan(loan), now);
         }
-        self.put(now + PERIOD, number, Event::Tick);
+        self.schedule(now + PERIOD, number, Event::Tick);
     }
 
     fn hear(&mut self, number: usize, from: usize, message: Message, now: Time) {
@@ -263,7 +268,7 @@
 
     fn request(&mut self, number: usize, now: Time) {
         self.next_request(number, now);
-        if self.quiet.contains(&now) || number >= self.used {
+        if self.idle.contains(&now) || number >= self.active_gateways {
             return;
         }
         let (node, local) = self.at(number, now);
@@ -288,20 +293,20 @@
     fn forward(&mut self, node: usize, upstream: usize, now: Time) {
         if upstream < LIMITED {
             self.arrived[upstream].push((now, node));
-            let asked = self.nodes[node]
+            let backoff_at = self.nodes[node]
                 .as_ref()
-                .and_then(|node| node.asked[upstream]);
+                .and_then(|node| node.backoff_at[upstream]);
             let backoff = self.backoff.unwrap_or_default();
-            let is_early = asked.is_some_and(|at| (at + TOLD..at + backoff).contains(&now));
+            let is_early = backoff_at.is_some_and(|at| (at + GRACE..at + backoff).contains(&now));
             let node = self.nodes[node].as_ref();
             let is_leaving = node.is_some_and(|node| node.knows_leaving[upstream]);
             self.unwanted += usize::from(is_early || is_leaving);
         }
-        self.put(now + ANSWER, node, Event::Answer(upstream, now));
+        self.schedule(now + RESPONSE_TIME, node, Event::Answer(upstream, now));
     }
 
     fn answer(&mut self, number: usize, upstream: usize, sent: Time, now: Time) {
-        let speaks = upstream < LIMITED && now >= NAMED;
+        let speaks = upstream < LIMITED && now >= ANNOUNCED;
         let backoff = self.backoff.filter(|_| speaks);
         let rate = (speaks && backoff.is_none()).then_some(self.rate);
         let is_leaving = speaks && self.leaving_from.is_some_and(|at| now >= at);
@@ -311,18 +316,18 @@
         node.gateway.take_limit(&target, rate, sent, local);
         if let Some(backoff) = backoff {
             node.gateway.back_off(&target, backoff, local);
-            node.asked[upstream] = Some(now);
+            node.backoff_at[upstream] = Some(now);
         }
         if is_leaving {
             node.gateway.pool.leave(&target);
             node.knows_leaving[upstream] = true;
         }
         if rate.is_some() {
-            node.told[upstream].get_or_insert(now);
+            node.limited_at[upstream].get_or_insert(now);
         }
     }
 
-    /// Adds faults of all kinds at gateways drawn by chance.
+    /// Schedules faults of all kinds at random gateways.
     pub(super) fn add_faults(&mut self, seed: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = self.nodes.len();
@@ -336,7 +341,7 @@
                 _ => Fault::OneWay(time),
             };
             let node = rng.random_range(0..count);
-            self.put(at, node, Event::Fault(fault));
+            self.schedule(at, node, Event::Fault(fault));
         }
     }
 }
