--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -175,7 +175,7 @@
     /// the request into quarantine.
     pub fn crashed(&mut self, request: Fingerprint, upstream: StartTag, now: Monotonic) -> bool {
         let now = timestamp(now);
-        self.add_crash(request, Crash { upstream, at: now }, now)
+        self.record_crash(request, Crash { upstream, at: now }, now)
     }
 
     /// Records that a request was answered.
@@ -193,7 +193,7 @@
             match mark.outcome {
                 Outcome::Answered => self.clear(mark.request, at, now),
                 Outcome::Crashed(upstream) => {
-                    if self.add_crash(mark.request, Crash { upstream, at }, now) {
+                    if self.record_crash(mark.request, Crash { upstream, at }, now) {
                         held.push(mark.request);
                     }
                 }
@@ -221,7 +221,7 @@
         marks.take(MAX_MARKS).collect()
     }
 
-    fn add_crash(&mut self, request: Fingerprint, crash: Crash, now: Timestamp) -> bool {
+    fn record_crash(&mut self, request: Fingerprint, crash: Crash, now: Timestamp) -> bool {
         self.expire(now);
         let is_old = now.saturating_sub(crash.at) >= RETENTION;
         let is_new = !self.records.contains_key(&request);
