--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -23,10 +23,10 @@
 use auburnline_quota::home::Home;
 use auburnline_quota::home::Permit;
 use auburnline_quota::home::Reply;
+use auburnline_quota::loan::Heartbeat;
 use auburnline_quota::loan::Lender;
 use auburnline_quota::loan::Loan;
 use auburnline_quota::loan::Outcome;
-use auburnline_quota::loan::Sign;
 use rand::Rng as _;
 
 use crate::gateway::Gateway;
@@ -41,7 +41,7 @@
 const RETRY_JITTER: (f64, f64) = (1.0, 1.5);
 /// Heartbeats between two renewals of loans: several renewals within a lease, since messages get
 /// lost.
-const LOAN_INTERVAL_BEATS: u64 = 2;
+const LOAN_INTERVAL_HEARTBEATS: u64 = 2;
 /// Shortest retry time: a round trip between failure domains.
 const MIN_RETRY: Duration = Duration::from_millis(10);
 
@@ -196,8 +196,8 @@
 
     /// Records that a heartbeat is sent; returns the notices of limits to send with it, and drops
     /// limits of upstreams that are gone.
-    pub fn beat_limits(&mut self, now: Monotonic) -> Vec<Notice> {
-        self.limits.home.sent(self.roster.me().beat, now);
+    pub fn heartbeat_limits(&mut self, now: Monotonic) -> Vec<Notice> {
+        self.limits.home.sent(self.roster.me().heartbeats, now);
         self.limits.closed.retain(|_, until| now < *until);
         self.limits.lender.forget(now);
         if self.limits.is_idle() {
@@ -213,30 +213,36 @@
     /// Lends this gateway's share of each limit to the limit's home; returns the loans to send.
     pub fn loans(&mut self, now: Monotonic) -> Vec<(SocketAddr, Loan)> {
         let mut loans: BTreeMap<SocketAddr, Loan> = BTreeMap::new();
-        if self.limits.is_idle() || !self.roster.me().beat.is_multiple_of(LOAN_INTERVAL_BEATS) {
+        if self.limits.is_idle()
+            || !self
+                .roster
+                .me()
+                .heartbeats
+                .is_multiple_of(LOAN_INTERVAL_HEARTBEATS)
+        {
             return Vec::new();
         }
         let lender = stable(0, self.roster.me().instance.as_bytes());
         let fleet = u32::try_from(self.roster.most()).unwrap_or(u32::MAX);
         for notice in self.limits.book.in_force(now) {
             let home = self.roster.home(&home_key(notice.upstream), now);
-            let sign = Sign {
+            let heartbeat = Heartbeat {
                 home: &home.entry.instance,
                 incarnation: home.entry.incarnation,
-                beat: home.entry.beat,
+                heartbeat: home.entry.heartbeats,
                 heard: home.heard,
                 address: home.entry.peers,
             };
-            match self.limits.lender.lend(notice.upstream, &sign, now) {
+            match self.limits.lender.lend(notice.upstream, &heartbeat, now) {
                 Outcome::Held => continue,
-                Outcome::Moved => self.limits.moved.push((notice.upstream, sign.address)),
+                Outcome::Moved => self.limits.moved.push((notice.upstream, heartbeat.address)),
                 Outcome::Renewed => {}
             }
             let loan = loans.entry(home.entry.peers).or_insert_with(|| Loan {
                 lender,
                 fleet,
-                incarnation: sign.incarnation,
-                beat: sign.beat,
+                incarnation: heartbeat.incarnation,
+                heartbeat: heartbeat.heartbeat,
                 limits: Vec::new(),
             });
             loan.limits.push(notice);
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -27,7 +27,7 @@
     /// Random number drawn when the process started.
     pub incarnation: Incarnation,
     /// Heartbeats that the process has sent; increases within an incarnation.
-    pub beat: u64,
+    pub heartbeats: u64,
     /// Failure domain in which the gateway runs.
     pub failure_domain: FailureDomainId,
     /// Address for callers.
@@ -44,7 +44,7 @@
 
 /// Heartbeat with gossip about other gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// State of the sender.
     pub from: Entry,
     /// Requests that the sender has in flight at upstreams.
@@ -59,9 +59,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
     /// Periodic heartbeat of another gateway.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Reply to the heartbeat of a gateway that started or came back; never replied to.
-    Introduction(Beat),
+    Introduction(Heartbeat),
     /// Request of a sidecar for the upstreams that serve a service.
     Ask(Ask),
     /// State of a group, from its leader.
--- a/crates/gateway/src/neighbour.rs
+++ b/crates/gateway/src/neighbour.rs
@@ -1,8 +1,8 @@
 //! Membership of the gateways and their load, by gossip.
 //!
-//! Each gateway sends a [`Beat`] to a few others several times a second. It describes the sender
-//! and relays part of what the sender knows of others, so that every gateway learns of all others
-//! without sending to all. A gateway without news for [`LIFE`] is no longer offered to callers; one
+//! Each gateway sends a [`Heartbeat`] to a few others several times a second. It describes the
+//! sender and relays part of what the sender knows of others, so that every gateway learns of all
+//! others without sending to all. A gateway without news for [`LIFE`] is no longer offered to callers; one
 //! that leaves announces it.
 
 use std::collections::BTreeMap;
@@ -18,8 +18,8 @@
 use rand::Rng;
 use rand::seq::IteratorRandom as _;
 
-use crate::message::Beat;
 use crate::message::Entry;
+use crate::message::Heartbeat;
 use crate::route::Version;
 use crate::spread;
 use crate::upstream::Counts;
@@ -46,9 +46,9 @@
 /// Time without news after which a gateway is removed.
 const REMOVAL_TIMEOUT: Duration = Duration::from_mins(1);
 /// Number of the first heartbeat of a process.
-const FIRST_BEAT: u64 = 1;
+const FIRST_HEARTBEAT: u64 = 1;
 /// Heartbeats between two that also go to the seeds, which may have been down before.
-const SEED_BEATS: u64 = 6;
+const SEED_HEARTBEATS: u64 = 6;
 
 /// The gateway that grants permits for an upstream with a rate limit.
 #[derive(Clone, Copy, Debug)]
@@ -232,15 +232,15 @@
     }
 
     /// Merges a heartbeat; returns which gateways are new, back, or have changed their readiness.
-    pub fn hear(&mut self, beat: &Beat, now: Monotonic) -> Vec<Update> {
+    pub fn hear(&mut self, heartbeat: &Heartbeat, now: Monotonic) -> Vec<Update> {
         let mut updates = Vec::new();
-        updates.extend(self.merge(&beat.from, true, now));
-        for entry in &beat.others {
+        updates.extend(self.merge(&heartbeat.from, true, now));
+        for entry in &heartbeat.others {
             updates.extend(self.merge(entry, false, now));
         }
         // In a fleet of hundreds a single gateway knows only some of the members, and each knows
         // different ones.
-        let reported = usize::try_from(beat.members).unwrap_or(0);
+        let reported = usize::try_from(heartbeat.members).unwrap_or(0);
         self.most = self.most.max(self.members(now)).max(reported);
         updates
     }
@@ -252,7 +252,7 @@
         let known = self.others.get(&entry.instance);
         let is_newer = known.is_none_or(|known| {
             if known.entry.incarnation == entry.incarnation {
-                entry.beat > known.entry.beat
+                entry.heartbeats > known.entry.heartbeats
             } else {
                 // Incarnations have no order, and others may still relay the previous one.
                 is_direct || !known.is_alive(now)
@@ -260,7 +260,9 @@
         });
         if !is_newer {
             let known = self.others.get_mut(&entry.instance);
-            if let Some(known) = known.filter(|known| is_direct && known.entry.beat == entry.beat) {
+            if let Some(known) =
+                known.filter(|known| is_direct && known.entry.heartbeats == entry.heartbeats)
+            {
                 known.heard_directly = Some(now);
             }
             return None;
@@ -285,9 +287,10 @@
     /// Returns whether the sender of a heartbeat just started or was considered failed, so that the
     /// others send it nothing.
     #[must_use]
-    pub fn is_back(&self, beat: &Beat, now: Monotonic) -> bool {
-        let known = self.others.get(&beat.from.instance);
-        beat.from.beat == FIRST_BEAT || known.is_none_or(|known| !known.is_alive(now))
+    pub fn is_back(&self, heartbeat: &Heartbeat, now: Monotonic) -> bool {
+        let known = self.others.get(&heartbeat.from.instance);
+        heartbeat.from.heartbeats == FIRST_HEARTBEAT
+            || known.is_none_or(|known| !known.is_alive(now))
     }
 
     /// Extends all timeouts by the time for which this process was suspended and received nothing.
@@ -298,13 +301,18 @@
     }
 
     /// Creates the next heartbeat, and removes gateways without news for a long time.
-    pub fn beat(&mut self, counts: Counts, now: Monotonic, rng: &mut impl Rng) -> Beat {
-        self.me.beat += 1;
+    pub fn next_heartbeat(
+        &mut self,
+        counts: Counts,
+        now: Monotonic,
+        rng: &mut impl Rng,
+    ) -> Heartbeat {
+        self.me.heartbeats += 1;
         self.others
             .retain(|_, known| now.saturating_sub(known.heard) < REMOVAL_TIMEOUT);
         let live = self.others.values().filter(|known| known.is_alive(now));
         let relayed = live.choose_multiple(rng, MAX_RELAYED);
-        Beat {
+        Heartbeat {
             from: self.me.clone(),
             counts,
             others: relayed
@@ -318,8 +326,8 @@
     /// Returns the last heartbeat without gossip about others, for a gateway that lends to this
     /// one.
     #[must_use]
-    pub fn word(&self, counts: Counts, now: Monotonic) -> Beat {
-        Beat {
+    pub fn own_heartbeat(&self, counts: Counts, now: Monotonic) -> Heartbeat {
+        Heartbeat {
             from: self.me.clone(),
             counts,
             others: Vec::new(),
@@ -329,15 +337,15 @@
 
     /// Returns the last heartbeat with gossip about some others, for a gateway that started or came
     /// back.
-    pub(crate) fn introduction(&self, now: Monotonic, rng: &mut impl Rng) -> Beat {
+    pub(crate) fn introduction(&self, now: Monotonic, rng: &mut impl Rng) -> Heartbeat {
         let live = self.others.values().filter(|known| known.is_alive(now));
         let relayed = live.choose_multiple(rng, MAX_RELAYED);
-        Beat {
+        Heartbeat {
             others: relayed
                 .into_iter()
                 .map(|known| known.entry.clone())
                 .collect(),
-            ..self.word(Counts::new(), now)
+            ..self.own_heartbeat(Counts::new(), now)
         }
     }
 
@@ -347,7 +355,7 @@
         let addresses = live.map(|known| known.entry.peers);
         let mut targets = addresses.choose_multiple(rng, FANOUT);
         let is_isolated = targets.len() < FANOUT / 2;
-        if is_isolated || self.me.beat.is_multiple_of(SEED_BEATS) {
+        if is_isolated || self.me.heartbeats.is_multiple_of(SEED_HEARTBEATS) {
             targets.extend(self.seeds.iter().filter(|seed| **seed != self.me.peers));
         }
         if is_isolated {
--- a/crates/gateway/src/version.rs
+++ b/crates/gateway/src/version.rs
@@ -16,7 +16,7 @@
 
 use crate::gateway::Gateway;
 use crate::knowledge;
-use crate::message::Beat;
+use crate::message::Heartbeat;
 use crate::neighbour::LIFE;
 use crate::neighbour::PERIOD;
 
@@ -87,10 +87,10 @@
     /// gateway as not ready if its knowledge is outdated: after a suspension the roster may still
     /// say ready.
     #[must_use]
-    pub fn introduction(&self, now: Monotonic, rng: &mut impl Rng) -> Beat {
-        let mut beat = self.roster.introduction(now, rng);
-        beat.from.is_ready &= self.is_able(now);
-        beat
+    pub fn introduction(&self, now: Monotonic, rng: &mut impl Rng) -> Heartbeat {
+        let mut heartbeat = self.roster.introduction(now, rng);
+        heartbeat.from.is_ready &= self.is_able(now);
+        heartbeat
     }
 
     /// Returns the address of a gateway whose version is newer than this one's.
--- a/crates/gateway/tests/all/fleet/mod.rs
+++ b/crates/gateway/tests/all/fleet/mod.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 use auburnline_gateway::Gateway;
-use auburnline_gateway::message::Beat;
+use auburnline_gateway::message::Heartbeat;
 use auburnline_gateway::request::Plan;
 use auburnline_gateway::upstream::Upstream;
 use auburnline_quota::Rate;
@@ -49,8 +49,8 @@
 /// Message between two gateways.
 #[derive(Clone)]
 enum Message {
-    Beat(Beat),
-    Introduction(Beat),
+    Heartbeat(Heartbeat),
+    Introduction(Heartbeat),
     Limits(Vec<Notice>),
     Loan(Loan),
     Ask(Ask),
--- a/crates/gateway/tests/all/fleet/world.rs
+++ b/crates/gateway/tests/all/fleet/world.rs
@@ -207,12 +207,15 @@
         if let Some(written) = written {
             node.gateway.pool.insert(written);
         }
-        let beat = node.gateway.roster.beat(Vec::new(), local, &mut rng);
+        let heartbeat = node
+            .gateway
+            .roster
+            .next_heartbeat(Vec::new(), local, &mut rng);
         let targets = node.gateway.roster.targets(local, &mut rng);
-        let notices = node.gateway.beat_limits(local);
+        let notices = node.gateway.heartbeat_limits(local);
         let loans = node.gateway.loans(local);
         for target in targets {
-            self.send(number, target, Message::Beat(beat.clone()), now);
+            self.send(number, target, Message::Heartbeat(heartbeat.clone()), now);
             if !notices.is_empty() {
                 self.send(number, target, Message::Limits(notices.clone()), now);
             }
@@ -227,9 +230,9 @@
         let (node, local) = self.at(number, now);
         let gateway = &mut node.gateway;
         match message {
-            Message::Beat(beat) => {
-                let is_back = gateway.roster.is_back(&beat, local);
-                gateway.roster.hear(&beat, local);
+            Message::Heartbeat(heartbeat) => {
+                let is_back = gateway.roster.is_back(&heartbeat, local);
+                gateway.roster.hear(&heartbeat, local);
                 if is_back {
                     let mut rng = ChaCha8Rng::from_rng(&mut self.rng);
                     let (node, local) = self.at(number, now);
@@ -237,16 +240,16 @@
                     self.send(number, peers(from), Message::Introduction(word), now);
                 }
             }
-            Message::Introduction(beat) => {
-                gateway.roster.hear(&beat, local);
+            Message::Introduction(heartbeat) => {
+                gateway.roster.hear(&heartbeat, local);
             }
             Message::Limits(notices) => {
                 gateway.hear_limits(&notices, peers(from), local);
             }
             Message::Loan(loan) => {
                 gateway.hear_loan(&loan, peers(from), local);
-                let word = gateway.roster.word(Vec::new(), local);
-                self.send(number, peers(from), Message::Beat(word), now);
+                let word = gateway.roster.own_heartbeat(Vec::new(), local);
+                self.send(number, peers(from), Message::Heartbeat(word), now);
             }
             Message::Ask(ask) => {
                 let reply = gateway.reply(ask, local);
--- a/crates/gateway/tests/all/gateway.rs
+++ b/crates/gateway/tests/all/gateway.rs
@@ -33,7 +33,7 @@
     let me = Entry {
         instance: "me".into(),
         incarnation: 1,
-        beat: 0,
+        heartbeats: 0,
         failure_domain: "north".into(),
         callers: "10.0.0.1:80".parse().expect("an address"),
         peers: "10.0.0.1:81".parse().expect("an address"),
--- a/crates/gateway/tests/all/limit.rs
+++ b/crates/gateway/tests/all/limit.rs
@@ -27,8 +27,8 @@
 
 use crate::gateway::ask;
 use crate::gateway::blank;
-use crate::support::beat;
 use crate::support::entry;
+use crate::support::heartbeat;
 use crate::support::millis;
 use crate::support::table;
 use crate::support::upstream;
@@ -77,8 +77,8 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let now = millis(now);
     let _ = gateway.knowledge.confirm(now, now);
-    gateway.roster.beat(Vec::new(), now, &mut rng);
-    gateway.beat_limits(now);
+    gateway.roster.next_heartbeat(Vec::new(), now, &mut rng);
+    gateway.heartbeat_limits(now);
     gateway.loans(now);
 }
 
@@ -278,8 +278,8 @@
         ..entry(number, 1, now)
     };
     let address = from.peers;
-    let beat = beat(from);
-    gateway.roster.hear(&beat, millis(now));
+    let heartbeat = heartbeat(from);
+    gateway.roster.hear(&heartbeat, millis(now));
     address
 }
 
@@ -289,7 +289,7 @@
     let now = millis(now);
     let mut homes = Vec::new();
     for _ in 0..2 {
-        gateway.roster.beat(Vec::new(), now, &mut rng);
+        gateway.roster.next_heartbeat(Vec::new(), now, &mut rng);
         let loans = gateway.loans(now).into_iter();
         homes.extend(loans.map(|(home, _)| home));
     }
--- a/crates/gateway/tests/all/load.rs
+++ b/crates/gateway/tests/all/load.rs
@@ -46,10 +46,10 @@
 }
 
 /// Delivers a heartbeat of every other gateway and a confirmation of the store.
-fn deliver_heartbeats(gateway: &mut Gateway, beat: u64, now: u64) {
+fn deliver_heartbeats(gateway: &mut Gateway, heartbeats: u64, now: u64) {
     for number in 1..GATEWAYS {
-        let beat = support::beat(entry(number, 1, beat));
-        gateway.roster.hear(&beat, millis(now));
+        let heartbeat = support::heartbeat(entry(number, 1, heartbeats));
+        gateway.roster.hear(&heartbeat, millis(now));
     }
     let _ = gateway.knowledge.confirm(millis(now), millis(now));
 }
--- a/crates/gateway/tests/all/neighbour.rs
+++ b/crates/gateway/tests/all/neighbour.rs
@@ -1,7 +1,7 @@
 //! Gossip membership: which gateways are live, which are readers, and what a heartbeat costs.
 
-use auburnline_gateway::message::Beat;
 use auburnline_gateway::message::Entry;
+use auburnline_gateway::message::Heartbeat;
 use auburnline_gateway::neighbour::LIFE;
 use auburnline_gateway::neighbour::Roster;
 use googletest::prelude::*;
@@ -10,12 +10,12 @@
 
 use crate::support::millis;
 
-fn entry(name: &str, incarnation: u64, beat: u64, is_ready: bool) -> Entry {
+fn entry(name: &str, incarnation: u64, heartbeats: u64, is_ready: bool) -> Entry {
     let number: u16 = name.bytes().map(u16::from).sum();
     Entry {
         instance: name.into(),
         incarnation,
-        beat,
+        heartbeats,
         failure_domain: "north".into(),
         callers: format!("10.0.0.1:{number}").parse().expect("an address"),
         peers: format!("10.0.0.2:{number}").parse().expect("an address"),
@@ -25,8 +25,8 @@
     }
 }
 
-fn beat(from: Entry, others: Vec<Entry>) -> Beat {
-    Beat {
+fn heartbeat(from: Entry, others: Vec<Entry>) -> Heartbeat {
+    Heartbeat {
         from,
         counts: Vec::new(),
         others,
@@ -46,7 +46,7 @@
 fn a_gateway_that_others_heard_of_is_offered() {
     let mut roster = roster();
     let others = vec![entry("c", 1, 4, true)];
-    roster.hear(&beat(entry("b", 1, 9, true), others), millis(100));
+    roster.hear(&heartbeat(entry("b", 1, 9, true), others), millis(100));
     assert_that!(roster.live(millis(100)), eq(3));
     assert_that!(offered(&roster, 100), eq(3));
 }
@@ -54,7 +54,7 @@
 #[gtest]
 fn a_silent_gateway_is_offered_no_more() {
     let mut roster = roster();
-    roster.hear(&beat(entry("b", 1, 9, true), Vec::new()), millis(100));
+    roster.hear(&heartbeat(entry("b", 1, 9, true), Vec::new()), millis(100));
     assert_that!(roster.live(millis(100) + LIFE), eq(1));
     assert_that!(offered(&roster, 5_000), eq(1));
     assert_that!(roster.most(), eq(2));
@@ -63,10 +63,13 @@
 #[gtest]
 fn relayed_news_of_the_same_beat_keeps_no_gateway_alive() {
     let mut roster = roster();
-    roster.hear(&beat(entry("c", 1, 9, true), Vec::new()), millis(0));
+    roster.hear(&heartbeat(entry("c", 1, 9, true), Vec::new()), millis(0));
     for tick in 1..20 {
         let others = vec![entry("c", 1, 9, true)];
-        roster.hear(&beat(entry("b", 1, tick, true), others), millis(tick * 300));
+        roster.hear(
+            &heartbeat(entry("b", 1, tick, true), others),
+            millis(tick * 300),
+        );
     }
     assert_that!(roster.live(millis(5_700)), eq(2));
 }
@@ -74,8 +77,11 @@
 #[gtest]
 fn a_gateway_that_leaves_is_offered_no_more_at_once() {
     let mut roster = roster();
-    roster.hear(&beat(entry("b", 1, 9, true), Vec::new()), millis(0));
-    let news = roster.hear(&beat(entry("b", 1, 10, false), Vec::new()), millis(100));
+    roster.hear(&heartbeat(entry("b", 1, 9, true), Vec::new()), millis(0));
+    let news = roster.hear(
+        &heartbeat(entry("b", 1, 10, false), Vec::new()),
+        millis(100),
+    );
     assert_that!(news, len(eq(1)));
     assert_that!(offered(&roster, 100), eq(1));
 }
@@ -83,16 +89,16 @@
 #[gtest]
 fn relayed_news_of_an_earlier_incarnation_does_not_replace_the_current_one() {
     let mut roster = roster();
-    roster.hear(&beat(entry("c", 2, 1, true), Vec::new()), millis(0));
+    roster.hear(&heartbeat(entry("c", 2, 1, true), Vec::new()), millis(0));
     let others = vec![entry("c", 1, 900, false)];
-    roster.hear(&beat(entry("b", 1, 1, true), others), millis(100));
+    roster.hear(&heartbeat(entry("b", 1, 1, true), others), millis(100));
     assert_that!(offered(&roster, 100), eq(3));
 }
 
 #[gtest]
 fn a_process_that_stood_still_does_not_take_all_others_for_dead() {
     let mut roster = roster();
-    roster.hear(&beat(entry("b", 1, 9, true), Vec::new()), millis(0));
+    roster.hear(&heartbeat(entry("b", 1, 9, true), Vec::new()), millis(0));
     roster.pause(millis(4_000));
     assert_that!(roster.live(millis(4_100)), eq(2));
 }
@@ -105,7 +111,7 @@
     let mut far = entry("b", 1, 9, true);
     far.failure_domain = "south".into();
     let far_address = far.peers;
-    roster.hear(&beat(far, Vec::new()), millis(0));
+    roster.hear(&heartbeat(far, Vec::new()), millis(0));
     let (readers, is_reader) = roster.readers(millis(0));
     assert_that!((readers, is_reader), eq(&(Vec::new(), true)));
     roster.set_cut(true);
@@ -119,10 +125,10 @@
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     for number in 0..300 {
         let from = entry(&format!("gateway-{number}"), 1, 1, true);
-        roster.hear(&beat(from, Vec::new()), millis(0));
+        roster.hear(&heartbeat(from, Vec::new()), millis(0));
     }
-    let beat = roster.beat(Vec::new(), millis(100), &mut rng);
-    assert_that!(beat.others.len(), le(12));
+    let heartbeat = roster.next_heartbeat(Vec::new(), millis(100), &mut rng);
+    assert_that!(heartbeat.others.len(), le(12));
     assert_that!(roster.targets(millis(100), &mut rng).len(), le(6));
 }
 
@@ -137,7 +143,7 @@
         for other in (0..6).filter(|other| *other != own) {
             let mut from = entry(&format!("g-{other}"), 1, 1, true);
             from.is_cut = true;
-            roster.hear(&beat(from, Vec::new()), millis(0));
+            roster.hear(&heartbeat(from, Vec::new()), millis(0));
         }
         let (others, is_reader) = roster.readers(millis(0));
         readers += usize::from(is_reader);
--- a/crates/gateway/tests/all/quarantine.rs
+++ b/crates/gateway/tests/all/quarantine.rs
@@ -171,7 +171,7 @@
     const BEAT: u64 = 300;
     const FANOUT: usize = 6;
 
-    fn beat(&mut self, now: Monotonic) {
+    fn heartbeat(&mut self, now: Monotonic) {
         for sender in 0..self.gateways.len() {
             let marks = self.gateways[sender].marks(now);
             let others = (0..self.gateways.len()).filter(|other| *other != sender);
@@ -191,7 +191,7 @@
             let at = tick * 100;
             let now = Duration::from_millis(at);
             if at % Self::BEAT == 0 {
-                self.beat(now);
+                self.heartbeat(now);
             }
             if let Some(restart) = restart.filter(|restart| at % restart == 0) {
                 let number = usize::try_from(at / restart).expect("small") % self.gateways.len();
--- a/crates/gateway/tests/all/restore/mod.rs
+++ b/crates/gateway/tests/all/restore/mod.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use auburnline_gateway::Gateway;
-use auburnline_gateway::message::Beat;
+use auburnline_gateway::message::Heartbeat;
 use auburnline_gateway::route::Table;
 use auburnline_gateway::route::Version;
 use auburnline_gateway::spread::Answer;
@@ -88,8 +88,8 @@
 
 #[derive(Clone)]
 enum Message {
-    Beat(Beat),
-    Introduction(Beat),
+    Heartbeat(Heartbeat),
+    Introduction(Heartbeat),
     Question(Question),
     Answer(Answer),
     Behind(Option<Version>),
--- a/crates/gateway/tests/all/restore/world.rs
+++ b/crates/gateway/tests/all/restore/world.rs
@@ -126,16 +126,16 @@
         let now = self.now.saturating_sub(node.started);
         let gateway = &mut node.gateway;
         let reply = match message {
-            Message::Beat(beat) => {
-                let is_back = gateway.roster.is_back(&beat, now);
-                gateway.roster.hear(&beat, now);
+            Message::Heartbeat(heartbeat) => {
+                let is_back = gateway.roster.is_back(&heartbeat, now);
+                gateway.roster.hear(&heartbeat, now);
                 is_back.then(|| {
                     let mut rng = ChaCha8Rng::from_rng(&mut self.rng);
                     Message::Introduction(gateway.introduction(now, &mut rng))
                 })
             }
-            Message::Introduction(beat) => {
-                gateway.roster.hear(&beat, now);
+            Message::Introduction(heartbeat) => {
+                gateway.roster.hear(&heartbeat, now);
                 None
             }
             Message::Question(question) => {
@@ -229,12 +229,15 @@
         let now = self.now.saturating_sub(node.started);
         let mut messages = Vec::new();
         if steps.is_multiple_of(BEAT_STEPS) {
-            let beat = node.gateway.roster.beat(Vec::new(), now, &mut rng);
+            let heartbeat = node
+                .gateway
+                .roster
+                .next_heartbeat(Vec::new(), now, &mut rng);
             let targets = node.gateway.roster.targets(now, &mut rng);
             messages.extend(
                 targets
                     .into_iter()
-                    .map(|to| (to, Message::Beat(beat.clone()))),
+                    .map(|to| (to, Message::Heartbeat(heartbeat.clone()))),
             );
             if let Some(ahead) = node.gateway.catch_up(now) {
                 messages.push((ahead, Message::Behind(node.gateway.version())));
--- a/crates/gateway/tests/all/support.rs
+++ b/crates/gateway/tests/all/support.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use auburnline_gateway::message::Beat;
 use auburnline_gateway::message::Entry;
+use auburnline_gateway::message::Heartbeat;
 use auburnline_gateway::route::Content;
 use auburnline_gateway::route::Engine;
 use auburnline_gateway::route::Kind;
@@ -109,11 +109,11 @@
 }
 
 /// Returns the entry that a gateway announces of itself.
-pub(crate) fn entry(number: u16, incarnation: u64, beat: u64) -> Entry {
+pub(crate) fn entry(number: u16, incarnation: u64, heartbeats: u64) -> Entry {
     Entry {
         instance: format!("front-{number}").into(),
         incarnation,
-        beat,
+        heartbeats,
         failure_domain: "north".into(),
         callers: ([10, 0, 1, 1], number).into(),
         peers: ([10, 0, 2, 1], number).into(),
@@ -124,8 +124,8 @@
 }
 
 /// Returns a heartbeat that only announces its sender.
-pub(crate) fn beat(from: Entry) -> Beat {
-    Beat {
+pub(crate) fn heartbeat(from: Entry) -> Heartbeat {
+    Heartbeat {
         from,
         counts: Vec::new(),
         others: Vec::new(),
--- a/crates/gateway/tests/all/version.rs
+++ b/crates/gateway/tests/all/version.rs
@@ -31,13 +31,13 @@
     Gateway::new("north".into(), BOUNDS, roster, 7)
 }
 
-fn hear(gateway: &mut Gateway, number: u16, beat: u64, version: Option<Version>, now: u64) {
+fn hear(gateway: &mut Gateway, number: u16, heartbeats: u64, version: Option<Version>, now: u64) {
     let from = Entry {
-        beat,
+        heartbeats,
         ..serving(number, version)
     };
-    let beat = support::beat(from);
-    gateway.roster.hear(&beat, millis(now));
+    let heartbeat = support::heartbeat(from);
+    gateway.roster.hear(&heartbeat, millis(now));
 }
 
 /// Guards against a starting gateway that serves with a restored store's configuration while others
@@ -108,11 +108,15 @@
         let mut gateway = gateway(&[peers(2), peers(3)]);
         gateway.set_table(table(15));
         gateway.confirm(millis(10), millis(20));
-        gateway.roster.hear(&support::beat(starting(2)), millis(30));
+        gateway
+            .roster
+            .hear(&support::heartbeat(starting(2)), millis(30));
         gateway.settle(millis(30));
         expect_that!(gateway.is_able(millis(30)), eq(false));
         if others_start {
-            gateway.roster.hear(&support::beat(starting(3)), millis(60));
+            gateway
+                .roster
+                .hear(&support::heartbeat(starting(3)), millis(60));
         } else {
             hear(&mut gateway, 3, 9, Some(20), 60);
         }
@@ -200,9 +204,9 @@
 #[gtest]
 fn a_gateway_that_starts_asks_no_other_one_before_the_store_has_answered_and_then_one_a_beat() {
     let mut gateway = gateway(&[peers(2)]);
-    for beat in 1..5 {
-        hear(&mut gateway, 2, beat, Some(20), beat);
-        expect_that!(gateway.catch_up(millis(beat)), none());
+    for heartbeat in 1..5 {
+        hear(&mut gateway, 2, heartbeat, Some(20), heartbeat);
+        expect_that!(gateway.catch_up(millis(heartbeat)), none());
     }
     gateway.set_table(table(15));
     gateway.confirm(millis(10), millis(20));
--- a/crates/quota/src/home.rs
+++ b/crates/quota/src/home.rs
@@ -102,19 +102,19 @@
 pub struct Home {
     buckets: BTreeMap<UpstreamTag, TokenBucket>,
     /// This gateway's heartbeats within the last [`LEASE`], oldest first, with the time each was sent.
-    beats: VecDeque<(u64, Monotonic)>,
+    heartbeats: VecDeque<(u64, Monotonic)>,
     /// Largest number of gateways that any lender has seen live at the same time.
     fleet: u32,
 }
 
 impl Home {
     /// Records that this gateway sends a heartbeat, and drops limits without valid shares.
-    pub fn sent(&mut self, beat: u64, now: Monotonic) {
-        self.beats.push_back((beat, now));
-        while let Some((_, at)) = self.beats.front()
+    pub fn sent(&mut self, heartbeat: u64, now: Monotonic) {
+        self.heartbeats.push_back((heartbeat, now));
+        while let Some((_, at)) = self.heartbeats.front()
             && now.saturating_sub(*at) >= LEASE
         {
-            self.beats.pop_front();
+            self.heartbeats.pop_front();
         }
         self.buckets
             .retain(|_, bucket| bucket.shares.values().any(|until| now < *until));
@@ -129,8 +129,8 @@
         now: Monotonic,
     ) {
         self.fleet = self.fleet.max(loan.fleet);
-        let mut beats = self.beats.iter();
-        let Some((_, sent)) = beats.find(|(beat, _)| *beat == loan.beat) else {
+        let mut heartbeats = self.heartbeats.iter();
+        let Some((_, sent)) = heartbeats.find(|(heartbeat, _)| *heartbeat == loan.heartbeat) else {
             return;
         };
         let until = *sent + LEASE;
--- a/crates/quota/src/loan.rs
+++ b/crates/quota/src/loan.rs
@@ -25,13 +25,13 @@
 
 /// The latest heartbeat of a home known to a lender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sign<'a> {
+pub struct Heartbeat<'a> {
     /// Name of the home's instance.
     pub home: &'a InstanceId,
     /// Incarnation of the home.
     pub incarnation: Incarnation,
     /// Sequence number of the heartbeat.
-    pub beat: u64,
+    pub heartbeat: u64,
     /// When the heartbeat was received, on the lender's clock.
     pub heard: Monotonic,
     /// Address of the home for messages from other gateways.
@@ -48,7 +48,7 @@
     /// Incarnation of the home that the loan is meant for; another one ignores the shares.
     pub incarnation: Incarnation,
     /// Heartbeat of the home from which the lease is measured.
-    pub beat: u64,
+    pub heartbeat: u64,
     /// Limits whose shares are lent, as the lender knows them.
     pub limits: Vec<Notice>,
 }
@@ -77,16 +77,21 @@
 
 impl Lender {
     /// Lends the share of a limit to a home on the basis of its latest heartbeat, unless another home may still count it.
-    pub fn lend(&mut self, upstream: UpstreamTag, sign: &Sign<'_>, now: Monotonic) -> Outcome {
+    pub fn lend(
+        &mut self,
+        upstream: UpstreamTag,
+        heartbeat: &Heartbeat<'_>,
+        now: Monotonic,
+    ) -> Outcome {
         // Loans made before a restart are not recorded, but expire within a lease.
         if now < LEASE {
             return Outcome::Held;
         }
-        let until = sign.heard + LEASE;
+        let until = heartbeat.heard + LEASE;
         let known = self.0.get_mut(&upstream);
         if let Some(lent) = known {
-            if lent.home == *sign.home {
-                lent.address = sign.address;
+            if lent.home == *heartbeat.home {
+                lent.address = heartbeat.address;
                 lent.until = lent.until.max(until);
                 return Outcome::Renewed;
             }
@@ -95,8 +100,8 @@
             }
         }
         let lent = ActiveLoan {
-            home: sign.home.clone(),
-            address: sign.address,
+            home: heartbeat.home.clone(),
+            address: heartbeat.address,
             until,
         };
         self.0.insert(upstream, lent);
--- a/crates/quota/tests/all/home.rs
+++ b/crates/quota/tests/all/home.rs
@@ -22,7 +22,7 @@
     Duration::from_millis(number)
 }
 
-fn loan(lender: LenderTag, beat: u64, fleet: u32) -> Loan {
+fn loan(lender: LenderTag, heartbeat: u64, fleet: u32) -> Loan {
     let notice = Notice {
         upstream: UPSTREAM,
         rate: Some(RATE),
@@ -32,7 +32,7 @@
         lender,
         fleet,
         incarnation: 1,
-        beat,
+        heartbeat,
         limits: vec![notice],
     }
 }
@@ -46,10 +46,10 @@
     let mut granted = 0;
     for now in (from..until).step_by(10) {
         if now % PERIOD == 0 {
-            let beat = now / PERIOD;
-            home.sent(beat, millis(now));
+            let heartbeat = now / PERIOD;
+            home.sent(heartbeat, millis(now));
             for lender in 0..lenders {
-                home.borrow(&loan(lender, beat, FLEET), rate, millis(now));
+                home.borrow(&loan(lender, heartbeat, FLEET), rate, millis(now));
             }
         }
         let permit = home.permit(UPSTREAM, RATE, millis(now));
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -6,8 +6,8 @@
 
 use auburnline_core::hash::stable;
 use auburnline_core::time::Monotonic;
-use auburnline_gateway::message::Beat;
 use auburnline_gateway::message::Datagram;
+use auburnline_gateway::message::Heartbeat;
 use auburnline_gateway::neighbour::MAX_COUNTS;
 use auburnline_gateway::neighbour::PERIOD;
 use auburnline_gateway::route::ServiceId;
@@ -33,7 +33,7 @@
 
 /// Heartbeats between two queries to the readers of the store: 0.6 s, so that the state known stays some seconds
 /// younger than the revocation bound, and removals are known well within the draining bound.
-const BEATS_PER_QUERY: u64 = 2;
+const HEARTBEATS_PER_QUERY: u64 = 2;
 
 /// Sends a heartbeat every [`PERIOD`] and handles messages as they arrive, for as long as the process runs.
 pub(crate) async fn run(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
@@ -75,18 +75,18 @@
         let silent_ms = crate::telemetry::millis(change.silent);
         log::info!(target: "groups", group = &*change.group, is_still = change.is_still, silent_ms; "group stall state changed");
     }
-    let (beat, targets) = {
+    let (heartbeat, targets) = {
         let mut gateway = shared.gateway();
         gateway.tick(now);
         let counts = gateway.pool.counts(MAX_COUNTS);
-        let beat = gateway.roster.beat(counts, now, rng);
-        (beat, gateway.roster.targets(now, rng))
+        let heartbeat = gateway.roster.next_heartbeat(counts, now, rng);
+        (heartbeat, gateway.roster.targets(now, rng))
     };
-    let beats = beat.from.beat;
-    let message = Datagram::Beat(beat);
+    let heartbeats = heartbeat.from.heartbeats;
+    let message = Datagram::Heartbeat(heartbeat);
     let marks = shared.gateway().quarantine.marks(now);
     let crashes = (!marks.is_empty()).then_some(Datagram::Crashes(marks));
-    let notices = shared.gateway().beat_limits(now);
+    let notices = shared.gateway().heartbeat_limits(now);
     let limits = (!notices.is_empty()).then_some(Datagram::Limits(notices));
     let messages = [Some(message), crashes, limits];
     for target in targets {
@@ -96,7 +96,7 @@
     limit::lend(shared);
     request_newer_configuration(shared, now);
     let is_awaiting = shared.gateway().spread.awaits_configuration();
-    if is_awaiting || beats.is_multiple_of(BEATS_PER_QUERY) {
+    if is_awaiting || heartbeats.is_multiple_of(HEARTBEATS_PER_QUERY) {
         query_readers(shared, now);
     }
 }
@@ -141,15 +141,15 @@
 
 fn handle_message(shared: &Rc<Shared>, bytes: &[u8], from: SocketAddr) {
     match postcard::from_bytes(bytes) {
-        Ok(Datagram::Beat(beat)) => {
-            let is_back = shared.gateway().roster.is_back(&beat, shared.now());
-            let is_back = is_back && beat.from.peers == from;
-            handle_beat(shared, beat);
+        Ok(Datagram::Heartbeat(heartbeat)) => {
+            let is_back = shared.gateway().roster.is_back(&heartbeat, shared.now());
+            let is_back = is_back && heartbeat.from.peers == from;
+            handle_heartbeat(shared, heartbeat);
             if is_back {
                 introduce(shared, from);
             }
         }
-        Ok(Datagram::Introduction(beat)) => handle_beat(shared, beat),
+        Ok(Datagram::Introduction(heartbeat)) => handle_heartbeat(shared, heartbeat),
         Ok(Datagram::Ask(ask)) => {
             let members = shared.gateway().members(&ask, shared.now());
             shared.send(&Message::Members(members), from);
@@ -201,14 +201,14 @@
     }
 }
 
-fn handle_beat(shared: &Shared, beat: Beat) {
+fn handle_heartbeat(shared: &Shared, heartbeat: Heartbeat) {
     let now = shared.now();
     let mut gateway = shared.gateway();
-    for news in gateway.roster.hear(&beat, now) {
+    for news in gateway.roster.hear(&heartbeat, now) {
         log::info!(target: "neighbours", instance = &*news.instance, is_ready = news.is_ready; "heard");
     }
-    let neighbour = stable(0, beat.from.instance.as_bytes());
-    gateway.pool.set_elsewhere(neighbour, beat.counts, now);
+    let neighbour = stable(0, heartbeat.from.instance.as_bytes());
+    gateway.pool.set_elsewhere(neighbour, heartbeat.counts, now);
     let waits_to_serve = gateway.waits_to_serve(now);
     drop(gateway);
     if waits_to_serve {
@@ -222,7 +222,7 @@
 fn introduce(shared: &Shared, to: SocketAddr) {
     let now = shared.now();
     let gateway = shared.gateway();
-    let beat = gateway.introduction(now, &mut SmallRng::from_os_rng());
+    let heartbeat = gateway.introduction(now, &mut SmallRng::from_os_rng());
     drop(gateway);
-    shared.send(&Datagram::Introduction(beat), to);
+    shared.send(&Datagram::Introduction(heartbeat), to);
 }
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -134,9 +134,9 @@
     let mut gateway = shared.gateway();
     let heard = gateway.hear_loan(loan, from, now);
     let counts = gateway.pool.counts(MAX_COUNTS);
-    let beat = gateway.roster.word(counts, now);
+    let heartbeat = gateway.roster.own_heartbeat(counts, now);
     drop(gateway);
-    shared.send(&Datagram::Beat(beat), from);
+    shared.send(&Datagram::Heartbeat(heartbeat), from);
     for news in &heard {
         log_limit_change(news, "");
     }
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -69,7 +69,7 @@
     let entry = Entry {
         instance: settings.instance.as_str().into(),
         incarnation,
-        beat: 0,
+        heartbeats: 0,
         failure_domain: settings.failure_domain.as_str().into(),
         callers: settings.callers,
         peers: settings.peers,
