--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -309,9 +309,9 @@
     }
 
     /// Applies the digest of a group's leader; returns what it changed.
-    pub fn hear(&mut self, digest: &Digest, now: Monotonic) -> Update {
-        let has_slowed = self.pool.reports.hear(digest, now);
-        let is_changed = self.groups.hear(digest, now);
+    pub fn apply_digest(&mut self, digest: &Digest, now: Monotonic) -> Update {
+        let has_slowed = self.pool.reports.apply(digest, now);
+        let is_changed = self.groups.apply_digest(digest, now);
         if is_changed {
             // A group forms with the initial map, on which passes take longer than those seen
             // before.
--- a/crates/gateway/src/group.rs
+++ b/crates/gateway/src/group.rs
@@ -66,7 +66,7 @@
 impl Groups {
     /// Records the report of a group's leader; returns whether the group became available or
     /// unavailable.
-    pub fn hear(&mut self, digest: &Digest, now: Monotonic) -> bool {
+    pub fn apply_digest(&mut self, digest: &Digest, now: Monotonic) -> bool {
         let group = GroupId::from(digest.group.as_str());
         let is_known = self.states.contains_key(&group);
         if !is_known && self.states.len() >= MAX_GROUPS {
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -173,7 +173,7 @@
 
     /// Records the limits that another gateway reports; returns what changed. Upstreams that are
     /// not known here yet are left out, since limits are reported repeatedly.
-    pub fn hear_limits(
+    pub fn receive_limits(
         &mut self,
         notices: &[Notice],
         from: SocketAddr,
@@ -182,7 +182,7 @@
         let known: HashMap<StartTag, &Arc<Upstream>> = self.pool.starts().collect();
         let is_known = |notice: &&Notice| known.contains_key(&notice.upstream);
         let notices: Vec<Notice> = notices.iter().filter(is_known).copied().collect();
-        let heard = self.limits.book.hear(&notices, from, now);
+        let heard = self.limits.book.merge(&notices, from, now);
         let news = heard.into_iter().filter_map(|news: book::News| {
             self.limits.reopen(news);
             Some(News {
@@ -271,8 +271,8 @@
 
     /// Records shares that another gateway lends to this one; returns what the loan changed in the
     /// known limits.
-    pub fn hear_loan(&mut self, loan: &Loan, from: SocketAddr, now: Monotonic) -> Vec<News> {
-        let news = self.hear_limits(&loan.limits, from, now);
+    pub fn receive_loan(&mut self, loan: &Loan, from: SocketAddr, now: Monotonic) -> Vec<News> {
+        let news = self.receive_limits(&loan.limits, from, now);
         if loan.incarnation == self.roster.me().incarnation {
             self.borrow(loan, now);
         }
--- a/crates/gateway/src/neighbour.rs
+++ b/crates/gateway/src/neighbour.rs
@@ -232,7 +232,7 @@
     }
 
     /// Merges a heartbeat; returns which gateways are new, back, or have changed their readiness.
-    pub fn hear(&mut self, heartbeat: &Heartbeat, now: Monotonic) -> Vec<Update> {
+    pub fn receive(&mut self, heartbeat: &Heartbeat, now: Monotonic) -> Vec<Update> {
         let mut updates = Vec::new();
         updates.extend(self.merge(&heartbeat.from, true, now));
         for entry in &heartbeat.others {
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -185,7 +185,7 @@
     }
 
     /// Merges the marks of another gateway; returns the requests that these put into quarantine.
-    pub fn hear(&mut self, marks: &[Mark], now: Monotonic) -> Vec<Fingerprint> {
+    pub fn merge(&mut self, marks: &[Mark], now: Monotonic) -> Vec<Fingerprint> {
         let now = timestamp(now);
         let mut held = Vec::new();
         for mark in marks {
--- a/crates/gateway/src/report.rs
+++ b/crates/gateway/src/report.rs
@@ -49,7 +49,7 @@
 
 impl Reports {
     /// Applies the report of a leader; returns whether a rank has become slower than before.
-    pub fn hear(&mut self, digest: &Digest, now: Monotonic) -> bool {
+    pub fn apply(&mut self, digest: &Digest, now: Monotonic) -> bool {
         let mut has_slowed = false;
         for reported in &digest.engines {
             let report = self.0.entry(reported.engine).or_default();
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -369,7 +369,7 @@
 
     /// Applies the answer of a reader. Returns the new changes and, if it confirms that everything
     /// up to now is known, the time as of which it does.
-    pub fn hear(&mut self, answer: Answer) -> (Vec<Published>, Option<Monotonic>) {
+    pub fn apply_answer(&mut self, answer: Answer) -> (Vec<Published>, Option<Monotonic>) {
         let Some(known) = self.revision else {
             return (Vec::new(), None);
         };
--- a/crates/gateway/tests/all/fleet/world.rs
+++ b/crates/gateway/tests/all/fleet/world.rs
@@ -147,7 +147,7 @@
             match event {
                 Event::Tick => self.tick(node, at),
                 Event::Request => self.request(node, at),
-                Event::Deliver(from, message) => self.hear(node, from, message, at),
+                Event::Deliver(from, message) => self.receive(node, from, message, at),
                 Event::Answer(upstream, sent) => self.answer(node, upstream, sent, at),
                 Event::Fault(_) => {}
             }
@@ -226,13 +226,13 @@
         self.schedule(now + PERIOD, number, Event::Tick);
     }
 
-    fn hear(&mut self, number: usize, from: usize, message: Message, now: Time) {
+    fn receive(&mut self, number: usize, from: usize, message: Message, now: Time) {
         let (node, local) = self.at(number, now);
         let gateway = &mut node.gateway;
         match message {
             Message::Heartbeat(heartbeat) => {
                 let is_back = gateway.roster.is_back(&heartbeat, local);
-                gateway.roster.hear(&heartbeat, local);
+                gateway.roster.receive(&heartbeat, local);
                 if is_back {
                     let mut rng = ChaCha8Rng::from_rng(&mut self.rng);
                     let (node, local) = self.at(number, now);
@@ -241,13 +241,13 @@
                 }
             }
             Message::Introduction(heartbeat) => {
-                gateway.roster.hear(&heartbeat, local);
+                gateway.roster.receive(&heartbeat, local);
             }
             Message::Limits(notices) => {
-                gateway.hear_limits(&notices, peers(from), local);
+                gateway.receive_limits(&notices, peers(from), local);
             }
             Message::Loan(loan) => {
-                gateway.hear_loan(&loan, peers(from), local);
+                gateway.receive_loan(&loan, peers(from), local);
                 let word = gateway.roster.own_heartbeat(Vec::new(), local);
                 self.send(number, peers(from), Message::Heartbeat(word), now);
             }
--- a/crates/gateway/tests/all/group.rs
+++ b/crates/gateway/tests/all/group.rs
@@ -25,11 +25,11 @@
 fn a_lead_tells_who_runs_together() {
     let mut groups = Groups::default();
     assert_that!(
-        groups.hear(&digest("g0", true, &[1, 2]), millis(0)),
+        groups.apply_digest(&digest("g0", true, &[1, 2]), millis(0)),
         eq(true)
     );
     assert_that!(
-        groups.hear(&digest("g0", true, &[2, 3]), millis(10)),
+        groups.apply_digest(&digest("g0", true, &[2, 3]), millis(10)),
         eq(false)
     );
     let group = |port: u16| {
@@ -46,7 +46,7 @@
 #[gtest]
 fn a_group_that_is_said_to_be_shut_is_believed_for_a_while_only() {
     let mut groups = Groups::default();
-    groups.hear(&digest("g0", false, &[1]), millis(0));
+    groups.apply_digest(&digest("g0", false, &[1]), millis(0));
     assert_that!(groups.is_shut("g0", millis(500)), eq(true));
     assert_that!(groups.is_shut("g0", millis(2_500)), eq(false));
     assert_that!(groups.is_shut("g1", millis(500)), eq(false));
@@ -58,7 +58,7 @@
 fn a_group_stands_still_once_neither_its_lead_nor_its_streams_are_heard() {
     let mut groups = Groups::default();
     let group = "g0".into();
-    groups.hear(&digest("g0", true, &[1]), millis(0));
+    groups.apply_digest(&digest("g0", true, &[1]), millis(0));
     groups.record_event(&group, millis(400));
     assert_that!(groups.is_stalled("g0", millis(900)), eq(false));
     assert_that!(groups.is_stalled("g0", millis(1_200)), eq(true));
@@ -73,14 +73,14 @@
 #[gtest]
 fn a_group_that_comes_to_stand_still_is_told_once_and_so_is_its_end() {
     let mut groups = Groups::default();
-    groups.hear(&digest("g0", true, &[1]), millis(0));
+    groups.apply_digest(&digest("g0", true, &[1]), millis(0));
     assert_that!(groups.look(millis(300)), is_empty());
     let changes = groups.look(millis(900));
     assert_that!(changes.len(), eq(1));
     assert_that!(changes[0].is_still, eq(true));
     assert_that!(changes[0].silent, eq(millis(900)));
     assert_that!(groups.look(millis(1_200)), is_empty());
-    groups.hear(&digest("g0", true, &[1]), millis(1_300));
+    groups.apply_digest(&digest("g0", true, &[1]), millis(1_300));
     let changes = groups.look(millis(1_400));
     assert_that!(
         changes
--- a/crates/gateway/tests/all/limit.rs
+++ b/crates/gateway/tests/all/limit.rs
@@ -67,7 +67,7 @@
             is_open: true,
             engines: ranks.map(busy).to_vec(),
         };
-        gateway.hear(&digest, millis(2_100));
+        gateway.apply_digest(&digest, millis(2_100));
     }
     gateway
 }
@@ -220,7 +220,7 @@
         is_open: true,
         engines: vec![busy(0, 1_200), busy(1, 100)],
     };
-    gateway.hear(&slowed, millis(now));
+    gateway.apply_digest(&slowed, millis(now));
 }
 
 /// Guards against a stream that leaves its slow rank and then breaks off because no other rank
@@ -279,7 +279,7 @@
     };
     let address = from.peers;
     let heartbeat = heartbeat(from);
-    gateway.roster.hear(&heartbeat, millis(now));
+    gateway.roster.receive(&heartbeat, millis(now));
     address
 }
 
--- a/crates/gateway/tests/all/load.rs
+++ b/crates/gateway/tests/all/load.rs
@@ -49,7 +49,7 @@
 fn deliver_heartbeats(gateway: &mut Gateway, heartbeats: u64, now: u64) {
     for number in 1..GATEWAYS {
         let heartbeat = support::heartbeat(entry(number, 1, heartbeats));
-        gateway.roster.hear(&heartbeat, millis(now));
+        gateway.roster.receive(&heartbeat, millis(now));
     }
     let _ = gateway.knowledge.confirm(millis(now), millis(now));
 }
@@ -95,13 +95,13 @@
 #[gtest]
 fn a_wave_of_callers_fills_an_empty_group_once_and_not_once_for_each_gateway() {
     let mut gateway = gateway(1);
-    gateway.hear(&digest(0, 0), millis(1_000));
+    gateway.apply_digest(&digest(0, 0), millis(1_000));
     let sent = flood(&mut gateway, 1_000);
     let slots = u32::from(RANKS) * 12;
     assert_that!(sent, ge(1));
     assert_that!(sent * u32::from(GATEWAYS), le(slots + u32::from(GATEWAYS)));
     // The leader's next report gives new headroom.
-    gateway.hear(&digest(0, 1), millis(1_200));
+    gateway.apply_digest(&digest(0, 1), millis(1_200));
     assert_that!(flood(&mut gateway, 1_200), ge(1));
 }
 
@@ -152,7 +152,7 @@
 #[gtest]
 fn a_group_that_its_lead_calls_full_takes_nothing() {
     let mut gateway = gateway(1);
-    gateway.hear(&digest(0, 12), millis(1_000));
+    gateway.apply_digest(&digest(0, 12), millis(1_000));
     assert_that!(flood(&mut gateway, 1_000), eq(0));
 }
 
@@ -160,9 +160,9 @@
 #[gtest]
 fn a_group_that_stands_still_gets_nothing_while_another_serves() {
     let mut gateway = gateway(2);
-    gateway.hear(&digest(0, 0), millis(1_000));
-    gateway.hear(&digest(1, 0), millis(1_000));
-    gateway.hear(&digest(1, 0), millis(1_900));
+    gateway.apply_digest(&digest(0, 0), millis(1_000));
+    gateway.apply_digest(&digest(1, 0), millis(1_000));
+    gateway.apply_digest(&digest(1, 0), millis(1_900));
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 2_000).expect("a plan");
     for _ in 0..8 {
         let (_, group) = gateway
@@ -177,16 +177,16 @@
     let mut reports = Reports::default();
     let engine = engine(0, 0);
     assert_that!(reports.load(engine, millis(0)), none());
-    reports.hear(&digest(0, 5), millis(0));
+    reports.apply(&digest(0, 5), millis(0));
     reports.sent(engine);
     reports.sent(engine);
     let requests =
         |reports: &Reports, now| reports.load(engine, millis(now)).map(|load| load.requests);
     assert_that!(requests(&reports, 100), some(eq(7)));
     // Half of them may have arrived after the rank's load was sampled.
-    reports.hear(&digest(0, 6), millis(200));
+    reports.apply(&digest(0, 6), millis(200));
     assert_that!(requests(&reports, 300), some(eq(7)));
-    reports.hear(&digest(0, 6), millis(400));
+    reports.apply(&digest(0, 6), millis(400));
     assert_that!(requests(&reports, 500), some(eq(6)));
     assert_that!(requests(&reports, 1_100), none());
 }
@@ -200,7 +200,7 @@
     for report in 0..10 {
         let now = 1_000 + report * 200;
         deliver_heartbeats(&mut gateway, report + 2, now);
-        gateway.hear(&digest(0, 10), millis(now));
+        gateway.apply_digest(&digest(0, 10), millis(now));
         let plan = ask(&mut gateway, "/draft/", Some("key-1"), now).expect("a plan");
         // It checks after each report, but sends nothing.
         let _ = gateway.admit(&plan, millis(now));
@@ -217,7 +217,7 @@
     for report in 0..40 {
         let now = 1_000 + report * 200;
         deliver_heartbeats(&mut gateway, report + 2, now);
-        gateway.hear(&digest(0, 10), millis(now));
+        gateway.apply_digest(&digest(0, 10), millis(now));
         let plan = ask(&mut gateway, "/draft/", Some("key-1"), now).expect("a plan");
         gateway.observe(&plan, &"g0".into(), millis(100), millis(now));
         // Before that the gateway learns the length of passes.
@@ -241,7 +241,7 @@
     for report in 0..20 {
         let now = 1_000 + report * 200;
         deliver_heartbeats(&mut gateway, report + 2, now);
-        gateway.hear(&digest(0, 6), millis(now));
+        gateway.apply_digest(&digest(0, 6), millis(now));
         let plan = ask(&mut gateway, "/draft/", Some("key-1"), now).expect("a plan");
         gateway.observe(&plan, &"g0".into(), millis(60), millis(now));
     }
@@ -250,9 +250,9 @@
         is_open: false,
         ..digest(0, 0)
     };
-    gateway.hear(&unavailable, millis(5_000));
+    gateway.apply_digest(&unavailable, millis(5_000));
     deliver_heartbeats(&mut gateway, 30, 6_000);
-    gateway.hear(&digest(0, 0), millis(6_000));
+    gateway.apply_digest(&digest(0, 0), millis(6_000));
     let load = Load {
         ranks: u32::from(RANKS),
         in_flight: 0,
@@ -270,7 +270,7 @@
     let mut digest = digest(0, 5);
     digest.engines[7].pace = pace;
     digest.engines[7].requests = requests;
-    gateway.hear(&digest, millis(now)).has_slowed
+    gateway.apply_digest(&digest, millis(now)).has_slowed
 }
 
 /// One rank of a group takes twelve times as long for some seconds. In each pass all other ranks
@@ -329,7 +329,7 @@
     for busy in &mut digest.engines {
         busy.pace = 400;
     }
-    gateway.hear(&digest, millis(1_000));
+    gateway.apply_digest(&digest, millis(1_000));
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 1_000).expect("a plan");
     let rank = Upstream {
         address: engine(0, 7),
--- a/crates/gateway/tests/all/neighbour.rs
+++ b/crates/gateway/tests/all/neighbour.rs
@@ -46,7 +46,7 @@
 fn a_gateway_that_others_heard_of_is_offered() {
     let mut roster = roster();
     let others = vec![entry("c", 1, 4, true)];
-    roster.hear(&heartbeat(entry("b", 1, 9, true), others), millis(100));
+    roster.receive(&heartbeat(entry("b", 1, 9, true), others), millis(100));
     assert_that!(roster.live(millis(100)), eq(3));
     assert_that!(offered(&roster, 100), eq(3));
 }
@@ -54,7 +54,7 @@
 #[gtest]
 fn a_silent_gateway_is_offered_no_more() {
     let mut roster = roster();
-    roster.hear(&heartbeat(entry("b", 1, 9, true), Vec::new()), millis(100));
+    roster.receive(&heartbeat(entry("b", 1, 9, true), Vec::new()), millis(100));
     assert_that!(roster.live(millis(100) + LIFE), eq(1));
     assert_that!(offered(&roster, 5_000), eq(1));
     assert_that!(roster.most(), eq(2));
@@ -63,10 +63,10 @@
 #[gtest]
 fn relayed_news_of_the_same_beat_keeps_no_gateway_alive() {
     let mut roster = roster();
-    roster.hear(&heartbeat(entry("c", 1, 9, true), Vec::new()), millis(0));
+    roster.receive(&heartbeat(entry("c", 1, 9, true), Vec::new()), millis(0));
     for tick in 1..20 {
         let others = vec![entry("c", 1, 9, true)];
-        roster.hear(
+        roster.receive(
             &heartbeat(entry("b", 1, tick, true), others),
             millis(tick * 300),
         );
@@ -77,8 +77,8 @@
 #[gtest]
 fn a_gateway_that_leaves_is_offered_no_more_at_once() {
     let mut roster = roster();
-    roster.hear(&heartbeat(entry("b", 1, 9, true), Vec::new()), millis(0));
-    let news = roster.hear(
+    roster.receive(&heartbeat(entry("b", 1, 9, true), Vec::new()), millis(0));
+    let news = roster.receive(
         &heartbeat(entry("b", 1, 10, false), Vec::new()),
         millis(100),
     );
@@ -89,16 +89,16 @@
 #[gtest]
 fn relayed_news_of_an_earlier_incarnation_does_not_replace_the_current_one() {
     let mut roster = roster();
-    roster.hear(&heartbeat(entry("c", 2, 1, true), Vec::new()), millis(0));
+    roster.receive(&heartbeat(entry("c", 2, 1, true), Vec::new()), millis(0));
     let others = vec![entry("c", 1, 900, false)];
-    roster.hear(&heartbeat(entry("b", 1, 1, true), others), millis(100));
+    roster.receive(&heartbeat(entry("b", 1, 1, true), others), millis(100));
     assert_that!(offered(&roster, 100), eq(3));
 }
 
 #[gtest]
 fn a_process_that_stood_still_does_not_take_all_others_for_dead() {
     let mut roster = roster();
-    roster.hear(&heartbeat(entry("b", 1, 9, true), Vec::new()), millis(0));
+    roster.receive(&heartbeat(entry("b", 1, 9, true), Vec::new()), millis(0));
     roster.pause(millis(4_000));
     assert_that!(roster.live(millis(4_100)), eq(2));
 }
@@ -111,7 +111,7 @@
     let mut far = entry("b", 1, 9, true);
     far.failure_domain = "south".into();
     let far_address = far.peers;
-    roster.hear(&heartbeat(far, Vec::new()), millis(0));
+    roster.receive(&heartbeat(far, Vec::new()), millis(0));
     let (readers, is_reader) = roster.readers(millis(0));
     assert_that!((readers, is_reader), eq(&(Vec::new(), true)));
     roster.set_cut(true);
@@ -125,7 +125,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     for number in 0..300 {
         let from = entry(&format!("gateway-{number}"), 1, 1, true);
-        roster.hear(&heartbeat(from, Vec::new()), millis(0));
+        roster.receive(&heartbeat(from, Vec::new()), millis(0));
     }
     let heartbeat = roster.next_heartbeat(Vec::new(), millis(100), &mut rng);
     assert_that!(heartbeat.others.len(), le(12));
@@ -143,7 +143,7 @@
         for other in (0..6).filter(|other| *other != own) {
             let mut from = entry(&format!("g-{other}"), 1, 1, true);
             from.is_cut = true;
-            roster.hear(&heartbeat(from, Vec::new()), millis(0));
+            roster.receive(&heartbeat(from, Vec::new()), millis(0));
         }
         let (others, is_reader) = roster.readers(millis(0));
         readers += usize::from(is_reader);
--- a/crates/gateway/tests/all/quarantine.rs
+++ b/crates/gateway/tests/all/quarantine.rs
@@ -66,7 +66,7 @@
     let first = crashed(&[1], millis(100));
     let mut second = Quarantine::default();
     for late in 0..10 {
-        let held = second.hear(&first.marks(millis(100)), millis(40_000 + late * 70));
+        let held = second.merge(&first.marks(millis(100)), millis(40_000 + late * 70));
         expect_that!(held, is_empty());
     }
     expect_that!(is_held(&second, millis(41_000)), eq(false));
@@ -76,7 +76,7 @@
 fn crashes_that_different_gateways_saw_count_together() {
     let mut first = crashed(&[1], millis(100));
     let second = crashed(&[2], millis(90));
-    let held = first.hear(&second.marks(millis(90)), millis(200));
+    let held = first.merge(&second.marks(millis(90)), millis(200));
     expect_that!(held, elements_are![eq(&REQUEST)]);
     expect_that!(is_held(&first, millis(200)), eq(true));
 }
@@ -85,7 +85,7 @@
 fn a_gateway_that_just_started_holds_back_what_crashed_upstreams_before() {
     let known = crashed(&[1, 2], millis(1_000));
     let mut new = Quarantine::default();
-    new.hear(&known.marks(millis(60_000)), millis(20));
+    new.merge(&known.marks(millis(60_000)), millis(20));
     let left = new.held_for(REQUEST, millis(20)).unwrap_or_default();
     expect_that!(left, eq(RETENTION.saturating_sub(millis(59_000))));
 }
@@ -102,7 +102,7 @@
             ..mark
         })
         .collect();
-    quarantine.hear(&late, millis(700));
+    quarantine.merge(&late, millis(700));
     quarantine.crashed(REQUEST, 3, millis(900));
     expect_that!(is_held(&quarantine, millis(900)), eq(false));
 }
@@ -111,9 +111,9 @@
 fn an_answer_is_told_to_others() {
     let mut first = crashed(&[1], millis(100));
     let mut second = Quarantine::default();
-    second.hear(&first.marks(millis(100)), millis(100));
+    second.merge(&first.marks(millis(100)), millis(100));
     first.answered(REQUEST, millis(400));
-    second.hear(&first.marks(millis(500)), millis(500));
+    second.merge(&first.marks(millis(500)), millis(500));
     second.crashed(REQUEST, 2, millis(900));
     expect_that!(is_held(&second, millis(900)), eq(false));
 }
@@ -177,7 +177,7 @@
             let others = (0..self.gateways.len()).filter(|other| *other != sender);
             for other in others.choose_multiple(&mut self.rng, Self::FANOUT) {
                 if self.rng.random::<f64>() >= self.loss {
-                    self.gateways[other].hear(&marks, now);
+                    self.gateways[other].merge(&marks, now);
                 }
             }
         }
--- a/crates/gateway/tests/all/restore/world.rs
+++ b/crates/gateway/tests/all/restore/world.rs
@@ -128,14 +128,14 @@
         let reply = match message {
             Message::Heartbeat(heartbeat) => {
                 let is_back = gateway.roster.is_back(&heartbeat, now);
-                gateway.roster.hear(&heartbeat, now);
+                gateway.roster.receive(&heartbeat, now);
                 is_back.then(|| {
                     let mut rng = ChaCha8Rng::from_rng(&mut self.rng);
                     Message::Introduction(gateway.introduction(now, &mut rng))
                 })
             }
             Message::Introduction(heartbeat) => {
-                gateway.roster.hear(&heartbeat, now);
+                gateway.roster.receive(&heartbeat, now);
                 None
             }
             Message::Question(question) => {
@@ -149,7 +149,7 @@
             }
             Message::Answer(answer) => {
                 gateway.spread.hint(answer.until.generation);
-                let (_, known_at) = gateway.spread.hear(answer);
+                let (_, known_at) = gateway.spread.apply_answer(answer);
                 if let Some(known_at) = known_at {
                     gateway.confirm(known_at, now);
                 }
--- a/crates/gateway/tests/all/spread.rs
+++ b/crates/gateway/tests/all/spread.rs
@@ -42,7 +42,7 @@
     reader.take(vec![(at(11), change("a")), (at(12), change("b"))], at(12));
     let question = asker.question(millis(5_000)).expect("a question");
     let answer = reader.answer(question, millis(800)).expect("an answer");
-    let (new, known_at) = asker.hear(answer);
+    let (new, known_at) = asker.apply_answer(answer);
     assert_that!(new, len(eq(2)));
     assert_that!(known_at, some(eq(millis(4_200))));
     assert_that!(asker.revision(), some(eq(at(12))));
@@ -55,7 +55,7 @@
     let question = asker.question(millis(1_000)).expect("a question");
     let late = reader.answer(question, millis(0)).expect("an answer");
     asker.question(millis(9_000)).expect("a question");
-    let (_, known_at) = asker.hear(late);
+    let (_, known_at) = asker.apply_answer(late);
     assert_that!(known_at, none());
 }
 
@@ -64,7 +64,7 @@
     let (mut reader, mut asker) = (spread(), spread());
     reader.take(vec![(at(11), change("a"))], at(11));
     let told = reader.since(at(10), millis(0)).expect("an answer");
-    let (new, known_at) = asker.hear(told);
+    let (new, known_at) = asker.apply_answer(told);
     assert_that!(new, len(eq(1)));
     assert_that!(known_at, none());
 }
@@ -75,7 +75,7 @@
     reader.take(vec![(at(11), change("a"))], at(11));
     reader.take(vec![(at(12), change("b"))], at(12));
     let told = reader.since(at(11), millis(0)).expect("an answer");
-    let (new, _) = asker.hear(told);
+    let (new, _) = asker.apply_answer(told);
     assert_that!(new, is_empty());
     assert_that!(asker.revision(), some(eq(at(10))));
 }
@@ -87,14 +87,14 @@
     let (mut reader, mut asker) = (spread(), spread());
     reader.take(vec![(at(11), Published::Configuration)], at(11));
     let question = asker.question(millis(1_000)).expect("a question");
-    let (_, known_at) = asker.hear(reader.answer(question, millis(0)).expect("an answer"));
+    let (_, known_at) = asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
     assert_that!(known_at, none());
     assert_that!(asker.need(true, millis(1_000)), eq(Need::Configuration));
     assert_that!(asker.need(false, millis(1_899)), eq(Need::Nothing));
     assert_that!(asker.need(false, millis(1_900)), eq(Need::Configuration));
     asker.read_configuration(at(11));
     let question = asker.question(millis(2_000)).expect("a question");
-    let (_, known_at) = asker.hear(reader.answer(question, millis(0)).expect("an answer"));
+    let (_, known_at) = asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
     assert_that!(known_at, some(eq(millis(2_000))));
 }
 
@@ -116,7 +116,7 @@
     reader.read_configuration(at(11));
     let question = asker.question(millis(1_000)).expect("a question");
     assert_that!(reader.told(question), none());
-    asker.hear(reader.answer(question, millis(0)).expect("an answer"));
+    asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
     let question = asker.question(millis(1_300)).expect("a question");
     assert_that!(reader.told(question), some(eq(&told(11))));
     asker.read_configuration(at(11));
@@ -150,7 +150,7 @@
     asker.take(vec![(at(14), change("a"))], at(14));
     let question = asker.question(millis(1_000)).expect("a question");
     let answer = reader.answer(question, millis(0)).expect("an answer");
-    let (new, known_at) = asker.hear(answer);
+    let (new, known_at) = asker.apply_answer(answer);
     assert_that!(new, is_empty());
     assert_that!(known_at, none());
 }
@@ -166,7 +166,7 @@
     for _ in 0..10 {
         let question = asker.question(millis(1_000)).expect("a question");
         let answer = reader.answer(question, millis(0)).expect("an answer");
-        heard += asker.hear(answer).0.len();
+        heard += asker.apply_answer(answer).0.len();
     }
     assert_that!(heard, eq(200));
     assert_that!(asker.revision(), some(eq(at(210))));
@@ -216,7 +216,7 @@
     };
     reader.keep(newer.clone());
     let question = asker.question(millis(1_000)).expect("a question");
-    let (_, known_at) = asker.hear(reader.answer(question, millis(0)).expect("an answer"));
+    let (_, known_at) = asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
     expect_that!(known_at, none());
     let question = asker.question(millis(1_300)).expect("a question");
     expect_that!(reader.told(question), some(eq(&newer)));
@@ -231,7 +231,7 @@
     old.take(vec![(at(11), change("a"))], at(11));
     // The reader only knows the earlier generation.
     let question = new.question(millis(1_000)).expect("a question");
-    let (changes, known_at) = new.hear(old.answer(question, millis(0)).expect("an answer"));
+    let (changes, known_at) = new.apply_answer(old.answer(question, millis(0)).expect("an answer"));
     expect_that!(changes, is_empty());
     expect_that!(known_at, none());
     expect_that!(new.take(vec![(at(12), change("b"))], at(12)), is_empty());
@@ -242,7 +242,7 @@
     let answer = new.answer(question, millis(0)).expect("an answer");
     expect_that!(answer.changes, is_empty());
     expect_that!(answer.until, eq(restored(12)));
-    expect_that!(old.hear(answer.clone()).1, none());
+    expect_that!(old.apply_answer(answer.clone()).1, none());
     old.hint(answer.until.generation);
     expect_that!(old.need(false, millis(1_000)), eq(Need::All));
 }
@@ -277,7 +277,8 @@
     expect_that!(asker.need(false, millis(0)), eq(Need::Nothing));
     reader.take(vec![(at(11), change("a"))], at(11));
     let question = asker.question(millis(1_000)).expect("a question");
-    let (new, known_at) = asker.hear(reader.answer(question, millis(0)).expect("an answer"));
+    let (new, known_at) =
+        asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
     expect_that!(new, len(eq(1)));
     expect_that!(known_at, some(eq(millis(1_000))));
     // The store itself reports the next generation.
--- a/crates/gateway/tests/all/version.rs
+++ b/crates/gateway/tests/all/version.rs
@@ -31,13 +31,19 @@
     Gateway::new("north".into(), BOUNDS, roster, 7)
 }
 
-fn hear(gateway: &mut Gateway, number: u16, heartbeats: u64, version: Option<Version>, now: u64) {
+fn receive(
+    gateway: &mut Gateway,
+    number: u16,
+    heartbeats: u64,
+    version: Option<Version>,
+    now: u64,
+) {
     let from = Entry {
         heartbeats,
         ..serving(number, version)
     };
     let heartbeat = support::heartbeat(from);
-    gateway.roster.hear(&heartbeat, millis(now));
+    gateway.roster.receive(&heartbeat, millis(now));
 }
 
 /// Guards against a starting gateway that serves with a restored store's configuration while others
@@ -48,7 +54,7 @@
     gateway.set_table(table(15));
     gateway.confirm(millis(10), millis(20));
     expect_that!(gateway.is_able(millis(20)), eq(false));
-    hear(&mut gateway, 2, 5, Some(20), 30);
+    receive(&mut gateway, 2, 5, Some(20), 30);
     gateway.settle(millis(30));
     expect_that!(gateway.is_able(millis(30)), eq(false));
     expect_that!(gateway.catch_up(millis(30)), some(eq(peers(2))));
@@ -66,12 +72,12 @@
 fn a_gateway_that_comes_back_serves_once_it_has_heard_another_one() {
     let mut gateway = gateway(&[peers(2)]);
     gateway.set_table(table(15));
-    hear(&mut gateway, 2, 5, Some(15), 10);
+    receive(&mut gateway, 2, 5, Some(15), 10);
     gateway.confirm(millis(10), millis(20));
     expect_that!(gateway.is_able(millis(20)), eq(true));
     gateway.confirm(millis(9_000), millis(9_010));
     expect_that!(gateway.is_able(millis(9_010)), eq(false));
-    hear(&mut gateway, 2, 30, Some(20), 9_100);
+    receive(&mut gateway, 2, 30, Some(20), 9_100);
     gateway.settle(millis(9_100));
     expect_that!(gateway.is_able(millis(9_100)), eq(false));
     expect_that!(gateway.catch_up(millis(9_100)), some(eq(peers(2))));
@@ -85,7 +91,7 @@
 fn a_gateway_that_comes_back_to_the_store_alone_serves_after_a_moment_and_goes_on() {
     let mut gateway = gateway(&[peers(2)]);
     gateway.set_table(table(15));
-    hear(&mut gateway, 2, 5, Some(15), 10);
+    receive(&mut gateway, 2, 5, Some(15), 10);
     gateway.confirm(millis(10), millis(20));
     gateway.confirm(millis(9_000), millis(9_010));
     gateway.settle(millis(9_609));
@@ -110,15 +116,15 @@
         gateway.confirm(millis(10), millis(20));
         gateway
             .roster
-            .hear(&support::heartbeat(starting(2)), millis(30));
+            .receive(&support::heartbeat(starting(2)), millis(30));
         gateway.settle(millis(30));
         expect_that!(gateway.is_able(millis(30)), eq(false));
         if others_start {
             gateway
                 .roster
-                .hear(&support::heartbeat(starting(3)), millis(60));
+                .receive(&support::heartbeat(starting(3)), millis(60));
         } else {
-            hear(&mut gateway, 3, 9, Some(20), 60);
+            receive(&mut gateway, 3, 9, Some(20), 60);
         }
         gateway.settle(millis(60));
         expect_that!(gateway.is_able(millis(60)), eq(others_start));
@@ -132,7 +138,7 @@
     let mut first = gateway(&[peers(2)]);
     first.set_table(table(15));
     first.confirm(millis(10), millis(20));
-    hear(&mut first, 2, 1, None, 50);
+    receive(&mut first, 2, 1, None, 50);
     first.settle(millis(50));
     expect_that!(first.is_able(millis(50)), eq(true));
     let mut alone = gateway(&[peers(1)]);
@@ -158,15 +164,15 @@
 fn a_gateway_that_serves_leaves_time_to_the_readers_and_then_asks() {
     let mut gateway = gateway(&[peers(2)]);
     gateway.set_table(table(15));
-    hear(&mut gateway, 2, 5, Some(15), 10);
+    receive(&mut gateway, 2, 5, Some(15), 10);
     gateway.confirm(millis(10), millis(20));
-    hear(&mut gateway, 2, 6, Some(20), 1_000);
+    receive(&mut gateway, 2, 6, Some(20), 1_000);
     expect_that!(gateway.catch_up(millis(1_000)), none());
-    hear(&mut gateway, 2, 7, Some(20), 1_800);
+    receive(&mut gateway, 2, 7, Some(20), 1_800);
     expect_that!(gateway.catch_up(millis(1_899)), none());
     expect_that!(gateway.catch_up(millis(1_900)), some(eq(peers(2))));
     // Confirmations by the store don't make the older version's knowledge younger meanwhile.
-    hear(&mut gateway, 2, 8, Some(20), 4_700);
+    receive(&mut gateway, 2, 8, Some(20), 4_700);
     gateway.confirm(millis(4_700), millis(4_710));
     expect_that!(
         gateway.knowledge.age(millis(4_710)),
@@ -189,7 +195,7 @@
             let mut gateway = Gateway::new("north".into(), BOUNDS, roster, 7);
             gateway.confirm(millis(5), millis(8));
             for other in 20..40 {
-                hear(&mut gateway, other, 5, Some(20), 10);
+                receive(&mut gateway, other, 5, Some(20), 10);
             }
             gateway.catch_up(millis(20)).expect("one that is ahead")
         })
@@ -205,7 +211,7 @@
 fn a_gateway_that_starts_asks_no_other_one_before_the_store_has_answered_and_then_one_a_beat() {
     let mut gateway = gateway(&[peers(2)]);
     for heartbeat in 1..5 {
-        hear(&mut gateway, 2, heartbeat, Some(20), heartbeat);
+        receive(&mut gateway, 2, heartbeat, Some(20), heartbeat);
         expect_that!(gateway.catch_up(millis(heartbeat)), none());
     }
     gateway.set_table(table(15));
--- a/crates/quota/src/book.rs
+++ b/crates/quota/src/book.rs
@@ -142,7 +142,7 @@
     }
 
     /// Merges notices from another gateway; returns what changed.
-    pub fn hear(&mut self, notices: &[Notice], from: SocketAddr, now: Monotonic) -> Vec<News> {
+    pub fn merge(&mut self, notices: &[Notice], from: SocketAddr, now: Monotonic) -> Vec<News> {
         let heard = notices.iter().filter_map(|notice| {
             let age = Duration::from_millis(notice.age_ms.into());
             let stated_at = since_epoch(now).saturating_sub(age);
--- a/crates/quota/tests/all/book.rs
+++ b/crates/quota/tests/all/book.rs
@@ -52,14 +52,14 @@
 fn gateways_learn_of_limits_from_each_other_and_the_newest_word_wins() {
     let mut first = book_with_limit(2.0, 100);
     let second = book_with_limit(1.0, 300).notices(millis(300));
-    let news = first.hear(&second, other(), millis(350));
+    let news = first.merge(&second, other(), millis(350));
     expect_that!(news, len(eq(1)));
     expect_that!(rate(&first), some(eq(1.0)));
     let limit = first.limit(UPSTREAM, millis(400)).expect("a limit");
     expect_that!(limit.teller, eq(Teller::Gateway(other())));
     expect_that!(limit.age, eq(millis(50)));
     let old = book_with_limit(9.0, 100).notices(millis(400));
-    expect_that!(first.hear(&old, other(), millis(400)), is_empty());
+    expect_that!(first.merge(&old, other(), millis(400)), is_empty());
 }
 
 #[gtest]
@@ -67,7 +67,7 @@
     let mut book = book_with_limit(2.0, 100);
     let older = book_with_limit(2.0, 110).notices(millis(300));
     book.answered(UPSTREAM, None, millis(150), millis(200));
-    book.hear(&older, other(), millis(300));
+    book.merge(&older, other(), millis(300));
     expect_that!(rate(&book), none());
     book.forget(|_| true, millis(300));
     expect_that!(book.is_empty(), eq(false));
@@ -79,7 +79,7 @@
 fn a_gateway_that_just_started_takes_a_limit_older_than_itself() {
     let notices = book_with_limit(2.0, 100).notices(millis(50_000));
     let mut book = Book::default();
-    book.hear(&notices, other(), millis(10));
+    book.merge(&notices, other(), millis(10));
     expect_that!(rate(&book), some(eq(2.0)));
 }
 
--- a/crates/relay/src/crash.rs
+++ b/crates/relay/src/crash.rs
@@ -110,7 +110,7 @@
 /// Merges crash reports from another gateway, and logs the requests that are quarantined as a result.
 pub(crate) fn merge_marks(shared: &Shared, marks: &[Mark]) {
     let now = shared.now();
-    let held = shared.gateway().quarantine.hear(marks, now);
+    let held = shared.gateway().quarantine.merge(marks, now);
     for request in held {
         let left = shared.gateway().quarantine.held_for(request, now);
         let left_ms = millis(left.unwrap_or_default());
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -189,7 +189,7 @@
 
 fn handle_digest(shared: &Shared, digest: &Digest) {
     let now = shared.now();
-    let heard = shared.gateway().hear(digest, now);
+    let heard = shared.gateway().apply_digest(digest, now);
     if heard.has_slowed {
         shared.straggler_reported.notify_waiters();
     }
@@ -204,7 +204,7 @@
 fn handle_heartbeat(shared: &Shared, heartbeat: Heartbeat) {
     let now = shared.now();
     let mut gateway = shared.gateway();
-    for news in gateway.roster.hear(&heartbeat, now) {
+    for news in gateway.roster.receive(&heartbeat, now) {
         log::info!(target: "neighbours", instance = &*news.instance, is_ready = news.is_ready; "heard");
     }
     let neighbour = stable(0, heartbeat.from.instance.as_bytes());
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -122,7 +122,7 @@
 /// Merges limit notices from another gateway.
 pub(crate) fn merge_notices(shared: &Shared, notices: &[Notice], from: SocketAddr) {
     let now = shared.now();
-    let heard = shared.gateway().hear_limits(notices, from, now);
+    let heard = shared.gateway().receive_limits(notices, from, now);
     for news in &heard {
         log_limit_change(news, "");
     }
@@ -132,7 +132,7 @@
 pub(crate) fn accept_loan(shared: &Shared, loan: &Loan, from: SocketAddr) {
     let now = shared.now();
     let mut gateway = shared.gateway();
-    let heard = gateway.hear_loan(loan, from, now);
+    let heard = gateway.receive_loan(loan, from, now);
     let counts = gateway.pool.counts(MAX_COUNTS);
     let heartbeat = gateway.roster.own_heartbeat(counts, now);
     drop(gateway);
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -179,7 +179,7 @@
     /// Applies the answer of a gateway that reads the store.
     pub(crate) fn apply_answer(&self, answer: Answer) {
         self.hint(answer.until.generation);
-        let (new, known_at) = self.0.gateway().spread.hear(answer);
+        let (new, known_at) = self.0.gateway().spread.apply_answer(answer);
         if let Some(known_at) = known_at {
             self.record_known(known_at);
         }
