--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -251,7 +251,7 @@
         }
         let service = self.service(route);
         let engine = table.service(&service).and_then(|service| service.engine);
-        let patience = request.patience.unwrap_or(route.timeout).min(route.timeout);
+        let timeout = request.timeout.unwrap_or(route.timeout).min(route.timeout);
         Ok(Plan {
             route: Arc::clone(route),
             service,
@@ -260,7 +260,7 @@
             version: table.version(),
             age,
             arrived: now,
-            due: now + patience,
+            due: now + timeout,
         })
     }
 
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -23,7 +23,7 @@
     pub key: Option<&'a str>,
     /// How long the caller waits for the final answer; `None` for as long as the route's timeout,
     /// which is the upper bound.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
 }
 
 /// How a request is to be served.
--- a/crates/gateway/tests/all/gateway.rs
+++ b/crates/gateway/tests/all/gateway.rs
@@ -69,7 +69,7 @@
         host: "desk.example",
         path,
         key,
-        patience: Some(millis(8_000)),
+        timeout: Some(millis(8_000)),
     };
     gateway.plan(&request, millis(now))
 }
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -24,7 +24,7 @@
     /// Key of the caller's workspace, if it sent one.
     pub key: Option<String>,
     /// Time that the caller waits for the response; `None` if it does not say.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Last event that the caller has received, if it resumes a stream.
     pub after: Option<EventId>,
 }
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -147,7 +147,7 @@
         host: &call.host,
         path,
         key: call.key.as_deref(),
-        patience: call.patience,
+        timeout: call.timeout,
     };
     shared.gateway().plan(&request, now)
 }
