--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -217,7 +217,7 @@
     /// Returns what this gateway has to read from the store now.
     pub fn need(&mut self, now: Monotonic) -> Need {
         let (_, is_reader) = self.roster.readers(now);
-        let is_alone = spread::helps_itself(self.knowledge.age(now));
+        let is_alone = spread::must_read_itself(self.knowledge.age(now));
         self.spread.need(is_reader || is_alone, now)
     }
 
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -75,7 +75,7 @@
     /// Request for a configuration that is newer than this version.
     Behind(Option<Version>),
     /// Configuration that the receiver is waiting for.
-    Configuration(Box<spread::Told>),
+    Configuration(Box<spread::Update>),
     /// Requests that were running when an upstream crashed.
     Crashes(Vec<Mark>),
     /// Rate limits that upstreams reported.
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -81,7 +81,7 @@
 
 /// Configuration that a gateway sends to another one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Update {
     /// Revision of the store at which it was written.
     pub revision: Revision,
     /// Content of the configuration.
@@ -133,7 +133,7 @@
     /// Since when an announced configuration has been missing here.
     awaited_since: Option<Monotonic>,
     /// Newest configuration, kept to answer queries.
-    told: Option<Told>,
+    kept_configuration: Option<Update>,
     changes: VecDeque<(Revision, Published)>,
     /// Revision after which `changes` is complete.
     kept_after: Revision,
@@ -205,30 +205,32 @@
 
     /// Keeps a configuration to answer queries. The order is by version first: versions only
     /// increase, whereas a restored store may contain an older one at a later revision.
-    pub fn keep(&mut self, told: Told) {
-        let order = |told: &Told| (told.content.version, told.revision);
+    pub fn keep_configuration(&mut self, update: Update) {
+        let order = |update: &Update| (update.content.version, update.revision);
         let is_newer = self
-            .told
+            .kept_configuration
             .as_ref()
-            .is_none_or(|kept| order(kept) < order(&told));
+            .is_none_or(|kept| order(kept) < order(&update));
         if is_newer {
-            self.told = Some(told);
+            self.kept_configuration = Some(update);
         }
     }
 
     /// Returns the kept configuration to send in reply to a question; `None` if the sender doesn't
     /// ask for one or has it already.
     #[must_use]
-    pub fn told(&self, question: Question) -> Option<&Told> {
+    pub fn requested_configuration(&self, question: Question) -> Option<&Update> {
         let known = question.configuration?;
-        self.told.as_ref().filter(|told| told.revision > known)
+        self.kept_configuration
+            .as_ref()
+            .filter(|kept| kept.revision > known)
     }
 
     /// Returns the kept configuration if its version is newer than `version`.
     #[must_use]
-    pub fn newer(&self, version: Option<Version>) -> Option<&Told> {
-        let told = self.told.as_ref();
-        told.filter(|told| Some(told.content.version) > version)
+    pub fn configuration_newer_than(&self, version: Option<Version>) -> Option<&Update> {
+        let kept = self.kept_configuration.as_ref();
+        kept.filter(|kept| Some(kept.content.version) > version)
     }
 
     /// Returns whether a configuration was announced that has not been read yet.
@@ -402,6 +404,6 @@
 
 /// Returns whether knowledge of this age requires a gateway to read the store itself.
 #[must_use]
-pub fn helps_itself(age: Option<Duration>) -> bool {
+pub fn must_read_itself(age: Option<Duration>) -> bool {
     age.is_none_or(|age| age > SELF_READ_AGE)
 }
--- a/crates/gateway/tests/all/restore/mod.rs
+++ b/crates/gateway/tests/all/restore/mod.rs
@@ -16,7 +16,7 @@
 use auburnline_gateway::spread::Answer;
 use auburnline_gateway::spread::Question;
 use auburnline_gateway::spread::Revision;
-use auburnline_gateway::spread::Told;
+use auburnline_gateway::spread::Update;
 use googletest::prelude::*;
 use rand::Rng as _;
 use rand_chacha::ChaCha8Rng;
@@ -93,7 +93,7 @@
     Question(Question),
     Answer(Answer),
     Behind(Option<Version>),
-    Configuration(Told),
+    Configuration(Update),
 }
 
 struct Node {
@@ -123,7 +123,7 @@
 
 fn apply_configuration(gateway: &mut Gateway, version: Version, written: Revision) {
     let content = content(version, Vec::new());
-    gateway.spread.keep(Told {
+    gateway.spread.keep_configuration(Update {
         revision: written,
         content: content.clone(),
     });
--- a/crates/gateway/tests/all/restore/world.rs
+++ b/crates/gateway/tests/all/restore/world.rs
@@ -142,8 +142,8 @@
                 gateway.spread.hint(question.revision.generation);
                 let age = gateway.knowledge.age(now).unwrap_or_default();
                 let answer = gateway.spread.answer(question, age).map(Message::Answer);
-                if let Some(told) = gateway.spread.told(question).cloned() {
-                    self.send(number, peers(from), Message::Configuration(told));
+                if let Some(update) = gateway.spread.requested_configuration(question).cloned() {
+                    self.send(number, peers(from), Message::Configuration(update));
                 }
                 answer
             }
@@ -156,11 +156,11 @@
                 None
             }
             Message::Behind(version) => {
-                let told = gateway.spread.newer(version).cloned();
-                told.map(Message::Configuration)
+                let update = gateway.spread.configuration_newer_than(version).cloned();
+                update.map(Message::Configuration)
             }
-            Message::Configuration(told) => {
-                apply_configuration(gateway, told.content.version, told.revision);
+            Message::Configuration(update) => {
+                apply_configuration(gateway, update.content.version, update.revision);
                 None
             }
         };
--- a/crates/gateway/tests/all/spread.rs
+++ b/crates/gateway/tests/all/spread.rs
@@ -5,7 +5,7 @@
 use auburnline_gateway::spread::Reading;
 use auburnline_gateway::spread::Revision;
 use auburnline_gateway::spread::Spread;
-use auburnline_gateway::spread::Told;
+use auburnline_gateway::spread::Update;
 use auburnline_gateway::upstream::State;
 use googletest::prelude::*;
 
@@ -63,8 +63,8 @@
 fn what_is_told_unasked_is_taken_but_confirms_nothing() {
     let (mut reader, mut asker) = (spread(), spread());
     reader.take(vec![(at(11), change("a"))], at(11));
-    let told = reader.since(at(10), millis(0)).expect("an answer");
-    let (new, known_at) = asker.apply_answer(told);
+    let answer = reader.since(at(10), millis(0)).expect("an answer");
+    let (new, known_at) = asker.apply_answer(answer);
     assert_that!(new, len(eq(1)));
     assert_that!(known_at, none());
 }
@@ -74,8 +74,8 @@
     let (mut reader, mut asker) = (spread(), spread());
     reader.take(vec![(at(11), change("a"))], at(11));
     reader.take(vec![(at(12), change("b"))], at(12));
-    let told = reader.since(at(11), millis(0)).expect("an answer");
-    let (new, _) = asker.apply_answer(told);
+    let answer = reader.since(at(11), millis(0)).expect("an answer");
+    let (new, _) = asker.apply_answer(answer);
     assert_that!(new, is_empty());
     assert_that!(asker.revision(), some(eq(at(10))));
 }
@@ -98,8 +98,8 @@
     assert_that!(known_at, some(eq(millis(2_000))));
 }
 
-fn told(revision: u64) -> Told {
-    Told {
+fn update(revision: u64) -> Update {
+    Update {
         revision: at(revision),
         content: content(revision, Vec::new()),
     }
@@ -112,13 +112,16 @@
 fn a_configuration_is_told_by_a_gateway_that_has_it() {
     let (mut reader, mut asker) = (spread(), spread());
     reader.take(vec![(at(11), Published::Configuration)], at(11));
-    reader.keep(told(11));
+    reader.keep_configuration(update(11));
     reader.read_configuration(at(11));
     let question = asker.question(millis(1_000)).expect("a question");
-    assert_that!(reader.told(question), none());
+    assert_that!(reader.requested_configuration(question), none());
     asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
     let question = asker.question(millis(1_300)).expect("a question");
-    assert_that!(reader.told(question), some(eq(&told(11))));
+    assert_that!(
+        reader.requested_configuration(question),
+        some(eq(&update(11)))
+    );
     asker.read_configuration(at(11));
     assert_that!(asker.awaits_configuration(), eq(false));
     assert_that!(asker.need(false, millis(9_000)), eq(Need::Nothing));
@@ -136,12 +139,15 @@
     assert_that!(asker.need(false, millis(1_800)), eq(Need::Nothing));
     assert_that!(asker.need(false, millis(2_600)), eq(Need::Nothing));
     assert_that!(asker.need(false, millis(2_700)), eq(Need::Configuration));
-    asker.keep(told(12));
-    asker.keep(told(11));
+    asker.keep_configuration(update(12));
+    asker.keep_configuration(update(11));
     let mut late = spread();
     late.take(vec![(at(12), Published::Configuration)], at(12));
     let question = late.question(millis(0)).expect("a question");
-    assert_that!(asker.told(question), some(eq(&told(12))));
+    assert_that!(
+        asker.requested_configuration(question),
+        some(eq(&update(12)))
+    );
 }
 
 #[gtest]
@@ -199,7 +205,7 @@
 #[gtest]
 fn a_configuration_of_a_restored_store_is_told_though_its_revision_is_lower() {
     let (mut reader, mut asker) = (spread(), spread());
-    reader.keep(told(9));
+    reader.keep_configuration(update(9));
     for one in [&mut reader, &mut asker] {
         one.take(vec![(at(90), Published::Configuration)], at(90));
         one.read_configuration(at(90));
@@ -210,16 +216,16 @@
         expect_that!(reading, eq(Reading::Restored));
     }
     reader.take(vec![(restored(11), Published::Configuration)], restored(11));
-    let newer = Told {
+    let newer = Update {
         revision: restored(11),
         content: content(91, Vec::new()),
     };
-    reader.keep(newer.clone());
+    reader.keep_configuration(newer.clone());
     let question = asker.question(millis(1_000)).expect("a question");
     let (_, known_at) = asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
     expect_that!(known_at, none());
     let question = asker.question(millis(1_300)).expect("a question");
-    expect_that!(reader.told(question), some(eq(&newer)));
+    expect_that!(reader.requested_configuration(question), some(eq(&newer)));
 }
 
 /// Guards against applying changes of one generation of the store to the state of another.
@@ -252,9 +258,9 @@
 #[gtest]
 fn the_newest_version_is_kept_through_a_restore() {
     let mut spread = spread();
-    spread.keep(told(20));
+    spread.keep_configuration(update(20));
     spread.hint(1);
-    spread.keep(Told {
+    spread.keep_configuration(Update {
         revision: restored(5),
         content: content(15, Vec::new()),
     });
@@ -262,7 +268,10 @@
     late.read_all(at(4), at(4));
     late.take(vec![(at(5), Published::Configuration)], at(5));
     let question = late.question(millis(0)).expect("a question");
-    expect_that!(spread.told(question), some(eq(&told(20))));
+    expect_that!(
+        spread.requested_configuration(question),
+        some(eq(&update(20)))
+    );
 }
 
 /// Guards against a wrong report of a generation by another gateway, which would block everything
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -167,13 +167,17 @@
             shared.answer(question, from);
         }
         Ok(Datagram::Behind(version)) => {
-            let told = shared.gateway().spread.newer(version).cloned();
-            if let Some(told) = told {
-                shared.send(&Datagram::Configuration(Box::new(told)), from);
+            let update = shared
+                .gateway()
+                .spread
+                .configuration_newer_than(version)
+                .cloned();
+            if let Some(update) = update {
+                shared.send(&Datagram::Configuration(Box::new(update)), from);
             }
         }
         Ok(Datagram::Answer(answer)) => Feed(Rc::clone(shared)).apply_answer(answer),
-        Ok(Datagram::Configuration(told)) => Feed(Rc::clone(shared)).apply_relayed(*told),
+        Ok(Datagram::Configuration(update)) => Feed(Rc::clone(shared)).apply_relayed(*update),
         Ok(Datagram::Crashes(marks)) => crash::merge_marks(shared, &marks),
         Ok(Datagram::Limits(notices)) => limit::merge_notices(shared, &notices, from),
         Ok(Datagram::Loan(loan)) => limit::accept_loan(shared, &loan, from),
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -118,14 +118,14 @@
             return;
         };
         let answer = gateway.spread.answer(question, age);
-        let told = gateway.spread.told(question).cloned();
+        let update = gateway.spread.requested_configuration(question).cloned();
         drop(gateway);
         // The changes go first: the configuration that is asked for is one of them.
         if let Some(answer) = answer {
             self.send(&Datagram::Answer(answer), from);
         }
-        if let Some(told) = told {
-            self.send(&Datagram::Configuration(Box::new(told)), from);
+        if let Some(update) = update {
+            self.send(&Datagram::Configuration(Box::new(update)), from);
         }
     }
 
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -12,7 +12,7 @@
 use auburnline_gateway::spread::Need;
 use auburnline_gateway::spread::Published;
 use auburnline_gateway::spread::Revision;
-use auburnline_gateway::spread::Told;
+use auburnline_gateway::spread::Update;
 use auburnline_gateway::upstream;
 use auburnline_gateway::upstream::Upstream;
 use auburnline_gateway::upstream::UpstreamId;
@@ -115,9 +115,9 @@
     }
 
     /// Applies a configuration received from another gateway.
-    pub(crate) fn apply_relayed(&self, told: Told) {
+    pub(crate) fn apply_relayed(&self, update: Update) {
         metrics::counter!("auburnline_configurations_told_total").increment(1);
-        self.configuration(told.revision, Some(told.content));
+        self.configuration(update.revision, Some(update.content));
     }
 
     /// Applies all changes up to `until`, which were requested at `asked`, and sends them on to other gateways.
@@ -236,7 +236,9 @@
         let table = Table::new(content.clone());
         let version = table.version();
         let mut gateway = self.0.gateway();
-        gateway.spread.keep(Told { revision, content });
+        gateway
+            .spread
+            .keep_configuration(Update { revision, content });
         let before = gateway.version();
         let is_newer = gateway.set_table(table);
         drop(gateway);
