--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -59,11 +59,11 @@
 
 /// One change of the published state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Published {
+pub enum Change {
     /// An upstream was added or rewritten.
     Upstream(Upstream),
     /// An upstream was removed from the list.
-    Missing(UpstreamId),
+    Removed(UpstreamId),
     /// A configuration was written; its content is requested separately.
     Configuration,
 }
@@ -100,7 +100,7 @@
     /// Age of the reader's knowledge when it sent the answer.
     pub age: Duration,
     /// Changes in order of revision.
-    pub changes: Vec<(Revision, Published)>,
+    pub changes: Vec<(Revision, Change)>,
 }
 
 /// What this gateway has to read from the store now.
@@ -134,7 +134,7 @@
     awaited_since: Option<Monotonic>,
     /// Newest configuration, kept to answer queries.
     kept_configuration: Option<Update>,
-    changes: VecDeque<(Revision, Published)>,
+    changes: VecDeque<(Revision, Change)>,
     /// Revision after which `changes` is complete.
     kept_after: Revision,
     /// Consecutive requests to the store without an answer.
@@ -242,7 +242,7 @@
     /// Returns the revisions of the newest configuration that was announced and of the newest one
     /// that was read.
     #[must_use]
-    pub const fn configurations(&self) -> (Revision, Revision) {
+    pub const fn configuration_revisions(&self) -> (Revision, Revision) {
         (self.heard, self.read)
     }
 
@@ -268,7 +268,7 @@
 
     /// Applies changes up to `until`, in order of revision; returns those that are new. Changes of
     /// a generation other than the known one are ignored.
-    pub fn take(&mut self, changes: Vec<(Revision, Published)>, until: Revision) -> Vec<Published> {
+    pub fn take(&mut self, changes: Vec<(Revision, Change)>, until: Revision) -> Vec<Change> {
         let known = self.revision;
         let Some(known) = known.filter(|known| known.generation == until.generation) else {
             return Vec::new();
@@ -278,7 +278,7 @@
             if revision <= known {
                 continue;
             }
-            if change == Published::Configuration {
+            if change == Change::Configuration {
                 self.heard = self.heard.max(revision);
             }
             self.changes.push_back((revision, change.clone()));
@@ -328,7 +328,7 @@
     /// revision are no longer kept.
     #[must_use]
     pub fn answer(&self, question: Question, age: Duration) -> Option<Answer> {
-        let answer = self.since(question.revision, age)?;
+        let answer = self.changes_since(question.revision, age)?;
         Some(Answer {
             number: Some(question.number),
             ..answer
@@ -338,7 +338,7 @@
     /// Returns an unsolicited answer with the changes after `since`. For an earlier generation it
     /// holds no changes and only announces the current generation.
     #[must_use]
-    pub fn since(&self, since: Revision, age: Duration) -> Option<Answer> {
+    pub fn changes_since(&self, since: Revision, age: Duration) -> Option<Answer> {
         let known = self.revision?;
         if since.generation < known.generation {
             return Some(Answer {
@@ -371,7 +371,7 @@
 
     /// Applies the answer of a reader. Returns the new changes and, if it confirms that everything
     /// up to now is known, the time as of which it does.
-    pub fn apply_answer(&mut self, answer: Answer) -> (Vec<Published>, Option<Monotonic>) {
+    pub fn apply_answer(&mut self, answer: Answer) -> (Vec<Change>, Option<Monotonic>) {
         let Some(known) = self.revision else {
             return (Vec::new(), None);
         };
--- a/crates/gateway/tests/all/restore/world.rs
+++ b/crates/gateway/tests/all/restore/world.rs
@@ -7,8 +7,8 @@
 use auburnline_gateway::message::Entry;
 use auburnline_gateway::neighbour::Roster;
 use auburnline_gateway::route::Version;
+use auburnline_gateway::spread::Change;
 use auburnline_gateway::spread::Need;
-use auburnline_gateway::spread::Published;
 use rand::Rng as _;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
@@ -212,7 +212,7 @@
                 if is_new {
                     apply_configuration(gateway, version, written);
                 }
-                let changes = is_new.then_some((written, Published::Configuration));
+                let changes = is_new.then_some((written, Change::Configuration));
                 let changes = changes.into_iter().collect();
                 gateway.spread.take(changes, self.store.revision());
                 gateway.confirm(now, now);
--- a/crates/gateway/tests/all/spread.rs
+++ b/crates/gateway/tests/all/spread.rs
@@ -1,7 +1,7 @@
 //! Readers of the store, and distribution of its changes to other gateways.
 
+use auburnline_gateway::spread::Change;
 use auburnline_gateway::spread::Need;
-use auburnline_gateway::spread::Published;
 use auburnline_gateway::spread::Reading;
 use auburnline_gateway::spread::Revision;
 use auburnline_gateway::spread::Spread;
@@ -14,8 +14,8 @@
 use crate::support::revision as at;
 use crate::support::upstream;
 
-fn change(id: &str) -> Published {
-    Published::Upstream(upstream(id, "desk", State::Ready))
+fn change(id: &str) -> Change {
+    Change::Upstream(upstream(id, "desk", State::Ready))
 }
 
 /// Returns the state of a gateway that made a full read as of revision 10.
@@ -63,7 +63,7 @@
 fn what_is_told_unasked_is_taken_but_confirms_nothing() {
     let (mut reader, mut asker) = (spread(), spread());
     reader.take(vec![(at(11), change("a"))], at(11));
-    let answer = reader.since(at(10), millis(0)).expect("an answer");
+    let answer = reader.changes_since(at(10), millis(0)).expect("an answer");
     let (new, known_at) = asker.apply_answer(answer);
     assert_that!(new, len(eq(1)));
     assert_that!(known_at, none());
@@ -74,7 +74,7 @@
     let (mut reader, mut asker) = (spread(), spread());
     reader.take(vec![(at(11), change("a"))], at(11));
     reader.take(vec![(at(12), change("b"))], at(12));
-    let answer = reader.since(at(11), millis(0)).expect("an answer");
+    let answer = reader.changes_since(at(11), millis(0)).expect("an answer");
     let (new, _) = asker.apply_answer(answer);
     assert_that!(new, is_empty());
     assert_that!(asker.revision(), some(eq(at(10))));
@@ -85,7 +85,7 @@
 #[gtest]
 fn nothing_is_confirmed_before_a_configuration_that_was_heard_of_is_read() {
     let (mut reader, mut asker) = (spread(), spread());
-    reader.take(vec![(at(11), Published::Configuration)], at(11));
+    reader.take(vec![(at(11), Change::Configuration)], at(11));
     let question = asker.question(millis(1_000)).expect("a question");
     let (_, known_at) = asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
     assert_that!(known_at, none());
@@ -111,7 +111,7 @@
 #[gtest]
 fn a_configuration_is_told_by_a_gateway_that_has_it() {
     let (mut reader, mut asker) = (spread(), spread());
-    reader.take(vec![(at(11), Published::Configuration)], at(11));
+    reader.take(vec![(at(11), Change::Configuration)], at(11));
     reader.keep_configuration(update(11));
     reader.read_configuration(at(11));
     let question = asker.question(millis(1_000)).expect("a question");
@@ -132,9 +132,9 @@
 #[gtest]
 fn of_several_configurations_the_newest_is_kept_and_waited_for() {
     let mut asker = spread();
-    asker.take(vec![(at(11), Published::Configuration)], at(11));
+    asker.take(vec![(at(11), Change::Configuration)], at(11));
     assert_that!(asker.need(false, millis(1_000)), eq(Need::Nothing));
-    asker.take(vec![(at(12), Published::Configuration)], at(12));
+    asker.take(vec![(at(12), Change::Configuration)], at(12));
     asker.read_configuration(at(11));
     assert_that!(asker.need(false, millis(1_800)), eq(Need::Nothing));
     assert_that!(asker.need(false, millis(2_600)), eq(Need::Nothing));
@@ -142,7 +142,7 @@
     asker.keep_configuration(update(12));
     asker.keep_configuration(update(11));
     let mut late = spread();
-    late.take(vec![(at(12), Published::Configuration)], at(12));
+    late.take(vec![(at(12), Change::Configuration)], at(12));
     let question = late.question(millis(0)).expect("a question");
     assert_that!(
         asker.requested_configuration(question),
@@ -207,7 +207,7 @@
     let (mut reader, mut asker) = (spread(), spread());
     reader.keep_configuration(update(9));
     for one in [&mut reader, &mut asker] {
-        one.take(vec![(at(90), Published::Configuration)], at(90));
+        one.take(vec![(at(90), Change::Configuration)], at(90));
         one.read_configuration(at(90));
         expect_that!(one.hint(1), eq(true));
         expect_that!(one.hint(1), eq(false));
@@ -215,7 +215,7 @@
         let reading = one.read_all(restored(10), restored(3));
         expect_that!(reading, eq(Reading::Restored));
     }
-    reader.take(vec![(restored(11), Published::Configuration)], restored(11));
+    reader.take(vec![(restored(11), Change::Configuration)], restored(11));
     let newer = Update {
         revision: restored(11),
         content: content(91, Vec::new()),
@@ -266,7 +266,7 @@
     });
     let mut late = Spread::default();
     late.read_all(at(4), at(4));
-    late.take(vec![(at(5), Published::Configuration)], at(5));
+    late.take(vec![(at(5), Change::Configuration)], at(5));
     let question = late.question(millis(0)).expect("a question");
     expect_that!(
         spread.requested_configuration(question),
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -136,7 +136,7 @@
         subscribers.retain(|_, asked| now.saturating_sub(*asked) < SUBSCRIPTION_AGE);
         let gateway = self.gateway();
         let age = gateway.knowledge.age(now).unwrap_or_default();
-        let Some(answer) = gateway.spread.since(since, age) else {
+        let Some(answer) = gateway.spread.changes_since(since, age) else {
             return;
         };
         drop(gateway);
@@ -239,7 +239,7 @@
     pub(crate) fn export_revisions(&self) {
         let gateway = self.gateway();
         let known = gateway.spread.revision().unwrap_or_default();
-        let (heard, read) = gateway.spread.configurations();
+        let (heard, read) = gateway.spread.configuration_revisions();
         drop(gateway);
         for (of, revision) in [
             ("store", known),
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -7,10 +7,10 @@
 use auburnline_gateway::knowledge;
 use auburnline_gateway::route::Content;
 use auburnline_gateway::route::Table;
+use auburnline_gateway::spread;
 use auburnline_gateway::spread::Answer;
 use auburnline_gateway::spread::Generation;
 use auburnline_gateway::spread::Need;
-use auburnline_gateway::spread::Published;
 use auburnline_gateway::spread::Revision;
 use auburnline_gateway::spread::Update;
 use auburnline_gateway::upstream;
@@ -127,11 +127,11 @@
         let mut published = Vec::with_capacity(changes.len());
         for (revision, change) in changes {
             let change = match change {
-                Change::Upstream(upstream) => Published::Upstream(upstream),
-                Change::Missing(id) => Published::Missing(id),
+                Change::Upstream(upstream) => spread::Change::Upstream(upstream),
+                Change::Missing(id) => spread::Change::Removed(id),
                 Change::Configuration(content) => {
                     self.configuration(revision, content);
-                    Published::Configuration
+                    spread::Change::Configuration
                 }
             };
             published.push((revision, change));
@@ -248,14 +248,16 @@
         self.0.update_readiness();
     }
 
-    fn apply(&self, changes: Vec<Published>) {
+    fn apply(&self, changes: Vec<spread::Change>) {
         let mut pool_changes = Vec::new();
         let mut gateway = self.0.gateway();
         for change in changes {
             match change {
-                Published::Upstream(upstream) => pool_changes.extend(gateway.pool.insert(upstream)),
-                Published::Missing(id) => gateway.pool.miss(&id),
-                Published::Configuration => {}
+                spread::Change::Upstream(upstream) => {
+                    pool_changes.extend(gateway.pool.insert(upstream))
+                }
+                spread::Change::Removed(id) => gateway.pool.miss(&id),
+                spread::Change::Configuration => {}
             }
         }
         drop(gateway);
