--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -37,7 +37,7 @@
     /// Whether it accepts new requests.
     pub is_ready: bool,
     /// Whether its last call to the store failed.
-    pub is_cut: bool,
+    pub is_store_unreachable: bool,
     /// Version of the configuration in force there; `None` until it has one.
     pub version: Option<Version>,
 }
--- a/crates/gateway/src/neighbour.rs
+++ b/crates/gateway/src/neighbour.rs
@@ -169,14 +169,14 @@
     }
 
     /// Sets whether this gateway's last call to the store failed.
-    pub fn set_cut(&mut self, is_cut: bool) {
-        self.me.is_cut = is_cut;
+    pub fn set_store_unreachable(&mut self, is_store_unreachable: bool) {
+        self.me.is_store_unreachable = is_store_unreachable;
     }
 
     /// Returns whether this gateway's last call to the store failed.
     #[must_use]
-    pub const fn is_cut(&self) -> bool {
-        self.me.is_cut
+    pub const fn is_store_unreachable(&self) -> bool {
+        self.me.is_store_unreachable
     }
 
     /// Returns the addresses of the other gateways that read the store for this one's failure
@@ -187,9 +187,12 @@
         let all: Vec<&Entry> = live.map(|known| &known.entry).chain([&self.me]).collect();
         let is_near = |entry: &&Entry| entry.failure_domain == self.me.failure_domain;
         // A gateway that the store rejects may use readers of any failure domain.
-        let able = all.iter().copied().filter(|entry| !entry.is_cut);
+        let able = all
+            .iter()
+            .copied()
+            .filter(|entry| !entry.is_store_unreachable);
         let mut able: Vec<&Entry> = able
-            .filter(|entry| self.me.is_cut || is_near(entry))
+            .filter(|entry| self.me.is_store_unreachable || is_near(entry))
             .collect();
         if able.is_empty() {
             // The store answers no gateway: the readers of each failure domain keep trying for the
--- a/crates/gateway/tests/all/gateway.rs
+++ b/crates/gateway/tests/all/gateway.rs
@@ -38,7 +38,7 @@
         callers: "10.0.0.1:80".parse().expect("an address"),
         peers: "10.0.0.1:81".parse().expect("an address"),
         is_ready: true,
-        is_cut: false,
+        is_store_unreachable: false,
         version: None,
     };
     Gateway::new("north".into(), BOUNDS, Roster::new(me, Vec::new()), 7)
--- a/crates/gateway/tests/all/neighbour.rs
+++ b/crates/gateway/tests/all/neighbour.rs
@@ -20,7 +20,7 @@
         callers: format!("10.0.0.1:{number}").parse().expect("an address"),
         peers: format!("10.0.0.2:{number}").parse().expect("an address"),
         is_ready,
-        is_cut: false,
+        is_store_unreachable: false,
         version: None,
     }
 }
@@ -114,7 +114,7 @@
     roster.receive(&heartbeat(far, Vec::new()), millis(0));
     let (readers, is_reader) = roster.readers(millis(0));
     assert_that!((readers, is_reader), eq(&(Vec::new(), true)));
-    roster.set_cut(true);
+    roster.set_store_unreachable(true);
     let (readers, is_reader) = roster.readers(millis(0));
     assert_that!((readers, is_reader), eq(&(vec![far_address], false)));
 }
@@ -139,10 +139,10 @@
     let mut readers = 0;
     for own in 0..6 {
         let mut roster = Roster::new(entry(&format!("g-{own}"), 1, 1, true), Vec::new());
-        roster.set_cut(true);
+        roster.set_store_unreachable(true);
         for other in (0..6).filter(|other| *other != own) {
             let mut from = entry(&format!("g-{other}"), 1, 1, true);
-            from.is_cut = true;
+            from.is_store_unreachable = true;
             roster.receive(&heartbeat(from, Vec::new()), millis(0));
         }
         let (others, is_reader) = roster.readers(millis(0));
--- a/crates/gateway/tests/all/restore/world.rs
+++ b/crates/gateway/tests/all/restore/world.rs
@@ -182,11 +182,11 @@
             return;
         }
         if self.store.is_down || self.now < node.disconnected_until.max(node.isolated_until) {
-            gateway.roster.set_cut(true);
+            gateway.roster.set_store_unreachable(true);
             node.next_read = self.now + gateway.spread.miss(false);
             return;
         }
-        gateway.roster.set_cut(false);
+        gateway.roster.set_store_unreachable(false);
         gateway.spread.reach();
         node.next_read = self.now + STEP * 2;
         let (written, version) = self.store.configuration();
--- a/crates/gateway/tests/all/support.rs
+++ b/crates/gateway/tests/all/support.rs
@@ -118,7 +118,7 @@
         callers: ([10, 0, 1, 1], number).into(),
         peers: ([10, 0, 2, 1], number).into(),
         is_ready: true,
-        is_cut: false,
+        is_store_unreachable: false,
         version: None,
     }
 }
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -74,7 +74,7 @@
         callers: settings.callers,
         peers: settings.peers,
         is_ready: false,
-        is_cut: false,
+        is_store_unreachable: false,
         version: None,
     };
     let roster = Roster::new(entry, settings.seeds.clone());
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -76,7 +76,7 @@
             if need != Need::Nothing {
                 return need;
             }
-            if waited >= PROBE_INTERVAL && self.0.gateway().roster.is_cut() {
+            if waited >= PROBE_INTERVAL && self.0.gateway().roster.is_store_unreachable() {
                 let revision = self.0.gateway().spread.revision();
                 return revision.map_or(Need::All, Need::Changes);
             }
@@ -190,7 +190,7 @@
     /// Records that the store answered a request sent at `asked`.
     fn record_answer(&self, asked: Monotonic) {
         let mut gateway = self.0.gateway();
-        gateway.roster.set_cut(false);
+        gateway.roster.set_store_unreachable(false);
         gateway.spread.reach();
         drop(gateway);
         self.record_known(asked);
@@ -214,8 +214,8 @@
         metrics::counter!("auburnline_store_failures_total").increment(1);
         let now = self.now();
         let mut gateway = self.0.gateway();
-        let was_cut = gateway.roster.is_cut();
-        gateway.roster.set_cut(true);
+        let was_unreachable = gateway.roster.is_store_unreachable();
+        gateway.roster.set_store_unreachable(true);
         let age = gateway.knowledge.age(now);
         let is_told = age.is_some_and(|age| age < MAX_RELAYED_AGE);
         if !is_told {
@@ -224,7 +224,7 @@
         let (_, is_reader) = gateway.roster.readers(now);
         let pause = gateway.spread.miss(is_reader);
         drop(gateway);
-        if !was_cut {
+        if !was_unreachable {
             let age_ms = millis(age.unwrap_or_default());
             log::warn!(target: "store", cause, age_ms, is_told; "lost");
         }
