--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -200,8 +200,8 @@
     /// Does periodic work: adjusts this gateway's share of the retry budget to the size of the
     /// fleet, and drops expired backoffs.
     pub fn tick(&mut self, now: Monotonic) {
-        let is_settled = now > crate::neighbour::LIFE;
-        let fleet = is_settled.then_some(self.roster.most());
+        let is_settled = now > crate::neighbour::NEWS_TIMEOUT;
+        let fleet = is_settled.then_some(self.roster.peak_members());
         self.budget.resize(shares(&self.bounds, fleet));
         self.budget.tick(now);
         self.backoffs.forget(now);
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -197,7 +197,9 @@
     /// Records that a heartbeat is sent; returns the notices of limits to send with it, and drops
     /// limits of upstreams that are gone.
     pub fn heartbeat_limits(&mut self, now: Monotonic) -> Vec<Notice> {
-        self.limits.home.sent(self.roster.me().heartbeats, now);
+        self.limits
+            .home
+            .sent(self.roster.own_entry().heartbeats, now);
         self.limits.closed.retain(|_, until| now < *until);
         self.limits.lender.forget(now);
         if self.limits.is_idle() {
@@ -216,14 +218,14 @@
         if self.limits.is_idle()
             || !self
                 .roster
-                .me()
+                .own_entry()
                 .heartbeats
                 .is_multiple_of(LOAN_INTERVAL_HEARTBEATS)
         {
             return Vec::new();
         }
-        let lender = stable(0, self.roster.me().instance.as_bytes());
-        let fleet = u32::try_from(self.roster.most()).unwrap_or(u32::MAX);
+        let lender = stable(0, self.roster.own_entry().instance.as_bytes());
+        let fleet = u32::try_from(self.roster.peak_members()).unwrap_or(u32::MAX);
         for notice in self.limits.book.in_force(now) {
             let home = self.roster.home(&home_key(notice.upstream), now);
             let heartbeat = Heartbeat {
@@ -247,7 +249,7 @@
             });
             loan.limits.push(notice);
         }
-        if let Some(own) = loans.remove(&self.roster.me().peers) {
+        if let Some(own) = loans.remove(&self.roster.own_entry().peers) {
             self.borrow(&own, now);
         }
         let loans = loans.into_iter();
@@ -273,7 +275,7 @@
     /// known limits.
     pub fn receive_loan(&mut self, loan: &Loan, from: SocketAddr, now: Monotonic) -> Vec<News> {
         let news = self.receive_limits(&loan.limits, from, now);
-        if loan.incarnation == self.roster.me().incarnation {
+        if loan.incarnation == self.roster.own_entry().incarnation {
             self.borrow(loan, now);
         }
         news
@@ -292,7 +294,7 @@
         }
         let start = start_tag(upstream);
         let home = self.home(start, now);
-        if home == self.roster.me().peers {
+        if home == self.roster.own_entry().peers {
             let permit = self.permit(start, now);
             return self.take_permit(start, permit, now);
         }
--- a/crates/gateway/src/neighbour.rs
+++ b/crates/gateway/src/neighbour.rs
@@ -2,8 +2,8 @@
 //!
 //! Each gateway sends a [`Heartbeat`] to a few others several times a second. It describes the
 //! sender and relays part of what the sender knows of others, so that every gateway learns of all
-//! others without sending to all. A gateway without news for [`LIFE`] is no longer offered to callers; one
-//! that leaves announces it.
+//! others without sending to all. A gateway without news for [`NEWS_TIMEOUT`] is no longer offered
+//! to callers; one that leaves announces it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,15 +24,15 @@
 use crate::spread;
 use crate::upstream::Counts;
 
-/// Interval of heartbeats: several arrive within [`LIFE`], and the reported counts of requests in
-/// flight stay younger than the requests last.
-pub const PERIOD: Duration = Duration::from_millis(300);
+/// Interval of heartbeats: several arrive within [`NEWS_TIMEOUT`], and the reported counts of
+/// requests in flight stay younger than the requests last.
+pub const HEARTBEAT_PERIOD: Duration = Duration::from_millis(300);
 /// Time without news after which a gateway counts as failed: five heartbeats, since single ones get
 /// lost.
-pub const LIFE: Duration = Duration::from_millis(1_600);
-/// Time without news up to which a gateway may be the home of a limit. It exceeds [`LIFE`] because
-/// in a fleet of hundreds the latest news of a live gateway may be older, and all gateways have to
-/// agree on the home. Those that lend to the home hear from it directly.
+pub const NEWS_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// Time without news up to which a gateway may be the home of a limit. It exceeds [`NEWS_TIMEOUT`]
+/// because in a fleet of hundreds the latest news of a live gateway may be older, and all gateways
+/// have to agree on the home. Those that lend to the home hear from it directly.
 const HOME_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time without news up to which a gateway counts towards the size of the fleet. In a fleet of
 /// hundreds nearly all news is younger.
@@ -69,7 +69,7 @@
 
 impl Peer {
     fn is_alive(&self, now: Monotonic) -> bool {
-        now.saturating_sub(self.heard) < LIFE
+        now.saturating_sub(self.heard) < NEWS_TIMEOUT
     }
 
     fn may_be_home(&self, now: Monotonic) -> bool {
@@ -93,25 +93,25 @@
 /// All gateways that this one knows.
 #[derive(Clone, Debug)]
 pub struct Roster {
-    me: Entry,
+    own_entry: Entry,
     seeds: Vec<SocketAddr>,
     others: BTreeMap<InstanceId, Peer>,
     /// Own messages of others count as current only if they arrived after this time.
     ignored_until: Monotonic,
     /// Highest number of members seen at once, including this gateway.
-    most: usize,
+    peak_members: usize,
 }
 
 impl Roster {
     /// Returns a roster that knows only this gateway and the addresses of its seeds.
     #[must_use]
-    pub fn new(me: Entry, seeds: Vec<SocketAddr>) -> Roster {
+    pub fn new(own_entry: Entry, seeds: Vec<SocketAddr>) -> Roster {
         Roster {
-            me,
+            own_entry,
             seeds,
             others: BTreeMap::new(),
             ignored_until: Monotonic::ZERO,
-            most: 1,
+            peak_members: 1,
         }
     }
 
@@ -122,20 +122,20 @@
 
     /// Sets whether this gateway accepts new requests; returns whether that changed.
     pub fn set_ready(&mut self, is_ready: bool) -> bool {
-        let is_changed = self.me.is_ready != is_ready;
-        self.me.is_ready = is_ready;
+        let is_changed = self.own_entry.is_ready != is_ready;
+        self.own_entry.is_ready = is_ready;
         is_changed
     }
 
     /// Returns whether this gateway accepts new requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.me.is_ready
+        self.own_entry.is_ready
     }
 
     /// Sets the version of the configuration in force at this gateway.
     pub(crate) fn set_version(&mut self, version: Version) {
-        self.me.version = Some(version);
+        self.own_entry.version = Some(version);
     }
 
     /// Returns the newest version in force at another live gateway, and the address of one that has
@@ -145,7 +145,10 @@
         let live = self.others.values().filter(|known| known.is_alive(now));
         let versions = live.filter_map(|known| Some((known.entry.version?, &known.entry)));
         let newest = versions.max_by_key(|(version, entry)| {
-            (*version, rendezvous(&self.me.instance, &entry.instance))
+            (
+                *version,
+                rendezvous(&self.own_entry.instance, &entry.instance),
+            )
         });
         newest.map(|(version, entry)| (version, entry.peers))
     }
@@ -160,23 +163,26 @@
     pub(crate) fn is_view_current(&self, now: Monotonic) -> bool {
         let recent = self.others.values().filter(|known| {
             let heard_directly = known.heard_directly.filter(|at| *at > self.ignored_until);
-            heard_directly.is_some_and(|at| now.saturating_sub(at) < LIFE)
+            heard_directly.is_some_and(|at| now.saturating_sub(at) < NEWS_TIMEOUT)
         });
         let recent: Vec<&Entry> = recent.map(|known| &known.entry).collect();
         let heard_directly = |seed: &SocketAddr| recent.iter().any(|entry| entry.peers == *seed);
-        let mut seeds = self.seeds.iter().filter(|seed| **seed != self.me.peers);
+        let mut seeds = self
+            .seeds
+            .iter()
+            .filter(|seed| **seed != self.own_entry.peers);
         recent.iter().any(|entry| entry.is_ready) || seeds.all(heard_directly)
     }
 
     /// Sets whether this gateway's last call to the store failed.
     pub fn set_store_unreachable(&mut self, is_store_unreachable: bool) {
-        self.me.is_store_unreachable = is_store_unreachable;
+        self.own_entry.is_store_unreachable = is_store_unreachable;
     }
 
     /// Returns whether this gateway's last call to the store failed.
     #[must_use]
     pub const fn is_store_unreachable(&self) -> bool {
-        self.me.is_store_unreachable
+        self.own_entry.is_store_unreachable
     }
 
     /// Returns the addresses of the other gateways that read the store for this one's failure
@@ -184,15 +190,18 @@
     #[must_use]
     pub fn readers(&self, now: Monotonic) -> (Vec<SocketAddr>, bool) {
         let live = self.others.values().filter(|known| known.is_alive(now));
-        let all: Vec<&Entry> = live.map(|known| &known.entry).chain([&self.me]).collect();
-        let is_near = |entry: &&Entry| entry.failure_domain == self.me.failure_domain;
+        let all: Vec<&Entry> = live
+            .map(|known| &known.entry)
+            .chain([&self.own_entry])
+            .collect();
+        let is_near = |entry: &&Entry| entry.failure_domain == self.own_entry.failure_domain;
         // A gateway that the store rejects may use readers of any failure domain.
         let able = all
             .iter()
             .copied()
             .filter(|entry| !entry.is_store_unreachable);
         let mut able: Vec<&Entry> = able
-            .filter(|entry| self.me.is_store_unreachable || is_near(entry))
+            .filter(|entry| self.own_entry.is_store_unreachable || is_near(entry))
             .collect();
         if able.is_empty() {
             // The store answers no gateway: the readers of each failure domain keep trying for the
@@ -202,10 +211,10 @@
         let readers = spread::readers(able);
         let is_reader = readers
             .iter()
-            .any(|entry| entry.instance == self.me.instance);
+            .any(|entry| entry.instance == self.own_entry.instance);
         let others = readers
             .iter()
-            .filter(|entry| entry.instance != self.me.instance);
+            .filter(|entry| entry.instance != self.own_entry.instance);
         (others.map(|entry| entry.peers).collect(), is_reader)
     }
 
@@ -213,7 +222,7 @@
     /// is preferred.
     pub(crate) fn home(&self, key: &str, now: Monotonic) -> Home<'_> {
         let me = Home {
-            entry: &self.me,
+            entry: &self.own_entry,
             heard: now,
         };
         let others = self.others.values();
@@ -230,8 +239,8 @@
     }
 
     /// Returns this gateway's own state.
-    pub(crate) const fn me(&self) -> &Entry {
-        &self.me
+    pub(crate) const fn own_entry(&self) -> &Entry {
+        &self.own_entry
     }
 
     /// Merges a heartbeat; returns which gateways are new, back, or have changed their readiness.
@@ -244,12 +253,12 @@
         // In a fleet of hundreds a single gateway knows only some of the members, and each knows
         // different ones.
         let reported = usize::try_from(heartbeat.members).unwrap_or(0);
-        self.most = self.most.max(self.members(now)).max(reported);
+        self.peak_members = self.peak_members.max(self.members(now)).max(reported);
         updates
     }
 
     fn merge(&mut self, entry: &Entry, is_direct: bool, now: Monotonic) -> Option<Update> {
-        if entry.instance == self.me.instance {
+        if entry.instance == self.own_entry.instance {
             return None;
         }
         let known = self.others.get(&entry.instance);
@@ -297,7 +306,7 @@
     }
 
     /// Extends all timeouts by the time for which this process was suspended and received nothing.
-    pub fn pause(&mut self, pause: Duration) {
+    pub fn extend_timeouts(&mut self, pause: Duration) {
         for known in self.others.values_mut() {
             known.heard = known.heard.saturating_add(pause);
         }
@@ -310,13 +319,13 @@
         now: Monotonic,
         rng: &mut impl Rng,
     ) -> Heartbeat {
-        self.me.heartbeats += 1;
+        self.own_entry.heartbeats += 1;
         self.others
             .retain(|_, known| now.saturating_sub(known.heard) < REMOVAL_TIMEOUT);
         let live = self.others.values().filter(|known| known.is_alive(now));
         let relayed = live.choose_multiple(rng, MAX_RELAYED);
         Heartbeat {
-            from: self.me.clone(),
+            from: self.own_entry.clone(),
             counts,
             others: relayed
                 .into_iter()
@@ -331,7 +340,7 @@
     #[must_use]
     pub fn own_heartbeat(&self, counts: Counts, now: Monotonic) -> Heartbeat {
         Heartbeat {
-            from: self.me.clone(),
+            from: self.own_entry.clone(),
             counts,
             others: Vec::new(),
             members: count(self.members(now)),
@@ -358,8 +367,12 @@
         let addresses = live.map(|known| known.entry.peers);
         let mut targets = addresses.choose_multiple(rng, FANOUT);
         let is_isolated = targets.len() < FANOUT / 2;
-        if is_isolated || self.me.heartbeats.is_multiple_of(SEED_HEARTBEATS) {
-            targets.extend(self.seeds.iter().filter(|seed| **seed != self.me.peers));
+        if is_isolated || self.own_entry.heartbeats.is_multiple_of(SEED_HEARTBEATS) {
+            targets.extend(
+                self.seeds
+                    .iter()
+                    .filter(|seed| **seed != self.own_entry.peers),
+            );
         }
         if is_isolated {
             // After a network partition the seeds may be gone while other known gateways are
@@ -377,7 +390,7 @@
     pub fn addresses(&self, now: Monotonic, most: usize) -> Vec<SocketAddr> {
         let live = self.others.values().filter(|known| known.is_alive(now));
         let others = live.map(|known| known.entry.peers);
-        std::iter::once(self.me.peers)
+        std::iter::once(self.own_entry.peers)
             .chain(others)
             .take(most)
             .collect()
@@ -402,8 +415,8 @@
     /// Returns the highest number of members seen at once. It is a safe divisor for shared
     /// quantities, since an isolated gateway can't tell whether the others have failed.
     #[must_use]
-    pub const fn most(&self) -> usize {
-        self.most
+    pub const fn peak_members(&self) -> usize {
+        self.peak_members
     }
 
     /// Returns the gateways that a caller in `domain` should use.
@@ -413,7 +426,7 @@
         let mut candidates: Vec<Candidate> = others
             .map(|known| candidate(&known.entry, known.is_alive(now)))
             .collect();
-        candidates.push(candidate(&self.me, true));
+        candidates.push(candidate(&self.own_entry, true));
         discovery::offer(&candidates, domain, seed)
     }
 }
--- a/crates/gateway/src/version.rs
+++ b/crates/gateway/src/version.rs
@@ -17,8 +17,8 @@
 use crate::gateway::Gateway;
 use crate::knowledge;
 use crate::message::Heartbeat;
-use crate::neighbour::LIFE;
-use crate::neighbour::PERIOD;
+use crate::neighbour::HEARTBEAT_PERIOD;
+use crate::neighbour::NEWS_TIMEOUT;
 
 /// Time that a starting or returning gateway waits for a message of another one: two heartbeats, of
 /// which one may be lost. Receivers of its own first heartbeat reply immediately.
@@ -68,7 +68,7 @@
         let since = *self.lag.behind_since.get_or_insert(now);
         let is_late = now.saturating_sub(since) >= CONFIGURATION_WAIT;
         let asked = self.lag.asked_ahead;
-        let is_asked = asked.is_some_and(|at| now.saturating_sub(at) < PERIOD);
+        let is_asked = asked.is_some_and(|at| now.saturating_sub(at) < HEARTBEAT_PERIOD);
         if is_asked || !(self.waits_to_serve(now) || is_late) {
             return None;
         }
@@ -105,7 +105,7 @@
         let before = self.lag.known_at;
         // Messages received before a gap, or queued in the socket during it, don't show which
         // version others have in force now.
-        if before.is_some_and(|before| known_at.saturating_sub(before) >= LIFE) {
+        if before.is_some_and(|before| known_at.saturating_sub(before) >= NEWS_TIMEOUT) {
             self.roster.ignore_until(now);
             self.lag.uninformed_since = None;
         }
--- a/crates/gateway/tests/all/fleet/limit.rs
+++ b/crates/gateway/tests/all/fleet/limit.rs
@@ -189,6 +189,6 @@
     let mut world = World::start(count, 1.0, 1);
     world.run();
     let nodes = world.nodes.iter().flatten();
-    let least = nodes.map(|node| node.gateway.roster.most()).min();
+    let least = nodes.map(|node| node.gateway.roster.peak_members()).min();
     expect_that!(least, some(ge(count * 97 / 100)));
 }
--- a/crates/gateway/tests/all/fleet/world.rs
+++ b/crates/gateway/tests/all/fleet/world.rs
@@ -10,7 +10,7 @@
 use auburnline_core::time::Monotonic;
 use auburnline_gateway::Gateway;
 use auburnline_gateway::limit::Consent;
-use auburnline_gateway::neighbour::PERIOD;
+use auburnline_gateway::neighbour::HEARTBEAT_PERIOD;
 use auburnline_gateway::neighbour::Roster;
 use auburnline_gateway::upstream::State;
 use auburnline_gateway::upstream::Upstream;
@@ -223,7 +223,7 @@
         for (home, loan) in loans {
             self.send(number, home, Message::Loan(loan), now);
         }
-        self.schedule(now + PERIOD, number, Event::Tick);
+        self.schedule(now + HEARTBEAT_PERIOD, number, Event::Tick);
     }
 
     fn receive(&mut self, number: usize, from: usize, message: Message, now: Time) {
--- a/crates/gateway/tests/all/neighbour.rs
+++ b/crates/gateway/tests/all/neighbour.rs
@@ -2,7 +2,7 @@
 
 use auburnline_gateway::message::Entry;
 use auburnline_gateway::message::Heartbeat;
-use auburnline_gateway::neighbour::LIFE;
+use auburnline_gateway::neighbour::NEWS_TIMEOUT;
 use auburnline_gateway::neighbour::Roster;
 use googletest::prelude::*;
 use rand::SeedableRng as _;
@@ -55,9 +55,9 @@
 fn a_silent_gateway_is_offered_no_more() {
     let mut roster = roster();
     roster.receive(&heartbeat(entry("b", 1, 9, true), Vec::new()), millis(100));
-    assert_that!(roster.live(millis(100) + LIFE), eq(1));
+    assert_that!(roster.live(millis(100) + NEWS_TIMEOUT), eq(1));
     assert_that!(offered(&roster, 5_000), eq(1));
-    assert_that!(roster.most(), eq(2));
+    assert_that!(roster.peak_members(), eq(2));
 }
 
 #[gtest]
@@ -99,7 +99,7 @@
 fn a_process_that_stood_still_does_not_take_all_others_for_dead() {
     let mut roster = roster();
     roster.receive(&heartbeat(entry("b", 1, 9, true), Vec::new()), millis(0));
-    roster.pause(millis(4_000));
+    roster.extend_timeouts(millis(4_000));
     assert_that!(roster.live(millis(4_100)), eq(2));
 }
 
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -8,8 +8,8 @@
 use auburnline_core::time::Monotonic;
 use auburnline_gateway::message::Datagram;
 use auburnline_gateway::message::Heartbeat;
+use auburnline_gateway::neighbour::HEARTBEAT_PERIOD;
 use auburnline_gateway::neighbour::MAX_COUNTS;
-use auburnline_gateway::neighbour::PERIOD;
 use auburnline_gateway::route::ServiceId;
 use auburnline_gateway::spread::Question;
 use auburnline_lockstep::message::Digest;
@@ -35,10 +35,10 @@
 /// younger than the revocation bound, and removals are known well within the draining bound.
 const HEARTBEATS_PER_QUERY: u64 = 2;
 
-/// Sends a heartbeat every [`PERIOD`] and handles messages as they arrive, for as long as the process runs.
+/// Sends a heartbeat every [`HEARTBEAT_PERIOD`] and handles messages as they arrive, for as long as the process runs.
 pub(crate) async fn run(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
     let mut rng = SmallRng::from_os_rng();
-    let mut ticks = interval(PERIOD);
+    let mut ticks = interval(HEARTBEAT_PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     let mut last = shared.now();
@@ -61,7 +61,7 @@
 fn record_suspension(shared: &Shared, gap: Duration) {
     if gap > SUSPENSION_THRESHOLD {
         log::warn!(target: "neighbours", gap_ms = crate::telemetry::millis(gap); "process did not run for longer than expected");
-        shared.gateway().roster.pause(gap);
+        shared.gateway().roster.extend_timeouts(gap);
     }
 }
 
