--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -61,7 +61,7 @@
     /// Periodic heartbeat of another gateway.
     Heartbeat(Heartbeat),
     /// Reply to the heartbeat of a gateway that started or came back; never replied to.
-    Introduction(Heartbeat),
+    JoinReply(Heartbeat),
     /// Request of a sidecar for the upstreams that serve a service.
     Ask(Ask),
     /// State of a group, from its leader.
@@ -73,7 +73,7 @@
     /// Changes of the published state.
     Answer(spread::Answer),
     /// Request for a configuration that is newer than this version.
-    Behind(Option<Version>),
+    ConfigurationQuery(Option<Version>),
     /// Configuration that the receiver is waiting for.
     Configuration(Box<spread::Update>),
     /// Requests that were running when an upstream crashed.
--- a/crates/gateway/src/neighbour.rs
+++ b/crates/gateway/src/neighbour.rs
@@ -299,7 +299,7 @@
     /// Returns whether the sender of a heartbeat just started or was considered failed, so that the
     /// others send it nothing.
     #[must_use]
-    pub fn is_back(&self, heartbeat: &Heartbeat, now: Monotonic) -> bool {
+    pub fn needs_join_reply(&self, heartbeat: &Heartbeat, now: Monotonic) -> bool {
         let known = self.others.get(&heartbeat.from.instance);
         heartbeat.from.heartbeats == FIRST_HEARTBEAT
             || known.is_none_or(|known| !known.is_alive(now))
@@ -349,7 +349,7 @@
 
     /// Returns the last heartbeat with gossip about some others, for a gateway that started or came
     /// back.
-    pub(crate) fn introduction(&self, now: Monotonic, rng: &mut impl Rng) -> Heartbeat {
+    pub(crate) fn join_reply(&self, now: Monotonic, rng: &mut impl Rng) -> Heartbeat {
         let live = self.others.values().filter(|known| known.is_alive(now));
         let relayed = live.choose_multiple(rng, MAX_RELAYED);
         Heartbeat {
--- a/crates/gateway/src/version.rs
+++ b/crates/gateway/src/version.rs
@@ -69,7 +69,7 @@
         let is_late = now.saturating_sub(since) >= CONFIGURATION_WAIT;
         let asked = self.lag.asked_ahead;
         let is_asked = asked.is_some_and(|at| now.saturating_sub(at) < HEARTBEAT_PERIOD);
-        if is_asked || !(self.waits_to_serve(now) || is_late) {
+        if is_asked || !(self.awaits_peers(now) || is_late) {
             return None;
         }
         self.lag.asked_ahead = Some(now);
@@ -79,7 +79,7 @@
     /// Returns whether this gateway has read the store and doesn't serve yet because another one
     /// may be ahead.
     #[must_use]
-    pub fn waits_to_serve(&self, now: Monotonic) -> bool {
+    pub fn awaits_peers(&self, now: Monotonic) -> bool {
         self.lag.unconfirmed.is_some() && !self.knowledge.is_fresh(now)
     }
 
@@ -87,8 +87,8 @@
     /// gateway as not ready if its knowledge is outdated: after a suspension the roster may still
     /// say ready.
     #[must_use]
-    pub fn introduction(&self, now: Monotonic, rng: &mut impl Rng) -> Heartbeat {
-        let mut heartbeat = self.roster.introduction(now, rng);
+    pub fn join_reply(&self, now: Monotonic, rng: &mut impl Rng) -> Heartbeat {
+        let mut heartbeat = self.roster.join_reply(now, rng);
         heartbeat.from.is_ready &= self.is_able(now);
         heartbeat
     }
@@ -111,11 +111,11 @@
         }
         self.lag.known_at = before.max(Some(known_at));
         self.lag.unconfirmed = self.lag.unconfirmed.max(Some(known_at));
-        self.settle(now)
+        self.confirm_pending(now)
     }
 
     /// Confirms the recorded knowledge once it no longer has to wait for other gateways.
-    pub fn settle(&mut self, now: Monotonic) -> knowledge::Change {
+    pub fn confirm_pending(&mut self, now: Monotonic) -> knowledge::Change {
         let Some(known_at) = self.lag.unconfirmed else {
             return knowledge::Change::None;
         };
--- a/crates/gateway/tests/all/fleet/mod.rs
+++ b/crates/gateway/tests/all/fleet/mod.rs
@@ -50,7 +50,7 @@
 #[derive(Clone)]
 enum Message {
     Heartbeat(Heartbeat),
-    Introduction(Heartbeat),
+    JoinReply(Heartbeat),
     Limits(Vec<Notice>),
     Loan(Loan),
     Ask(Ask),
--- a/crates/gateway/tests/all/fleet/world.rs
+++ b/crates/gateway/tests/all/fleet/world.rs
@@ -231,16 +231,16 @@
         let gateway = &mut node.gateway;
         match message {
             Message::Heartbeat(heartbeat) => {
-                let is_back = gateway.roster.is_back(&heartbeat, local);
+                let needs_join_reply = gateway.roster.needs_join_reply(&heartbeat, local);
                 gateway.roster.receive(&heartbeat, local);
-                if is_back {
+                if needs_join_reply {
                     let mut rng = ChaCha8Rng::from_rng(&mut self.rng);
                     let (node, local) = self.at(number, now);
-                    let word = node.gateway.introduction(local, &mut rng);
-                    self.send(number, peers(from), Message::Introduction(word), now);
+                    let reply = node.gateway.join_reply(local, &mut rng);
+                    self.send(number, peers(from), Message::JoinReply(reply), now);
                 }
             }
-            Message::Introduction(heartbeat) => {
+            Message::JoinReply(heartbeat) => {
                 gateway.roster.receive(&heartbeat, local);
             }
             Message::Limits(notices) => {
--- a/crates/gateway/tests/all/restore/mod.rs
+++ b/crates/gateway/tests/all/restore/mod.rs
@@ -89,10 +89,10 @@
 #[derive(Clone)]
 enum Message {
     Heartbeat(Heartbeat),
-    Introduction(Heartbeat),
+    JoinReply(Heartbeat),
     Question(Question),
     Answer(Answer),
-    Behind(Option<Version>),
+    ConfigurationQuery(Option<Version>),
     Configuration(Update),
 }
 
--- a/crates/gateway/tests/all/restore/world.rs
+++ b/crates/gateway/tests/all/restore/world.rs
@@ -127,14 +127,14 @@
         let gateway = &mut node.gateway;
         let reply = match message {
             Message::Heartbeat(heartbeat) => {
-                let is_back = gateway.roster.is_back(&heartbeat, now);
+                let needs_join_reply = gateway.roster.needs_join_reply(&heartbeat, now);
                 gateway.roster.receive(&heartbeat, now);
-                is_back.then(|| {
+                needs_join_reply.then(|| {
                     let mut rng = ChaCha8Rng::from_rng(&mut self.rng);
-                    Message::Introduction(gateway.introduction(now, &mut rng))
+                    Message::JoinReply(gateway.join_reply(now, &mut rng))
                 })
             }
-            Message::Introduction(heartbeat) => {
+            Message::JoinReply(heartbeat) => {
                 gateway.roster.receive(&heartbeat, now);
                 None
             }
@@ -155,7 +155,7 @@
                 }
                 None
             }
-            Message::Behind(version) => {
+            Message::ConfigurationQuery(version) => {
                 let update = gateway.spread.configuration_newer_than(version).cloned();
                 update.map(Message::Configuration)
             }
@@ -174,7 +174,7 @@
         let node = &mut self.nodes[number];
         let now = self.now.saturating_sub(node.started);
         let gateway = &mut node.gateway;
-        gateway.settle(now);
+        gateway.confirm_pending(now);
         let is_able = gateway.is_able(now);
         gateway.roster.set_ready(is_able);
         let need = gateway.need(now);
@@ -240,7 +240,7 @@
                     .map(|to| (to, Message::Heartbeat(heartbeat.clone()))),
             );
             if let Some(ahead) = node.gateway.catch_up(now) {
-                messages.push((ahead, Message::Behind(node.gateway.version())));
+                messages.push((ahead, Message::ConfigurationQuery(node.gateway.version())));
             }
         }
         let is_awaiting = node.gateway.spread.awaits_configuration();
--- a/crates/gateway/tests/all/version.rs
+++ b/crates/gateway/tests/all/version.rs
@@ -55,11 +55,11 @@
     gateway.confirm(millis(10), millis(20));
     expect_that!(gateway.is_able(millis(20)), eq(false));
     receive(&mut gateway, 2, 5, Some(20), 30);
-    gateway.settle(millis(30));
+    gateway.confirm_pending(millis(30));
     expect_that!(gateway.is_able(millis(30)), eq(false));
     expect_that!(gateway.catch_up(millis(30)), some(eq(peers(2))));
     gateway.set_table(table(20));
-    gateway.settle(millis(40));
+    gateway.confirm_pending(millis(40));
     expect_that!(gateway.is_able(millis(40)), eq(true));
     expect_that!(gateway.catch_up(millis(40)), none());
     // The older version that the store holds again does not replace the newer one.
@@ -78,11 +78,11 @@
     gateway.confirm(millis(9_000), millis(9_010));
     expect_that!(gateway.is_able(millis(9_010)), eq(false));
     receive(&mut gateway, 2, 30, Some(20), 9_100);
-    gateway.settle(millis(9_100));
+    gateway.confirm_pending(millis(9_100));
     expect_that!(gateway.is_able(millis(9_100)), eq(false));
     expect_that!(gateway.catch_up(millis(9_100)), some(eq(peers(2))));
     gateway.set_table(table(20));
-    gateway.settle(millis(9_110));
+    gateway.confirm_pending(millis(9_110));
     expect_that!(gateway.is_able(millis(9_110)), eq(true));
 }
 
@@ -94,9 +94,9 @@
     receive(&mut gateway, 2, 5, Some(15), 10);
     gateway.confirm(millis(10), millis(20));
     gateway.confirm(millis(9_000), millis(9_010));
-    gateway.settle(millis(9_609));
+    gateway.confirm_pending(millis(9_609));
     expect_that!(gateway.is_able(millis(9_609)), eq(false));
-    gateway.settle(millis(9_610));
+    gateway.confirm_pending(millis(9_610));
     expect_that!(gateway.is_able(millis(9_610)), eq(true));
     gateway.confirm(millis(9_700), millis(9_710));
     expect_that!(gateway.knowledge.age(millis(9_710)), some(eq(millis(10))));
@@ -117,7 +117,7 @@
         gateway
             .roster
             .receive(&support::heartbeat(starting(2)), millis(30));
-        gateway.settle(millis(30));
+        gateway.confirm_pending(millis(30));
         expect_that!(gateway.is_able(millis(30)), eq(false));
         if others_start {
             gateway
@@ -126,7 +126,7 @@
         } else {
             receive(&mut gateway, 3, 9, Some(20), 60);
         }
-        gateway.settle(millis(60));
+        gateway.confirm_pending(millis(60));
         expect_that!(gateway.is_able(millis(60)), eq(others_start));
         expect_that!(gateway.catch_up(millis(60)).is_some(), eq(!others_start));
     }
@@ -139,7 +139,7 @@
     first.set_table(table(15));
     first.confirm(millis(10), millis(20));
     receive(&mut first, 2, 1, None, 50);
-    first.settle(millis(50));
+    first.confirm_pending(millis(50));
     expect_that!(first.is_able(millis(50)), eq(true));
     let mut alone = gateway(&[peers(1)]);
     alone.set_table(table(15));
@@ -152,9 +152,9 @@
     let mut gateway = gateway(&[peers(2)]);
     gateway.set_table(table(15));
     gateway.confirm(millis(10), millis(20));
-    gateway.settle(millis(599));
+    gateway.confirm_pending(millis(599));
     expect_that!(gateway.is_able(millis(599)), eq(false));
-    gateway.settle(millis(600));
+    gateway.confirm_pending(millis(600));
     expect_that!(gateway.is_able(millis(600)), eq(true));
 }
 
@@ -179,7 +179,7 @@
         some(eq(millis(4_700)))
     );
     // A gateway that has failed is no longer waited for.
-    gateway.settle(millis(9_000));
+    gateway.confirm_pending(millis(9_000));
     expect_that!(
         gateway.knowledge.age(millis(9_000)),
         some(eq(millis(4_300)))
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -112,7 +112,7 @@
     drop(gateway);
     log::info!(target: "store", version:?, ahead:?; "configuration is older than another gateway's; requesting it");
     metrics::counter!("auburnline_configurations_behind_total").increment(1);
-    shared.send(&Datagram::Behind(version), ahead);
+    shared.send(&Datagram::ConfigurationQuery(version), ahead);
 }
 
 /// Queries the readers of the store for changes, unless this gateway is one of them.
@@ -142,14 +142,17 @@
 fn handle_message(shared: &Rc<Shared>, bytes: &[u8], from: SocketAddr) {
     match postcard::from_bytes(bytes) {
         Ok(Datagram::Heartbeat(heartbeat)) => {
-            let is_back = shared.gateway().roster.is_back(&heartbeat, shared.now());
-            let is_back = is_back && heartbeat.from.peers == from;
+            let needs_join_reply = shared
+                .gateway()
+                .roster
+                .needs_join_reply(&heartbeat, shared.now());
+            let needs_join_reply = needs_join_reply && heartbeat.from.peers == from;
             handle_heartbeat(shared, heartbeat);
-            if is_back {
-                introduce(shared, from);
+            if needs_join_reply {
+                send_join_reply(shared, from);
             }
         }
-        Ok(Datagram::Introduction(heartbeat)) => handle_heartbeat(shared, heartbeat),
+        Ok(Datagram::JoinReply(heartbeat)) => handle_heartbeat(shared, heartbeat),
         Ok(Datagram::Ask(ask)) => {
             let members = shared.gateway().members(&ask, shared.now());
             shared.send(&Message::Members(members), from);
@@ -166,7 +169,7 @@
             Feed(Rc::clone(shared)).hint(question.revision.generation);
             shared.answer(question, from);
         }
-        Ok(Datagram::Behind(version)) => {
+        Ok(Datagram::ConfigurationQuery(version)) => {
             let update = shared
                 .gateway()
                 .spread
@@ -213,9 +216,9 @@
     }
     let neighbour = stable(0, heartbeat.from.instance.as_bytes());
     gateway.pool.set_elsewhere(neighbour, heartbeat.counts, now);
-    let waits_to_serve = gateway.waits_to_serve(now);
+    let awaits_peers = gateway.awaits_peers(now);
     drop(gateway);
-    if waits_to_serve {
+    if awaits_peers {
         request_newer_configuration(shared, now);
         shared.update_readiness();
     }
@@ -223,10 +226,10 @@
 
 /// Sends a gateway that has just started or reappeared the state of this one and of some others, so that it need not wait for
 /// their heartbeats.
-fn introduce(shared: &Shared, to: SocketAddr) {
+fn send_join_reply(shared: &Shared, to: SocketAddr) {
     let now = shared.now();
     let gateway = shared.gateway();
-    let heartbeat = gateway.introduction(now, &mut SmallRng::from_os_rng());
+    let heartbeat = gateway.join_reply(now, &mut SmallRng::from_os_rng());
     drop(gateway);
-    shared.send(&Datagram::Introduction(heartbeat), to);
+    shared.send(&Datagram::JoinReply(heartbeat), to);
 }
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -223,7 +223,7 @@
     pub(crate) fn update_readiness(&self) {
         let now = self.now();
         let mut gateway = self.gateway();
-        let change = gateway.settle(now);
+        let change = gateway.confirm_pending(now);
         if change == knowledge::Change::Regained {
             log_regained(&gateway, now);
         }
