--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -64,26 +64,26 @@
 impl Gateway {
     /// Decides whether a planned request may be sent now.
     pub fn admit(&mut self, plan: &Plan, now: Monotonic) -> Admission {
-        if now >= plan.due {
-            let refusal = Refusal::of(ErrorKind::DeadlinePassed, "deadline passed before a send");
+        if now >= plan.deadline {
+            let refusal = Refusal::new(ErrorKind::DeadlinePassed, "deadline passed before a send");
             return Admission::Refuse(refusal);
         }
         if self.pool.ready(&plan.service) == 0 {
-            let refusal = Refusal::of(ErrorKind::Unreachable, "no upstream accepts requests");
-            return Admission::Refuse(refusal.after(NO_UPSTREAM_RETURN));
+            let refusal = Refusal::new(ErrorKind::Unreachable, "no upstream accepts requests");
+            return Admission::Refuse(refusal.with_retry_after(NO_UPSTREAM_RETURN));
         }
         if let Some(refusal) = self.all_closed(plan, &[], &[], now) {
             return Admission::Refuse(refusal);
         }
         let (Some(engine), Some(longest)) = (plan.engine, plan.route.longest_pause) else {
-            return Admission::Go(None);
+            return Admission::Admit(None);
         };
         let Some(headroom) = self.pick_group(&plan.service, &engine, longest, now) else {
             return self.await_reform(plan, &engine, now);
         };
         let basis = Some(headroom.basis());
         if headroom.is_free() {
-            return Admission::Go(basis);
+            return Admission::Admit(basis);
         }
         let reopened = self.shut_at.get(&plan.service).copied();
         let reopened = reopened.filter(|shut_at| *shut_at >= plan.arrived);
@@ -98,10 +98,10 @@
             let interval = self.random_duration(poll_bounds);
             return Admission::Wait(until.min(now + interval));
         }
-        let mut refusal = Refusal::of(ErrorKind::Overloaded, headroom.reason());
+        let mut refusal = Refusal::new(ErrorKind::Overloaded, headroom.reason());
         refusal.basis = basis;
         let after = self.random_duration(OVERLOAD_RETRY_SECONDS);
-        Admission::Refuse(refusal.after(after))
+        Admission::Refuse(refusal.with_retry_after(after))
     }
 
     /// Refuses a request that upstreams refused without running it and that may not be sent again;
@@ -115,7 +115,7 @@
             _ => INDEPENDENT_RETRY_SECONDS,
         };
         let after = self.random_duration(retry_bounds);
-        Refusal::of(ErrorKind::Unreachable, reason).after(after)
+        Refusal::new(ErrorKind::Unreachable, reason).with_retry_after(after)
     }
 
     /// Refuses a request if every upstream that it could go to is at its rate limit or asked for
@@ -149,9 +149,9 @@
         };
         let after = closed_for + self.random_duration(retry_bounds);
         let reason = "all remaining upstreams are at their rate limits or asked for backoff";
-        let mut refusal = Refusal::of(ErrorKind::Overloaded, reason);
-        refusal.is_closed = true;
-        Some(refusal.after(after))
+        let mut refusal = Refusal::new(ErrorKind::Overloaded, reason);
+        refusal.is_throttled = true;
+        Some(refusal.with_retry_after(after))
     }
 
     /// Returns a random time between two bounds in seconds.
@@ -178,9 +178,9 @@
         if now < until {
             return Admission::Wait(until.min(now + REFORM_POLL_INTERVAL));
         }
-        let refusal = Refusal::of(ErrorKind::Unreachable, "all groups are unavailable");
+        let refusal = Refusal::new(ErrorKind::Unreachable, "all groups are unavailable");
         let after = self.random_duration(UNAVAILABLE_RETRY_SECONDS);
-        Admission::Refuse(refusal.after(after))
+        Admission::Refuse(refusal.with_retry_after(after))
     }
 
     /// Returns the traffic of each available group of a service.
--- a/crates/gateway/src/assign.rs
+++ b/crates/gateway/src/assign.rs
@@ -91,8 +91,8 @@
             if let Some(refusal) = self.all_closed(plan, tried, denied, now) {
                 return Err(refusal);
             }
-            let refusal = Refusal::of(ErrorKind::Unreachable, "no upstream is left");
-            return Err(refusal.after(NO_UPSTREAM_RETURN));
+            let refusal = Refusal::new(ErrorKind::Unreachable, "no upstream is left");
+            return Err(refusal.with_retry_after(NO_UPSTREAM_RETURN));
         };
         choice.limit = self.limit(&choice.upstream, now).map(|limit| limit.rate);
         Ok(choice)
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -229,15 +229,15 @@
     /// missing or may be outdated.
     pub fn plan(&mut self, request: &Request<'_>, now: Monotonic) -> Result<Plan, Refusal> {
         let Some(table) = self.table.clone() else {
-            let refusal = Refusal::of(ErrorKind::NotReady, "no configuration");
-            return Err(refusal.after(NOT_READY_RETRY));
+            let refusal = Refusal::new(ErrorKind::NotReady, "no configuration");
+            return Err(refusal.with_retry_after(NOT_READY_RETRY));
         };
         let age = self.knowledge.age(now).unwrap_or(Duration::MAX);
         let is_fresh = self.knowledge.is_fresh(now);
-        let stale = Refusal::of(ErrorKind::NotReady, "configuration may be outdated");
-        let stale = stale.after(NOT_READY_RETRY);
+        let stale = Refusal::new(ErrorKind::NotReady, "configuration may be outdated");
+        let stale = stale.with_retry_after(NOT_READY_RETRY);
         let Some(route) = table.route(request.host, request.path) else {
-            let refusal = Refusal::of(ErrorKind::UnknownRoute, "no route");
+            let refusal = Refusal::new(ErrorKind::UnknownRoute, "no route");
             return Err(if is_fresh { refusal } else { stale });
         };
         let workspace = request.key.and_then(|key| table.workspace(key)).cloned();
@@ -246,7 +246,7 @@
                 return Err(stale);
             }
             if workspace.is_none() {
-                return Err(Refusal::of(ErrorKind::Unauthorized, "unknown key"));
+                return Err(Refusal::new(ErrorKind::Unauthorized, "unknown key"));
             }
         }
         let service = self.service(route);
@@ -260,7 +260,7 @@
             version: table.version(),
             age,
             arrived: now,
-            due: now + timeout,
+            deadline: now + timeout,
         })
     }
 
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -44,7 +44,7 @@
     /// When the request arrived.
     pub arrived: Monotonic,
     /// Deadline of the final answer.
-    pub due: Monotonic,
+    pub deadline: Monotonic,
 }
 
 /// Inputs of a load-based decision, for the log.
@@ -75,7 +75,7 @@
 impl Basis {
     /// Returns whether the group had so much spare capacity that a refusal for load was wrong.
     #[must_use]
-    pub fn is_roomy(&self) -> bool {
+    pub fn has_spare_capacity(&self) -> bool {
         f64::from(self.in_flight) < self.prediction.most * SPARE_CAPACITY_FRACTION
     }
 }
@@ -93,25 +93,25 @@
     pub basis: Option<Basis>,
     /// Whether all remaining upstreams are at the rate limits that they announced or have asked for
     /// backoff.
-    pub is_closed: bool,
+    pub is_throttled: bool,
 }
 
 impl Refusal {
     /// Returns a refusal without a retry time.
     #[must_use]
-    pub const fn of(kind: ErrorKind, reason: &'static str) -> Refusal {
+    pub const fn new(kind: ErrorKind, reason: &'static str) -> Refusal {
         Refusal {
             kind,
             retry_after: None,
             reason,
             basis: None,
-            is_closed: false,
+            is_throttled: false,
         }
     }
 
     /// Sets the time after which the caller should retry.
     #[must_use]
-    pub fn after(mut self, time: Duration) -> Refusal {
+    pub fn with_retry_after(mut self, time: Duration) -> Refusal {
         self.retry_after = Some(time);
         self
     }
@@ -121,7 +121,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
     /// It may be sent, on this basis; `None` if load was not considered.
-    Go(Option<Basis>),
+    Admit(Option<Basis>),
     /// It waits for capacity and is decided on again at this time at the latest.
     Wait(Monotonic),
     /// It is not served.
--- a/crates/gateway/tests/all/backoff.rs
+++ b/crates/gateway/tests/all/backoff.rs
@@ -95,7 +95,7 @@
         panic!("the request was not refused");
     };
     expect_that!(refusal.kind, eq(Kind::Overloaded));
-    expect_that!(refusal.is_closed, eq(true));
+    expect_that!(refusal.is_throttled, eq(true));
     // The first of them accepts requests again after 2.2 s.
     expect_that!(refusal.retry_after, some(ge(millis(2_200))));
     let backing_off = gateway.backing_off("desk", 9, now);
--- a/crates/gateway/tests/all/gateway.rs
+++ b/crates/gateway/tests/all/gateway.rs
@@ -126,7 +126,7 @@
     let mut gateway = gateway(12);
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 1_000).expect("a plan");
     let mut sent = 0;
-    while let Admission::Go(_) = gateway.admit(&plan, millis(1_000)) {
+    while let Admission::Admit(_) = gateway.admit(&plan, millis(1_000)) {
         gateway
             .assign(&plan, &[], millis(1_000))
             .expect("an upstream");
@@ -143,7 +143,7 @@
                 looks += 1;
             }
             Admission::Refuse(refusal) => break refusal,
-            Admission::Go(_) => panic!("the group is full"),
+            Admission::Admit(_) => panic!("the group is full"),
         }
     };
     assert_that!(looks, gt(0));
@@ -152,7 +152,7 @@
     gateway.end("rank-0", Outcome::Answered(millis(900)), now);
     assert_that!(
         gateway.admit(&plan, now),
-        matches_pattern!(Admission::Go(anything()))
+        matches_pattern!(Admission::Admit(anything()))
     );
 }
 
@@ -173,7 +173,7 @@
     // The group is tried again from time to time.
     assert_that!(
         gateway.admit(&plan, millis(1_300)),
-        matches_pattern!(Admission::Go(anything()))
+        matches_pattern!(Admission::Admit(anything()))
     );
     for tick in 0..10 {
         let now = millis(1_300 + tick * 200);
@@ -184,7 +184,7 @@
     gateway.groups.trust(&group);
     assert_that!(
         gateway.admit(&plan, millis(3_150)),
-        matches_pattern!(Admission::Go(anything()))
+        matches_pattern!(Admission::Admit(anything()))
     );
 }
 
@@ -227,7 +227,7 @@
     gateway.groups.trust(&group);
     // Other requests were sent first and fill the group.
     let other = ask(&mut gateway, "/draft/", Some("key-1"), 1_500).expect("a plan");
-    while let Admission::Go(_) = gateway.admit(&other, millis(1_500)) {
+    while let Admission::Admit(_) = gateway.admit(&other, millis(1_500)) {
         gateway
             .assign(&other, &[], millis(1_500))
             .expect("an upstream");
--- a/crates/gateway/tests/all/limit.rs
+++ b/crates/gateway/tests/all/limit.rs
@@ -170,7 +170,7 @@
         panic!("the request was not refused");
     };
     expect_that!(refusal.kind, eq(Kind::Overloaded));
-    expect_that!(refusal.is_closed, eq(true));
+    expect_that!(refusal.is_throttled, eq(true));
     expect_that!(refusal.retry_after, some(gt(Duration::ZERO)));
     let limited = gateway.limited("desk", 9, millis(4_410));
     expect_that!(limited, len(eq(2)));
--- a/crates/gateway/tests/all/load.rs
+++ b/crates/gateway/tests/all/load.rs
@@ -77,7 +77,7 @@
     let mut sent = 0;
     loop {
         let plan = ask(gateway, "/draft/", Some("key-1"), now).expect("a plan");
-        let Admission::Go(_) = gateway.admit(&plan, millis(now)) else {
+        let Admission::Admit(_) = gateway.admit(&plan, millis(now)) else {
             return sent;
         };
         gateway
@@ -139,7 +139,7 @@
         gateway.observe(&plan, &"model".into(), millis(90), millis(now));
     }
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 3_900).expect("a plan");
-    let Admission::Go(Some(basis)) = gateway.admit(&plan, millis(3_900)) else {
+    let Admission::Admit(Some(basis)) = gateway.admit(&plan, millis(3_900)) else {
         panic!("the group has headroom");
     };
     // 39 others with four streams each, of which ten were heard.
--- a/crates/relay/src/crash.rs
+++ b/crates/relay/src/crash.rs
@@ -25,8 +25,8 @@
 
 /// Maximum time for an address to accept or refuse a connection; the caller's retry waits meanwhile.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Maximum number of gateways, including this one, that know of a newly quarantined request immediately; the others learn of it by
-/// gossip.
+/// Maximum number of gateways, including this one, that know of a newly quarantined request immediately; the others learn of it
+/// by gossip.
 const MAX_NOTIFIED: usize = 64;
 
 impl Exchange {
@@ -45,11 +45,11 @@
         let held = gateway
             .quarantine
             .held_for(self.fingerprint(), self.shared.now())?;
-        let refusal = Refusal::of(
+        let refusal = Refusal::new(
             Kind::Quarantined,
             "quarantined: it crashed the upstreams that executed it",
         );
-        Some(refusal.after(held))
+        Some(refusal.with_retry_after(held))
     }
 
     /// Checks after a lost response whether the upstream has crashed, and if so records that this request was running there.
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -92,7 +92,7 @@
     let (head, body) = request.into_parts();
     let call = match shared.dialect.call(&head.uri, &head.headers) {
         Ok(call) => call,
-        Err(kind) => return refuse(&shared, "", None, &Refusal::of(kind, "malformed head")),
+        Err(kind) => return refuse(&shared, "", None, &Refusal::new(kind, "malformed head")),
     };
     let body = match read_body(&shared, body).await {
         Ok(body) => body,
@@ -101,7 +101,7 @@
                 &shared,
                 &call.id,
                 None,
-                &Refusal::of(kind, "request body not received"),
+                &Refusal::new(kind, "request body not received"),
             );
         }
     };
@@ -159,7 +159,7 @@
         let capacity_freed = shared.capacity_freed(&plan.service);
         let admission = shared.gateway().admit(plan, now);
         match admission {
-            Admission::Go(basis) => {
+            Admission::Admit(basis) => {
                 let waited = now.saturating_sub(plan.arrived);
                 histogram!("auburnline_admission_wait_seconds").record(waited);
                 log::debug!(
@@ -207,7 +207,7 @@
 
     /// Returns the time left until the request's deadline.
     pub(crate) fn time_left(&self) -> Duration {
-        self.plan.due.saturating_sub(self.shared.now())
+        self.plan.deadline.saturating_sub(self.shared.now())
     }
 
     /// Makes one attempt at an upstream of any group, and waits at most `time_limit` for the head of the response. `after` is the
@@ -375,7 +375,7 @@
             let now = self.shared.now();
             self.shared.gateway().give_up(&self.plan, reason, now)
         } else {
-            Refusal::of(kind, reason)
+            Refusal::new(kind, reason)
         };
         refuse(&self.shared, self.id(), Some(&self.plan), &refusal)
     }
--- a/crates/relay/src/telemetry.rs
+++ b/crates/relay/src/telemetry.rs
@@ -42,14 +42,14 @@
     let now = shared.now();
     let age = gateway.knowledge.age(now).unwrap_or_default();
     let basis = refusal.basis;
-    let limited = plan.filter(|_| refusal.is_closed).map(|plan| {
+    let limited = plan.filter(|_| refusal.is_throttled).map(|plan| {
         let limited = gateway.limited(&plan.service, MAX_LISTED_UPSTREAMS, now);
         let limited = limited.into_iter();
         limited
             .map(|one| (one.upstream.id.clone(), one.limit, one.home))
             .collect::<Vec<_>>()
     });
-    let backing_off = plan.filter(|_| refusal.is_closed).map(|plan| {
+    let backing_off = plan.filter(|_| refusal.is_throttled).map(|plan| {
         let backing_off = gateway.backing_off(&plan.service, MAX_LISTED_UPSTREAMS, now);
         backing_off
             .into_iter()
@@ -84,7 +84,7 @@
     );
     drop(gateway);
     counter!("auburnline_refusals_total", "kind" => kind.name()).increment(1);
-    if basis.is_some_and(|basis| basis.is_roomy()) {
+    if basis.is_some_and(|basis| basis.has_spare_capacity()) {
         counter!("auburnline_refusals_with_room_total").increment(1);
     }
     head::own(&*shared.dialect, id, kind, refusal.retry_after)
