--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -85,10 +85,10 @@
         if headroom.is_free() {
             return Admission::Admit(basis);
         }
-        let reopened = self.shut_at.get(&plan.service).copied();
-        let reopened = reopened.filter(|shut_at| *shut_at >= plan.arrived);
+        let reopened = self.all_unavailable_at.get(&plan.service).copied();
+        let reopened = reopened.filter(|all_unavailable_at| *all_unavailable_at >= plan.arrived);
         let (until, poll_bounds) = match reopened {
-            Some(shut_at) => (shut_at + REOPENED_MAX_WAIT, LATE_POLL_SECONDS),
+            Some(all_unavailable_at) => (all_unavailable_at + REOPENED_MAX_WAIT, LATE_POLL_SECONDS),
             None => (
                 plan.arrived + plan.route.objective.mul_f64(WAIT_FRACTION),
                 CAPACITY_POLL_SECONDS,
@@ -133,7 +133,7 @@
         let mut first_open: Option<Monotonic> = None;
         for usage in self.pool.usages(&plan.service, now) {
             let upstream = usage.upstream;
-            let is_unavailable = self.groups.is_shut(&self.group_of(upstream), now);
+            let is_unavailable = self.groups.is_unavailable(&self.group_of(upstream), now);
             if is_unavailable || tried.contains(&upstream.id) {
                 continue;
             }
@@ -162,7 +162,8 @@
     /// Decides on a request while no group is available: a group that just became unavailable may
     /// re-form at once.
     fn await_reform(&mut self, plan: &Plan, engine: &Engine, now: Monotonic) -> Admission {
-        self.shut_at.insert(Arc::clone(&plan.service), now);
+        self.all_unavailable_at
+            .insert(Arc::clone(&plan.service), now);
         // After a loss of all power, ranks stall before they give up on the missing ones, and only
         // then form a group. A group that is unavailable for longer has lost a rank, and when that
         // rank returns is unknown.
@@ -206,7 +207,7 @@
             .values_mut()
             .filter(|traffic| traffic.report_age.is_none());
         unreported.for_each(|traffic| traffic.add_unreported(scale));
-        groups.retain(|group, _| !self.groups.is_shut(group, now));
+        groups.retain(|group, _| !self.groups.is_unavailable(group, now));
         let is_stalled = |group: &GroupId| self.groups.is_stalled(group, now);
         if groups.keys().any(|group| !is_stalled(group)) {
             groups.retain(|group, _| !is_stalled(group));
--- a/crates/gateway/src/assign.rs
+++ b/crates/gateway/src/assign.rs
@@ -146,7 +146,7 @@
             !is_limited && !is_backing_off && usage.requests <= usage.upstream.slots
         });
         if plan.engine.is_some() && had_slot {
-            self.groups.suspect(group, now);
+            self.groups.mark_unavailable(group, now);
         }
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -94,7 +94,7 @@
     pub(crate) paces: HashMap<GroupId, Group>,
     pub(crate) allowances: HashMap<GroupId, Allowance>,
     /// When a request last found all groups of a service closed.
-    pub(crate) shut_at: HashMap<ServiceId, Monotonic>,
+    pub(crate) all_unavailable_at: HashMap<ServiceId, Monotonic>,
     pub(crate) budget: Budget<ServiceId, ServiceId>,
     pub(crate) rng: ChaCha8Rng,
     /// Known upstreams and the requests in flight there.
@@ -131,7 +131,7 @@
             table: None,
             paces: HashMap::new(),
             allowances: HashMap::new(),
-            shut_at: HashMap::new(),
+            all_unavailable_at: HashMap::new(),
             groups: Groups::default(),
             budget: Budget::new(shares(&bounds, None)),
             rng: ChaCha8Rng::seed_from_u64(seed),
--- a/crates/gateway/src/group.rs
+++ b/crates/gateway/src/group.rs
@@ -20,7 +20,7 @@
 const UNAVAILABLE_REPORT_MAX_AGE: Duration = Duration::from_secs(2);
 /// Time for which a group counts as unavailable after one of its ranks refused a request although
 /// it had a free slot. The next request after that tries the group again.
-const SUSPECT_DURATION: Duration = Duration::from_millis(250);
+const UNAVAILABLE_DURATION: Duration = Duration::from_millis(250);
 /// Time without a report of its leader and without an event of its streams after which a group
 /// counts as stalled: three reports, and several forward passes.
 const STALL_TIMEOUT: Duration = Duration::from_millis(650);
@@ -42,13 +42,13 @@
 pub struct Groups {
     by_address: HashMap<SocketAddr, GroupId>,
     states: HashMap<GroupId, State>,
-    suspects: HashMap<GroupId, Monotonic>,
+    marked_unavailable: HashMap<GroupId, Monotonic>,
     unavailable_since: HashMap<GroupId, Monotonic>,
     /// When an event of a group's streams last arrived.
     last_events: HashMap<GroupId, Monotonic>,
     /// Upstream whose stream broke off last, and when, by group.
     last_breaks: HashMap<GroupId, (UpstreamId, Monotonic)>,
-    /// Groups that were stalled at the last [`Groups::look`].
+    /// Groups that were stalled at the last [`Groups::take_changes`].
     stalled: HashSet<GroupId>,
 }
 
@@ -58,7 +58,7 @@
     /// Group whose state changed.
     pub group: GroupId,
     /// Whether it is stalled now.
-    pub is_still: bool,
+    pub is_stalled: bool,
     /// Time since its leader or one of its streams was last heard.
     pub silent: Duration,
 }
@@ -75,7 +75,7 @@
         let is_open = digest.is_open;
         let reported_at = now;
         if is_open {
-            self.trust(&digest.group);
+            self.mark_available(&digest.group);
         } else {
             self.unavailable_since.entry(group.clone()).or_insert(now);
         }
@@ -101,8 +101,8 @@
 
     /// Considers a group unavailable for a moment, for instance after one of its ranks refused a
     /// request although it had a free slot.
-    pub fn suspect(&mut self, group: &GroupId, now: Monotonic) {
-        self.suspects.insert(group.clone(), now);
+    pub fn mark_unavailable(&mut self, group: &GroupId, now: Monotonic) {
+        self.marked_unavailable.insert(group.clone(), now);
         self.unavailable_since.entry(group.clone()).or_insert(now);
     }
 
@@ -118,7 +118,7 @@
 
     /// Records that a stream of an upstream broke off; returns whether the group itself seems
     /// broken, since a stream of another of its upstreams just broke off too.
-    pub fn broke(&mut self, group: &GroupId, upstream: &UpstreamId, now: Monotonic) -> bool {
+    pub fn record_break(&mut self, group: &GroupId, upstream: &UpstreamId, now: Monotonic) -> bool {
         let before = self
             .last_breaks
             .insert(group.clone(), (upstream.clone(), now));
@@ -126,7 +126,7 @@
             other != *upstream && now.saturating_sub(at) < CORRELATED_BREAK_WINDOW
         });
         if is_group {
-            self.suspect(group, now);
+            self.mark_unavailable(group, now);
         }
         is_group
     }
@@ -148,20 +148,20 @@
     }
 
     /// Returns the groups that stalled or resumed since the last call.
-    pub fn look(&mut self, now: Monotonic) -> Vec<Change> {
+    pub fn take_changes(&mut self, now: Monotonic) -> Vec<Change> {
         let groups = self.states.keys();
         let changed = groups.filter_map(|group| {
-            let is_still = self.is_stalled(group, now);
-            let is_changed = is_still != self.stalled.contains(group);
+            let is_stalled = self.is_stalled(group, now);
+            let is_changed = is_stalled != self.stalled.contains(group);
             is_changed.then(|| Change {
                 group: group.clone(),
-                is_still,
+                is_stalled,
                 silent: self.silent(group, now).unwrap_or_default(),
             })
         });
         let changed: Vec<_> = changed.collect();
         for change in &changed {
-            if change.is_still {
+            if change.is_stalled {
                 self.stalled.insert(change.group.clone());
             } else {
                 self.stalled.remove(&change.group);
@@ -171,20 +171,20 @@
     }
 
     /// Considers a group available, after one of its ranks answered or its leader reported so.
-    pub fn trust(&mut self, group: &str) {
-        self.suspects.remove(group);
+    pub fn mark_available(&mut self, group: &str) {
+        self.marked_unavailable.remove(group);
         self.unavailable_since.remove(group);
     }
 
     /// Returns whether a group was recently reported or seen to be unavailable.
     #[must_use]
-    pub fn is_shut(&self, group: &str, now: Monotonic) -> bool {
+    pub fn is_unavailable(&self, group: &str, now: Monotonic) -> bool {
         let state = self.states.get(group);
         let is_reported = state.is_some_and(|state| {
             !state.is_open && now.saturating_sub(state.reported_at) < UNAVAILABLE_REPORT_MAX_AGE
         });
-        let suspected = self.suspects.get(group);
-        is_reported || suspected.is_some_and(|at| now.saturating_sub(*at) < SUSPECT_DURATION)
+        let marked_at = self.marked_unavailable.get(group);
+        is_reported || marked_at.is_some_and(|at| now.saturating_sub(*at) < UNAVAILABLE_DURATION)
     }
 
     /// Returns since when the one of `groups` that became unavailable last has been so; none if all
--- a/crates/gateway/tests/all/backoff.rs
+++ b/crates/gateway/tests/all/backoff.rs
@@ -146,7 +146,7 @@
     let plan = ask(&mut gateway, "/draft/a", Some("key-1"), 2_300).expect("a plan");
     let now = millis(2_300);
     gateway.refused(&plan, "a-0", &"a".into(), now);
-    expect_that!(gateway.groups.is_shut("a", now), eq(false));
+    expect_that!(gateway.groups.is_unavailable("a", now), eq(false));
 }
 
 /// Guards against a stream that leaves its slow rank and then breaks off because no other rank
--- a/crates/gateway/tests/all/gateway.rs
+++ b/crates/gateway/tests/all/gateway.rs
@@ -181,7 +181,7 @@
     }
     let refused = gateway.admit(&plan, millis(3_150));
     assert_that!(refused, matches_pattern!(Admission::Refuse(anything())));
-    gateway.groups.trust(&group);
+    gateway.groups.mark_available(&group);
     assert_that!(
         gateway.admit(&plan, millis(3_150)),
         matches_pattern!(Admission::Admit(anything()))
@@ -198,15 +198,21 @@
         stall: millis(1_500),
         ..BOUNDS
     });
-    gateway.groups.suspect(&"model".into(), millis(1_000));
+    gateway
+        .groups
+        .mark_unavailable(&"model".into(), millis(1_000));
     let early = ask(&mut gateway, "/draft/", Some("key-1"), 1_050).expect("a plan");
-    gateway.groups.suspect(&"model".into(), millis(2_500));
+    gateway
+        .groups
+        .mark_unavailable(&"model".into(), millis(2_500));
     let waits = gateway.admit(&early, millis(2_540));
     assert_that!(waits, matches_pattern!(Admission::Wait(anything())));
     let leaves = gateway.admit(&early, millis(2_550));
     assert_that!(leaves, matches_pattern!(Admission::Refuse(anything())));
     let later = ask(&mut gateway, "/draft/", Some("key-1"), 2_000).expect("a plan");
-    gateway.groups.suspect(&"model".into(), millis(3_050));
+    gateway
+        .groups
+        .mark_unavailable(&"model".into(), millis(3_050));
     let waits = gateway.admit(&later, millis(3_090));
     assert_that!(waits, matches_pattern!(Admission::Wait(anything())));
     let refused = gateway.admit(&later, millis(3_100));
@@ -221,10 +227,10 @@
     let mut gateway = gateway(1);
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 1_000).expect("a plan");
     let group = "model".into();
-    gateway.groups.suspect(&group, millis(1_000));
+    gateway.groups.mark_unavailable(&group, millis(1_000));
     let shut = gateway.admit(&plan, millis(1_100));
     assert_that!(shut, matches_pattern!(Admission::Wait(anything())));
-    gateway.groups.trust(&group);
+    gateway.groups.mark_available(&group);
     // Other requests were sent first and fill the group.
     let other = ask(&mut gateway, "/draft/", Some("key-1"), 1_500).expect("a plan");
     while let Admission::Admit(_) = gateway.admit(&other, millis(1_500)) {
@@ -261,9 +267,15 @@
 #[gtest]
 fn a_group_of_another_service_that_shuts_makes_nobody_wait() {
     let mut gateway = gateway(12);
-    gateway.groups.suspect(&"model".into(), millis(1_000));
-    gateway.groups.suspect(&"model".into(), millis(2_900));
-    gateway.groups.suspect(&"elsewhere".into(), millis(2_950));
+    gateway
+        .groups
+        .mark_unavailable(&"model".into(), millis(1_000));
+    gateway
+        .groups
+        .mark_unavailable(&"model".into(), millis(2_900));
+    gateway
+        .groups
+        .mark_unavailable(&"elsewhere".into(), millis(2_950));
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 3_000).expect("a plan");
     let refused = gateway.admit(&plan, millis(3_000));
     assert_that!(refused, matches_pattern!(Admission::Refuse(anything())));
@@ -276,7 +288,10 @@
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 1_000).expect("a plan");
     (0..13).for_each(|_| gateway.pool.begin("rank-0"));
     gateway.refused(&plan, "rank-0", &"model".into(), millis(1_010));
-    assert_that!(gateway.groups.is_shut("model", millis(1_010)), eq(false));
+    assert_that!(
+        gateway.groups.is_unavailable("model", millis(1_010)),
+        eq(false)
+    );
 }
 
 #[gtest]
--- a/crates/gateway/tests/all/group.rs
+++ b/crates/gateway/tests/all/group.rs
@@ -47,9 +47,9 @@
 fn a_group_that_is_said_to_be_shut_is_believed_for_a_while_only() {
     let mut groups = Groups::default();
     groups.apply_digest(&digest("g0", false, &[1]), millis(0));
-    assert_that!(groups.is_shut("g0", millis(500)), eq(true));
-    assert_that!(groups.is_shut("g0", millis(2_500)), eq(false));
-    assert_that!(groups.is_shut("g1", millis(500)), eq(false));
+    assert_that!(groups.is_unavailable("g0", millis(500)), eq(true));
+    assert_that!(groups.is_unavailable("g0", millis(2_500)), eq(false));
+    assert_that!(groups.is_unavailable("g1", millis(500)), eq(false));
 }
 
 /// Guards against requests to a stalled group: the instance of a group's rank 0 freezes for
@@ -74,18 +74,18 @@
 fn a_group_that_comes_to_stand_still_is_told_once_and_so_is_its_end() {
     let mut groups = Groups::default();
     groups.apply_digest(&digest("g0", true, &[1]), millis(0));
-    assert_that!(groups.look(millis(300)), is_empty());
-    let changes = groups.look(millis(900));
+    assert_that!(groups.take_changes(millis(300)), is_empty());
+    let changes = groups.take_changes(millis(900));
     assert_that!(changes.len(), eq(1));
-    assert_that!(changes[0].is_still, eq(true));
+    assert_that!(changes[0].is_stalled, eq(true));
     assert_that!(changes[0].silent, eq(millis(900)));
-    assert_that!(groups.look(millis(1_200)), is_empty());
+    assert_that!(groups.take_changes(millis(1_200)), is_empty());
     groups.apply_digest(&digest("g0", true, &[1]), millis(1_300));
-    let changes = groups.look(millis(1_400));
+    let changes = groups.take_changes(millis(1_400));
     assert_that!(
         changes
             .iter()
-            .map(|change| change.is_still)
+            .map(|change| change.is_stalled)
             .collect::<Vec<_>>(),
         eq(&vec![false])
     );
@@ -98,10 +98,10 @@
     let mut groups = Groups::default();
     let group = "g0".into();
     let (one, other) = ("u1".into(), "u2".into());
-    assert_that!(groups.broke(&group, &one, millis(0)), eq(false));
-    assert_that!(groups.broke(&group, &one, millis(50)), eq(false));
-    assert_that!(groups.broke(&group, &other, millis(500)), eq(false));
-    assert_that!(groups.is_shut("g0", millis(500)), eq(false));
-    assert_that!(groups.broke(&group, &one, millis(560)), eq(true));
-    assert_that!(groups.is_shut("g0", millis(600)), eq(true));
+    assert_that!(groups.record_break(&group, &one, millis(0)), eq(false));
+    assert_that!(groups.record_break(&group, &one, millis(50)), eq(false));
+    assert_that!(groups.record_break(&group, &other, millis(500)), eq(false));
+    assert_that!(groups.is_unavailable("g0", millis(500)), eq(false));
+    assert_that!(groups.record_break(&group, &one, millis(560)), eq(true));
+    assert_that!(groups.is_unavailable("g0", millis(600)), eq(true));
 }
--- a/crates/gateway/tests/all/limit.rs
+++ b/crates/gateway/tests/all/limit.rs
@@ -248,9 +248,9 @@
     let plan = ask(&mut gateway, "/draft/a", Some("key-1"), 2_300).expect("a plan");
     let now = millis(2_300);
     gateway.refused(&plan, "a-0", &"a".into(), now);
-    expect_that!(gateway.groups.is_shut("a", now), eq(false));
+    expect_that!(gateway.groups.is_unavailable("a", now), eq(false));
     gateway.refused(&plan, "a-1", &"a".into(), now);
-    expect_that!(gateway.groups.is_shut("a", now), eq(true));
+    expect_that!(gateway.groups.is_unavailable("a", now), eq(true));
 }
 
 /// Adds gateways with these numbers until one is the home of the limit of `upstream`; returns its
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -287,7 +287,7 @@
         let dialect = &self.shared.dialect;
         match dialect.verdict(reply.status, &reply.headers, self.id()) {
             Verdict::Answer => {
-                self.shared.gateway().groups.trust(flight.group());
+                self.shared.gateway().groups.mark_available(flight.group());
                 self.sends += 1;
                 self.may_have_run = true;
                 Sent::Began(reply, flight)
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -71,9 +71,9 @@
     let changes = shared.expire();
     shared.upstreams_changed(changes);
     let now = shared.now();
-    for change in shared.gateway().groups.look(now) {
+    for change in shared.gateway().groups.take_changes(now) {
         let silent_ms = crate::telemetry::millis(change.silent);
-        log::info!(target: "groups", group = &*change.group, is_still = change.is_still, silent_ms; "group stall state changed");
+        log::info!(target: "groups", group = &*change.group, is_still = change.is_stalled, silent_ms; "group stall state changed");
     }
     let (heartbeat, targets) = {
         let mut gateway = shared.gateway();
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -186,7 +186,7 @@
         let (group, upstream) = (self.flight.group(), self.flight.upstream());
         let now = self.exchange.shared.now();
         let mut gateway = self.exchange.shared.gateway();
-        if gateway.groups.broke(group, upstream, now) {
+        if gateway.groups.record_break(group, upstream, now) {
             log::info!(target: "groups", group = &**group, upstream = &**upstream; "streams of two ranks interrupted at once; group suspected");
         }
     }
