--- a/crates/gateway/src/assign.rs
+++ b/crates/gateway/src/assign.rs
@@ -108,7 +108,7 @@
         now: Monotonic,
     ) -> GroupId {
         debug_assert!(
-            self.wants_work(&choice.upstream, now),
+            self.accepts_requests(&choice.upstream, now),
             "request sent to an upstream that is leaving or asked for backoff"
         );
         self.pool.begin(&choice.upstream.id);
--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -63,8 +63,8 @@
 
     /// Returns whether an upstream is not leaving and did not ask this gateway to back off.
     #[must_use]
-    pub fn wants_work(&self, upstream: &Upstream, now: Monotonic) -> bool {
-        self.pool.takes_work(upstream) && self.backoffs.until(upstream, now).is_none()
+    pub fn accepts_requests(&self, upstream: &Upstream, now: Monotonic) -> bool {
+        self.pool.is_ready(upstream) && self.backoffs.until(upstream, now).is_none()
     }
 
     /// Returns whether a request may be sent to an upstream, as far as its rate limit and backoff
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -2,7 +2,7 @@
 //!
 //! A request passes through [`Gateway::plan`] (route, key and age of the known state),
 //! [`Gateway::admit`] (whether a group can serve it in time) and [`Gateway::assign`] (which
-//! upstream). After a failure, [`Gateway::may_repeat`] decides whether it may be retried. Plans,
+//! upstream). After a failure, [`Gateway::take_retry`] decides whether it may be retried. Plans,
 //! admissions and refusals carry the inputs that they were decided on, for the log.
 
 use std::collections::HashMap;
@@ -210,7 +210,7 @@
     /// Returns whether this gateway has a configuration and knows that it is current enough to
     /// serve.
     #[must_use]
-    pub fn is_able(&self, now: Monotonic) -> bool {
+    pub fn can_serve(&self, now: Monotonic) -> bool {
         self.table.is_some() && self.knowledge.is_fresh(now)
     }
 
@@ -330,7 +330,7 @@
 
     /// Takes a retry out of this gateway's share of the fleet's budget; returns whether one was
     /// left.
-    pub fn may_repeat(&mut self, plan: &Plan, now: Monotonic) -> bool {
+    pub fn take_retry(&mut self, plan: &Plan, now: Monotonic) -> bool {
         let permit = self.budget.repeat(now, &plan.service, &plan.service);
         permit.is_ok()
     }
--- a/crates/gateway/src/member.rs
+++ b/crates/gateway/src/member.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns whether it accepts new requests.
-    pub(crate) fn takes_work(&self) -> bool {
+    pub(crate) fn is_ready(&self) -> bool {
         self.upstream.state == State::Ready
     }
 
--- a/crates/gateway/src/moving.rs
+++ b/crates/gateway/src/moving.rs
@@ -16,12 +16,7 @@
     /// Returns whether a stream should leave its rank: the rank is so much slower than others of
     /// its group that they wait for it in each pass.
     #[must_use]
-    pub fn is_better_off_elsewhere(
-        &self,
-        plan: &Plan,
-        upstream: &Upstream,
-        now: Monotonic,
-    ) -> bool {
+    pub fn should_move(&self, plan: &Plan, upstream: &Upstream, now: Monotonic) -> bool {
         let (Some(engine), Some(longest)) = (plan.engine, plan.route.longest_pause) else {
             return false;
         };
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -147,9 +147,9 @@
             self.members.insert(member.upstream.id.clone(), member);
             return Some(change);
         };
-        let was_ready = member.takes_work();
+        let was_ready = member.is_ready();
         member.update(upstream);
-        let is_leaving = was_ready && !member.takes_work();
+        let is_leaving = was_ready && !member.is_ready();
         is_leaving.then(|| Change::Leaving(Arc::clone(&member.upstream)))
     }
 
@@ -158,17 +158,17 @@
         self.leaving.record(upstream);
         let known = self.members.get_mut(&upstream.id);
         let member = known.filter(|member| !member.is_other_incarnation(upstream))?;
-        let was_ready = member.takes_work();
+        let was_ready = member.is_ready();
         member.leave();
         was_ready.then(|| Change::Leaving(Arc::clone(&member.upstream)))
     }
 
     /// Returns whether this incarnation of an upstream accepts new requests.
     #[must_use]
-    pub fn takes_work(&self, upstream: &Upstream) -> bool {
+    pub fn is_ready(&self, upstream: &Upstream) -> bool {
         let member = self.members.get(&upstream.id);
         let member = member.filter(|member| !member.is_other_incarnation(upstream));
-        member.is_some_and(Member::takes_work)
+        member.is_some_and(Member::is_ready)
     }
 
     /// Sets the services that the configuration in force defines.
@@ -265,7 +265,7 @@
         let members = self.members.values();
         members.filter(move |member| {
             let is_asked = *member.upstream.service == *service;
-            is_asked && member.takes_work() && self.addresses.is_newest(&member.upstream)
+            is_asked && member.is_ready() && self.addresses.is_newest(&member.upstream)
         })
     }
 
--- a/crates/gateway/src/version.rs
+++ b/crates/gateway/src/version.rs
@@ -89,7 +89,7 @@
     #[must_use]
     pub fn join_reply(&self, now: Monotonic, rng: &mut impl Rng) -> Heartbeat {
         let mut heartbeat = self.roster.join_reply(now, rng);
-        heartbeat.from.is_ready &= self.is_able(now);
+        heartbeat.from.is_ready &= self.can_serve(now);
         heartbeat
     }
 
--- a/crates/gateway/tests/all/backoff.rs
+++ b/crates/gateway/tests/all/backoff.rs
@@ -157,8 +157,7 @@
     slow_down(&mut gateway, 2_300);
     let plan = ask(&mut gateway, "/draft/a", Some("key-1"), 2_300).expect("a plan");
     let slow = find(&gateway, "a-0");
-    let is_better =
-        |gateway: &Gateway| gateway.is_better_off_elsewhere(&plan, &slow, millis(2_310));
+    let is_better = |gateway: &Gateway| gateway.should_move(&plan, &slow, millis(2_310));
     expect_that!(is_better(&gateway), eq(true));
     back_off(&mut gateway, "a-1", 2_305);
     expect_that!(is_better(&gateway), eq(false));
--- a/crates/gateway/tests/all/departure.rs
+++ b/crates/gateway/tests/all/departure.rs
@@ -83,8 +83,8 @@
     pool.insert(started(2, State::Ready));
     expect_that!(pool.leave(&started(1, State::Ready)), none());
     expect_that!(pool.ready("desk"), eq(1));
-    expect_that!(pool.takes_work(&started(2, State::Ready)), eq(true));
-    expect_that!(pool.takes_work(&started(1, State::Ready)), eq(false));
+    expect_that!(pool.is_ready(&started(2, State::Ready)), eq(true));
+    expect_that!(pool.is_ready(&started(1, State::Ready)), eq(false));
 }
 
 /// Guards against a delayed announcement by an earlier incarnation that replaces that of a later
@@ -150,8 +150,8 @@
     pool.insert(started(1, State::Ready));
     pool.insert(started(2, State::Ready));
     pool.restore(vec![started(1, State::Ready)], millis(TRUST_AFTER_MS));
-    expect_that!(pool.takes_work(&started(2, State::Ready)), eq(true));
-    expect_that!(pool.takes_work(&started(1, State::Ready)), eq(false));
+    expect_that!(pool.is_ready(&started(2, State::Ready)), eq(true));
+    expect_that!(pool.is_ready(&started(1, State::Ready)), eq(false));
     // Its entry is written again before the entries of the backup become trusted.
     pool.insert(started(2, State::Ready));
     expect_that!(pool.expire(false), is_empty());
--- a/crates/gateway/tests/all/fleet/world.rs
+++ b/crates/gateway/tests/all/fleet/world.rs
@@ -262,7 +262,7 @@
                 let consent = gateway.take_reply(ask, Some(reply.permit), local);
                 let target = Arc::clone(&self.upstreams[upstream]);
                 let (node, local) = self.at(number, now);
-                if consent == Consent::Granted && node.gateway.wants_work(&target, local) {
+                if consent == Consent::Granted && node.gateway.accepts_requests(&target, local) {
                     self.forward(number, upstream, now);
                 }
             }
--- a/crates/gateway/tests/all/gateway.rs
+++ b/crates/gateway/tests/all/gateway.rs
@@ -107,7 +107,7 @@
     );
     let late = ask(&mut gateway, "/draft/", Some("key-1"), 6_500);
     assert_that!(kind(late), some(eq(Kind::NotReady)));
-    assert_that!(gateway.is_able(millis(6_500)), eq(false));
+    assert_that!(gateway.can_serve(millis(6_500)), eq(false));
 }
 
 #[gtest]
@@ -315,7 +315,7 @@
         let now = millis(2_000 + tick * 10);
         let (choice, _) = gateway.assign(&plan, &[], now).expect("an upstream");
         gateway.end(&choice.upstream.id, Outcome::Refused, now);
-        retried += u32::from(gateway.may_repeat(&plan, now));
+        retried += u32::from(gateway.take_retry(&plan, now));
     }
     // 1,000 requests in the window of 10 s: 0.2 retries for each, and the slack of 20.
     assert_that!(retried, le(220));
@@ -327,5 +327,5 @@
     let mut gateway = gateway(1);
     let plan = ask(&mut gateway, "/desk/", Some("key-1"), 1_000).expect("a plan");
     gateway.tick(millis(1_000));
-    assert_that!(gateway.may_repeat(&plan, millis(1_000)), eq(false));
+    assert_that!(gateway.take_retry(&plan, millis(1_000)), eq(false));
 }
--- a/crates/gateway/tests/all/limit.rs
+++ b/crates/gateway/tests/all/limit.rs
@@ -232,12 +232,9 @@
     let plan = ask(&mut gateway, "/draft/a", Some("key-1"), 2_300).expect("a plan");
     let slow = find(&gateway, "a-0");
     let now = millis(2_310);
-    expect_that!(gateway.is_better_off_elsewhere(&plan, &slow, now), eq(true));
+    expect_that!(gateway.should_move(&plan, &slow, now), eq(true));
     name_limit(&mut gateway, "a-1", 5.0, 2_305);
-    expect_that!(
-        gateway.is_better_off_elsewhere(&plan, &slow, now),
-        eq(false)
-    );
+    expect_that!(gateway.should_move(&plan, &slow, now), eq(false));
 }
 
 /// Guards against a whole group that gets no work because one rank with a limit refused a stream.
--- a/crates/gateway/tests/all/load.rs
+++ b/crates/gateway/tests/all/load.rs
@@ -288,8 +288,7 @@
         address: engine(0, rank),
         ..upstream("any", "model", State::Ready)
     };
-    let leaves =
-        |gateway: &Gateway, rank| gateway.is_better_off_elsewhere(&plan, &at(rank), millis(1_400));
+    let leaves = |gateway: &Gateway, rank| gateway.should_move(&plan, &at(rank), millis(1_400));
     assert_that!(leaves(&gateway, 7), eq(true));
     assert_that!(leaves(&gateway, 8), eq(false));
     let group = "g0".into();
@@ -315,7 +314,7 @@
         address: engine(0, 7),
         ..upstream("any", "model", State::Ready)
     };
-    let leaves = gateway.is_better_off_elsewhere(&plan, &rank, millis(1_000));
+    let leaves = gateway.should_move(&plan, &rank, millis(1_000));
     assert_that!(leaves, eq(false));
 }
 
@@ -335,6 +334,6 @@
         address: engine(0, 7),
         ..upstream("any", "model", State::Ready)
     };
-    let leaves = gateway.is_better_off_elsewhere(&plan, &rank, millis(1_000));
+    let leaves = gateway.should_move(&plan, &rank, millis(1_000));
     assert_that!(leaves, eq(false));
 }
--- a/crates/gateway/tests/all/restore/world.rs
+++ b/crates/gateway/tests/all/restore/world.rs
@@ -175,8 +175,8 @@
         let now = self.now.saturating_sub(node.started);
         let gateway = &mut node.gateway;
         gateway.confirm_pending(now);
-        let is_able = gateway.is_able(now);
-        gateway.roster.set_ready(is_able);
+        let can_serve = gateway.can_serve(now);
+        gateway.roster.set_ready(can_serve);
         let need = gateway.need(now);
         if need == Need::Nothing || self.now < node.next_read {
             return;
@@ -269,14 +269,14 @@
                 >= last_fault.max(node.isolated_until).max(node.healthy_since) + RECOVERY_TIME;
             let now = self.now.saturating_sub(node.started);
             let version = node.gateway.version();
-            let is_able = node.gateway.is_able(now);
-            if is_healthy && !self.store.is_down && is_able && version < least {
+            let can_serve = node.gateway.can_serve(now);
+            if is_healthy && !self.store.is_down && can_serve && version < least {
                 self.violations.push(format!(
                     "gateway {number} serves with version {version:?}, not {least:?}"
                 ));
             }
             let runs = self.now >= node.suspended_until;
-            if runs && is_able && version < revoked {
+            if runs && can_serve && version < revoked {
                 self.violations.push(format!(
                     "gateway {number} trusts keys of version {version:?}, not {revoked:?}"
                 ));
@@ -289,7 +289,7 @@
         let nodes = self.nodes.iter();
         let able = nodes.filter(|node| {
             let now = self.now.saturating_sub(node.started);
-            node.gateway.is_able(now)
+            node.gateway.can_serve(now)
         });
         able.count()
     }
--- a/crates/gateway/tests/all/version.rs
+++ b/crates/gateway/tests/all/version.rs
@@ -53,14 +53,14 @@
     let mut gateway = gateway(&[peers(2)]);
     gateway.set_table(table(15));
     gateway.confirm(millis(10), millis(20));
-    expect_that!(gateway.is_able(millis(20)), eq(false));
+    expect_that!(gateway.can_serve(millis(20)), eq(false));
     receive(&mut gateway, 2, 5, Some(20), 30);
     gateway.confirm_pending(millis(30));
-    expect_that!(gateway.is_able(millis(30)), eq(false));
+    expect_that!(gateway.can_serve(millis(30)), eq(false));
     expect_that!(gateway.catch_up(millis(30)), some(eq(peers(2))));
     gateway.set_table(table(20));
     gateway.confirm_pending(millis(40));
-    expect_that!(gateway.is_able(millis(40)), eq(true));
+    expect_that!(gateway.can_serve(millis(40)), eq(true));
     expect_that!(gateway.catch_up(millis(40)), none());
     // The older version that the store holds again does not replace the newer one.
     expect_that!(gateway.set_table(table(15)), eq(false));
@@ -74,16 +74,16 @@
     gateway.set_table(table(15));
     receive(&mut gateway, 2, 5, Some(15), 10);
     gateway.confirm(millis(10), millis(20));
-    expect_that!(gateway.is_able(millis(20)), eq(true));
+    expect_that!(gateway.can_serve(millis(20)), eq(true));
     gateway.confirm(millis(9_000), millis(9_010));
-    expect_that!(gateway.is_able(millis(9_010)), eq(false));
+    expect_that!(gateway.can_serve(millis(9_010)), eq(false));
     receive(&mut gateway, 2, 30, Some(20), 9_100);
     gateway.confirm_pending(millis(9_100));
-    expect_that!(gateway.is_able(millis(9_100)), eq(false));
+    expect_that!(gateway.can_serve(millis(9_100)), eq(false));
     expect_that!(gateway.catch_up(millis(9_100)), some(eq(peers(2))));
     gateway.set_table(table(20));
     gateway.confirm_pending(millis(9_110));
-    expect_that!(gateway.is_able(millis(9_110)), eq(true));
+    expect_that!(gateway.can_serve(millis(9_110)), eq(true));
 }
 
 /// Guards against a gateway that never serves again because all others are unreachable.
@@ -95,9 +95,9 @@
     gateway.confirm(millis(10), millis(20));
     gateway.confirm(millis(9_000), millis(9_010));
     gateway.confirm_pending(millis(9_609));
-    expect_that!(gateway.is_able(millis(9_609)), eq(false));
+    expect_that!(gateway.can_serve(millis(9_609)), eq(false));
     gateway.confirm_pending(millis(9_610));
-    expect_that!(gateway.is_able(millis(9_610)), eq(true));
+    expect_that!(gateway.can_serve(millis(9_610)), eq(true));
     gateway.confirm(millis(9_700), millis(9_710));
     expect_that!(gateway.knowledge.age(millis(9_710)), some(eq(millis(10))));
 }
@@ -118,7 +118,7 @@
             .roster
             .receive(&support::heartbeat(starting(2)), millis(30));
         gateway.confirm_pending(millis(30));
-        expect_that!(gateway.is_able(millis(30)), eq(false));
+        expect_that!(gateway.can_serve(millis(30)), eq(false));
         if others_start {
             gateway
                 .roster
@@ -127,7 +127,7 @@
             receive(&mut gateway, 3, 9, Some(20), 60);
         }
         gateway.confirm_pending(millis(60));
-        expect_that!(gateway.is_able(millis(60)), eq(others_start));
+        expect_that!(gateway.can_serve(millis(60)), eq(others_start));
         expect_that!(gateway.catch_up(millis(60)).is_some(), eq(!others_start));
     }
 }
@@ -140,11 +140,11 @@
     first.confirm(millis(10), millis(20));
     receive(&mut first, 2, 1, None, 50);
     first.confirm_pending(millis(50));
-    expect_that!(first.is_able(millis(50)), eq(true));
+    expect_that!(first.can_serve(millis(50)), eq(true));
     let mut alone = gateway(&[peers(1)]);
     alone.set_table(table(15));
     alone.confirm(millis(10), millis(20));
-    expect_that!(alone.is_able(millis(20)), eq(true));
+    expect_that!(alone.can_serve(millis(20)), eq(true));
 }
 
 #[gtest]
@@ -153,9 +153,9 @@
     gateway.set_table(table(15));
     gateway.confirm(millis(10), millis(20));
     gateway.confirm_pending(millis(599));
-    expect_that!(gateway.is_able(millis(599)), eq(false));
+    expect_that!(gateway.can_serve(millis(599)), eq(false));
     gateway.confirm_pending(millis(600));
-    expect_that!(gateway.is_able(millis(600)), eq(true));
+    expect_that!(gateway.can_serve(millis(600)), eq(true));
 }
 
 /// A configuration changes in a fleet of hundreds, and the readers send it within some hundred
--- a/crates/relay/src/assign.rs
+++ b/crates/relay/src/assign.rs
@@ -33,7 +33,7 @@
         let is_within_limit = self.is_within_limit(upstream).await;
         let now = self.shared.now();
         let gateway = self.shared.gateway();
-        is_within_limit && gateway.wants_work(upstream, now)
+        is_within_limit && gateway.accepts_requests(upstream, now)
     }
 
     fn choose(&self, group: Option<&GroupId>, denied: &[UpstreamId]) -> Result<Choice, Refusal> {
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -348,7 +348,7 @@
             return false;
         }
         let now = self.shared.now();
-        let is_allowed = self.shared.gateway().may_repeat(&self.plan, now);
+        let is_allowed = self.shared.gateway().take_retry(&self.plan, now);
         let outcome = if is_allowed { "repeat" } else { "no_budget" };
         counter!("auburnline_repetitions_total", "outcome" => outcome).increment(1);
         is_allowed
--- a/crates/relay/src/migration.rs
+++ b/crates/relay/src/migration.rs
@@ -19,7 +19,7 @@
             let now = self.shared.now();
             let is_better = {
                 let gateway = self.shared.gateway();
-                gateway.is_better_off_elsewhere(&self.plan, upstream, now)
+                gateway.should_move(&self.plan, upstream, now)
             };
             if is_better && self.may_rerun_after(sends) {
                 return;
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -227,7 +227,7 @@
         if change == knowledge::Change::Regained {
             log_regained(&gateway, now);
         }
-        let is_ready = gateway.is_able(now) && !self.is_leaving();
+        let is_ready = gateway.can_serve(now) && !self.is_leaving();
         if gateway.roster.set_ready(is_ready) {
             let age = gateway.knowledge.age(now).unwrap_or_default();
             let version = gateway.version();
