--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -37,8 +37,8 @@
 use crate::route::Table;
 use crate::share::shares;
 use crate::spread;
+use crate::spread::FullRead;
 use crate::spread::Need;
-use crate::spread::Reading;
 use crate::spread::Revision;
 use crate::spread::Spread;
 use crate::upstream::Change;
@@ -168,16 +168,16 @@
 
     /// Applies a full read of the store as of `revision`, whose configuration was written at
     /// `configuration`; returns what changed in the pool.
-    pub fn read_all(
+    pub fn apply_full_read(
         &mut self,
         upstreams: Vec<Upstream>,
         revision: Revision,
         configuration: Revision,
         now: Monotonic,
     ) -> Vec<Change> {
-        match self.spread.read_all(revision, configuration) {
-            Reading::Whole => self.pool.replace(upstreams),
-            Reading::Restored => {
+        match self.spread.record_full_read(revision, configuration) {
+            FullRead::Complete => self.pool.replace(upstreams),
+            FullRead::Restored => {
                 self.knowledge.restored(now);
                 let until = now + self.bounds.heartbeat * EXPIRY_HEARTBEATS;
                 self.pool.restore(upstreams, until)
--- a/crates/gateway/src/knowledge.rs
+++ b/crates/gateway/src/knowledge.rs
@@ -69,7 +69,7 @@
     }
 
     /// Records that a request to the store failed.
-    pub const fn miss(&mut self) -> Change {
+    pub const fn record_failure(&mut self) -> Change {
         if self.is_failing {
             return Change::None;
         }
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -28,8 +28,8 @@
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamId;
 
+pub use revision::FullRead;
 pub use revision::Generation;
-pub use revision::Reading;
 pub use revision::Revision;
 
 /// Readers per failure domain: two, so that one is left while the replacement of a failed one is
@@ -155,7 +155,7 @@
     /// Records the generation that the store itself reported; returns whether it differs from the
     /// previous one. A gateway's calls to the store are sequential, so each report is newer than
     /// the ones before.
-    pub fn enter(&mut self, generation: Generation) -> bool {
+    pub fn set_generation(&mut self, generation: Generation) -> bool {
         let is_other = generation != self.generation;
         if is_other {
             self.generation = generation;
@@ -166,7 +166,7 @@
 
     /// Records the generation that another gateway reported; returns whether it is new. The store
     /// has to confirm it: a wrong report costs one full read and doesn't block later generations.
-    pub fn hint(&mut self, generation: Generation) -> bool {
+    pub fn note_generation(&mut self, generation: Generation) -> bool {
         let is_new = generation > self.generation.max(self.reported_generation);
         if is_new {
             self.reported_generation = generation;
@@ -183,21 +183,21 @@
 
     /// Records a full read as of `revision`, with a configuration that was written at
     /// `configuration`.
-    pub fn read_all(&mut self, revision: Revision, configuration: Revision) -> Reading {
-        self.enter(revision.generation);
+    pub fn record_full_read(&mut self, revision: Revision, configuration: Revision) -> FullRead {
+        self.set_generation(revision.generation);
         let before = self.full_read_generation.replace(revision.generation);
         self.revision = Some(revision);
-        self.read_configuration(configuration);
+        self.record_configuration(configuration);
         self.changes.clear();
         self.kept_after = revision;
         match before {
-            Some(before) if before != revision.generation => Reading::Restored,
-            _ => Reading::Whole,
+            Some(before) if before != revision.generation => FullRead::Restored,
+            _ => FullRead::Complete,
         }
     }
 
     /// Records that a configuration written at `revision` was read.
-    pub fn read_configuration(&mut self, revision: Revision) {
+    pub fn record_configuration(&mut self, revision: Revision) {
         self.read = self.read.max(revision);
         self.heard = self.heard.max(revision);
         self.awaited_since = None;
@@ -247,13 +247,13 @@
     }
 
     /// Records that the store answered.
-    pub const fn reach(&mut self) {
+    pub const fn record_success(&mut self) {
         self.failures = 0;
     }
 
     /// Records that the store did not answer; returns the delay before the next attempt. It grows
     /// for gateways that are not readers, since no other gateway depends on them.
-    pub fn miss(&mut self, is_reader: bool) -> Duration {
+    pub fn record_failure(&mut self, is_reader: bool) -> Duration {
         let (shortest, longest) = RETRY_DELAYS;
         let times = if is_reader { 0 } else { self.failures };
         self.failures += 1;
@@ -262,7 +262,7 @@
     }
 
     /// Records that the store no longer has the changes after the known revision.
-    pub const fn forget(&mut self) {
+    pub const fn require_full_read(&mut self) {
         self.revision = None;
     }
 
--- a/crates/gateway/src/spread/revision.rs
+++ b/crates/gateway/src/spread/revision.rs
@@ -19,9 +19,9 @@
 
 /// Completeness of a full read of the published state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
+pub enum FullRead {
     /// It contains everything that is published.
-    Whole,
+    Complete,
     /// It is the first one after a restore from a backup, and lacks what was written after the
     /// backup was taken.
     Restored,
--- a/crates/gateway/tests/all/departure.rs
+++ b/crates/gateway/tests/all/departure.rs
@@ -174,8 +174,8 @@
         .iter()
         .map(|one| Upstream::clone(one))
         .collect();
-    gateway.read_all(all, Revision::default(), Revision::default(), now);
-    gateway.read_all(listed, restored(4), restored(2), now);
+    gateway.apply_full_read(all, Revision::default(), Revision::default(), now);
+    gateway.apply_full_read(listed, restored(4), restored(2), now);
     expect_that!(gateway.knowledge.is_doubtful(millis(5_500)), eq(true));
     gateway
         .pool
--- a/crates/gateway/tests/all/knowledge.rs
+++ b/crates/gateway/tests/all/knowledge.rs
@@ -37,8 +37,8 @@
     let mut knowledge = Knowledge::new(millis(5_000));
     let _ = knowledge.confirm(millis(900), millis(1_000));
     assert_that!(knowledge.is_doubtful(millis(1_000)), eq(false));
-    assert_that!(knowledge.miss(), eq(Change::Lost));
-    assert_that!(knowledge.miss(), eq(Change::None));
+    assert_that!(knowledge.record_failure(), eq(Change::Lost));
+    assert_that!(knowledge.record_failure(), eq(Change::None));
     assert_that!(knowledge.is_doubtful(millis(2_000)), eq(true));
     assert_that!(
         knowledge.confirm(millis(4_000), millis(4_000)),
--- a/crates/gateway/tests/all/restore/mod.rs
+++ b/crates/gateway/tests/all/restore/mod.rs
@@ -128,7 +128,7 @@
         content: content.clone(),
     });
     gateway.set_table(Table::new(content));
-    gateway.spread.read_configuration(written);
+    gateway.spread.record_configuration(written);
 }
 
 /// Guards against gateways that stay behind, for seconds or until the next change, because the
--- a/crates/gateway/tests/all/restore/world.rs
+++ b/crates/gateway/tests/all/restore/world.rs
@@ -139,7 +139,7 @@
                 None
             }
             Message::Question(question) => {
-                gateway.spread.hint(question.revision.generation);
+                gateway.spread.note_generation(question.revision.generation);
                 let age = gateway.knowledge.age(now).unwrap_or_default();
                 let answer = gateway.spread.answer(question, age).map(Message::Answer);
                 if let Some(update) = gateway.spread.requested_configuration(question).cloned() {
@@ -148,7 +148,7 @@
                 answer
             }
             Message::Answer(answer) => {
-                gateway.spread.hint(answer.until.generation);
+                gateway.spread.note_generation(answer.until.generation);
                 let (_, known_at) = gateway.spread.apply_answer(answer);
                 if let Some(known_at) = known_at {
                     gateway.confirm(known_at, now);
@@ -183,29 +183,29 @@
         }
         if self.store.is_down || self.now < node.disconnected_until.max(node.isolated_until) {
             gateway.roster.set_store_unreachable(true);
-            node.next_read = self.now + gateway.spread.miss(false);
+            node.next_read = self.now + gateway.spread.record_failure(false);
             return;
         }
         gateway.roster.set_store_unreachable(false);
-        gateway.spread.reach();
+        gateway.spread.record_success();
         node.next_read = self.now + STEP * 2;
         let (written, version) = self.store.configuration();
         match need {
             Need::All => {
                 apply_configuration(gateway, version, written);
-                gateway.read_all(Vec::new(), self.store.revision(), written, now);
+                gateway.apply_full_read(Vec::new(), self.store.revision(), written, now);
                 gateway.confirm(now, now);
             }
             Need::Configuration => {
-                gateway.spread.enter(self.store.generation);
+                gateway.spread.set_generation(self.store.generation);
                 apply_configuration(gateway, version, written);
             }
             Need::Changes(after) => {
-                if gateway.spread.enter(self.store.generation) {
+                if gateway.spread.set_generation(self.store.generation) {
                     return;
                 }
                 if after > self.store.revision() {
-                    gateway.spread.forget();
+                    gateway.spread.require_full_read();
                     return;
                 }
                 let is_new = written > after;
--- a/crates/gateway/tests/all/spread.rs
+++ b/crates/gateway/tests/all/spread.rs
@@ -1,8 +1,8 @@
 //! Readers of the store, and distribution of its changes to other gateways.
 
 use auburnline_gateway::spread::Change;
+use auburnline_gateway::spread::FullRead;
 use auburnline_gateway::spread::Need;
-use auburnline_gateway::spread::Reading;
 use auburnline_gateway::spread::Revision;
 use auburnline_gateway::spread::Spread;
 use auburnline_gateway::spread::Update;
@@ -21,7 +21,7 @@
 /// Returns the state of a gateway that made a full read as of revision 10.
 fn spread() -> Spread {
     let mut spread = Spread::default();
-    spread.read_all(at(10), at(3));
+    spread.record_full_read(at(10), at(3));
     spread
 }
 
@@ -29,10 +29,10 @@
 fn all_is_read_first_and_again_when_the_history_is_gone() {
     let mut spread = Spread::default();
     assert_that!(spread.need(false, millis(0)), eq(Need::All));
-    spread.read_all(at(10), at(3));
+    spread.record_full_read(at(10), at(3));
     assert_that!(spread.need(false, millis(0)), eq(Need::Nothing));
     assert_that!(spread.need(true, millis(0)), eq(Need::Changes(at(10))));
-    spread.forget();
+    spread.require_full_read();
     assert_that!(spread.need(false, millis(0)), eq(Need::All));
 }
 
@@ -92,7 +92,7 @@
     assert_that!(asker.need(true, millis(1_000)), eq(Need::Configuration));
     assert_that!(asker.need(false, millis(1_899)), eq(Need::Nothing));
     assert_that!(asker.need(false, millis(1_900)), eq(Need::Configuration));
-    asker.read_configuration(at(11));
+    asker.record_configuration(at(11));
     let question = asker.question(millis(2_000)).expect("a question");
     let (_, known_at) = asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
     assert_that!(known_at, some(eq(millis(2_000))));
@@ -113,7 +113,7 @@
     let (mut reader, mut asker) = (spread(), spread());
     reader.take(vec![(at(11), Change::Configuration)], at(11));
     reader.keep_configuration(update(11));
-    reader.read_configuration(at(11));
+    reader.record_configuration(at(11));
     let question = asker.question(millis(1_000)).expect("a question");
     assert_that!(reader.requested_configuration(question), none());
     asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
@@ -122,7 +122,7 @@
         reader.requested_configuration(question),
         some(eq(&update(11)))
     );
-    asker.read_configuration(at(11));
+    asker.record_configuration(at(11));
     assert_that!(asker.awaits_configuration(), eq(false));
     assert_that!(asker.need(false, millis(9_000)), eq(Need::Nothing));
 }
@@ -135,7 +135,7 @@
     asker.take(vec![(at(11), Change::Configuration)], at(11));
     assert_that!(asker.need(false, millis(1_000)), eq(Need::Nothing));
     asker.take(vec![(at(12), Change::Configuration)], at(12));
-    asker.read_configuration(at(11));
+    asker.record_configuration(at(11));
     assert_that!(asker.need(false, millis(1_800)), eq(Need::Nothing));
     assert_that!(asker.need(false, millis(2_600)), eq(Need::Nothing));
     assert_that!(asker.need(false, millis(2_700)), eq(Need::Configuration));
@@ -183,13 +183,15 @@
 #[gtest]
 fn a_store_that_answers_nobody_is_asked_by_its_readers_and_hardly_by_others() {
     let mut reader = spread();
-    let pauses: Vec<_> = (0..4).map(|_| reader.miss(true)).collect();
+    let pauses: Vec<_> = (0..4).map(|_| reader.record_failure(true)).collect();
     assert_that!(pauses, each(eq(&millis(250))));
     let mut other = spread();
-    let pauses: Vec<_> = (0..6).map(|_| other.miss(false).as_millis()).collect();
+    let pauses: Vec<_> = (0..6)
+        .map(|_| other.record_failure(false).as_millis())
+        .collect();
     assert_that!(pauses, eq(&vec![250, 500, 1_000, 2_000, 2_000, 2_000]));
-    other.reach();
-    assert_that!(other.miss(false), eq(millis(250)));
+    other.record_success();
+    assert_that!(other.record_failure(false), eq(millis(250)));
 }
 
 /// Returns a revision of the store's second generation.
@@ -208,12 +210,12 @@
     reader.keep_configuration(update(9));
     for one in [&mut reader, &mut asker] {
         one.take(vec![(at(90), Change::Configuration)], at(90));
-        one.read_configuration(at(90));
-        expect_that!(one.hint(1), eq(true));
-        expect_that!(one.hint(1), eq(false));
+        one.record_configuration(at(90));
+        expect_that!(one.note_generation(1), eq(true));
+        expect_that!(one.note_generation(1), eq(false));
         expect_that!(one.need(false, millis(0)), eq(Need::All));
-        let reading = one.read_all(restored(10), restored(3));
-        expect_that!(reading, eq(Reading::Restored));
+        let reading = one.record_full_read(restored(10), restored(3));
+        expect_that!(reading, eq(FullRead::Restored));
     }
     reader.take(vec![(restored(11), Change::Configuration)], restored(11));
     let newer = Update {
@@ -232,8 +234,8 @@
 #[gtest]
 fn what_is_told_of_another_generation_changes_nothing() {
     let (mut old, mut new) = (spread(), spread());
-    new.hint(1);
-    new.read_all(restored(8), restored(3));
+    new.note_generation(1);
+    new.record_full_read(restored(8), restored(3));
     old.take(vec![(at(11), change("a"))], at(11));
     // The reader only knows the earlier generation.
     let question = new.question(millis(1_000)).expect("a question");
@@ -249,7 +251,7 @@
     expect_that!(answer.changes, is_empty());
     expect_that!(answer.until, eq(restored(12)));
     expect_that!(old.apply_answer(answer.clone()).1, none());
-    old.hint(answer.until.generation);
+    old.note_generation(answer.until.generation);
     expect_that!(old.need(false, millis(1_000)), eq(Need::All));
 }
 
@@ -259,13 +261,13 @@
 fn the_newest_version_is_kept_through_a_restore() {
     let mut spread = spread();
     spread.keep_configuration(update(20));
-    spread.hint(1);
+    spread.note_generation(1);
     spread.keep_configuration(Update {
         revision: restored(5),
         content: content(15, Vec::new()),
     });
     let mut late = Spread::default();
-    late.read_all(at(4), at(4));
+    late.record_full_read(at(4), at(4));
     late.take(vec![(at(5), Change::Configuration)], at(5));
     let question = late.question(millis(0)).expect("a question");
     expect_that!(
@@ -279,10 +281,13 @@
 #[gtest]
 fn a_generation_that_the_store_does_not_confirm_costs_one_reading_and_keeps_nothing_out() {
     let (mut reader, mut asker) = (spread(), spread());
-    expect_that!(asker.hint(9), eq(true));
+    expect_that!(asker.note_generation(9), eq(true));
     expect_that!(asker.need(false, millis(0)), eq(Need::All));
-    expect_that!(asker.read_all(at(10), at(3)), eq(Reading::Whole));
-    expect_that!(asker.hint(9), eq(false));
+    expect_that!(
+        asker.record_full_read(at(10), at(3)),
+        eq(FullRead::Complete)
+    );
+    expect_that!(asker.note_generation(9), eq(false));
     expect_that!(asker.need(false, millis(0)), eq(Need::Nothing));
     reader.take(vec![(at(11), change("a"))], at(11));
     let question = asker.question(millis(1_000)).expect("a question");
@@ -291,9 +296,9 @@
     expect_that!(new, len(eq(1)));
     expect_that!(known_at, some(eq(millis(1_000))));
     // The store itself reports the next generation.
-    expect_that!(asker.enter(1), eq(true));
+    expect_that!(asker.set_generation(1), eq(true));
     expect_that!(
-        asker.read_all(restored(4), restored(3)),
-        eq(Reading::Restored)
+        asker.record_full_read(restored(4), restored(3)),
+        eq(FullRead::Restored)
     );
 }
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -166,7 +166,7 @@
             }
         }
         Ok(Datagram::Question(question)) => {
-            Feed(Rc::clone(shared)).hint(question.revision.generation);
+            Feed(Rc::clone(shared)).note_generation(question.revision.generation);
             shared.answer(question, from);
         }
         Ok(Datagram::ConfigurationQuery(version)) => {
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -94,10 +94,10 @@
         if let Some((revision, content)) = all.configuration {
             self.apply_configuration(revision, content);
         }
-        self.enter(all.revision.generation);
+        self.set_generation(all.revision.generation);
         let now = self.now();
         let mut gateway = self.0.gateway();
-        let changes = gateway.read_all(all.upstreams, all.revision, written, now);
+        let changes = gateway.apply_full_read(all.upstreams, all.revision, written, now);
         drop(gateway);
         self.0.upstreams_changed(changes);
         self.record_answer(asked);
@@ -111,7 +111,7 @@
         if let Some(content) = content {
             self.apply_configuration(revision, content);
         }
-        self.0.gateway().spread.read_configuration(revision);
+        self.0.gateway().spread.record_configuration(revision);
     }
 
     /// Applies a configuration received from another gateway.
@@ -122,7 +122,7 @@
 
     /// Applies all changes up to `until`, which were requested at `asked`, and sends them on to other gateways.
     pub fn changes(&self, changes: Vec<(Revision, Change)>, until: Revision, asked: Monotonic) {
-        self.enter(until.generation);
+        self.set_generation(until.generation);
         let since = self.0.gateway().spread.revision().unwrap_or_default();
         let mut published = Vec::with_capacity(changes.len());
         for (revision, change) in changes {
@@ -146,10 +146,10 @@
     }
 
     /// Records the generation that the store reports for itself. After a change, the whole state is read again.
-    pub fn enter(&self, generation: Generation) {
+    pub fn set_generation(&self, generation: Generation) {
         let mut gateway = self.0.gateway();
         let before = gateway.spread.revision();
-        let is_other = gateway.spread.enter(generation);
+        let is_other = gateway.spread.set_generation(generation);
         let version = gateway.version();
         drop(gateway);
         if is_other && before.is_some() {
@@ -159,10 +159,10 @@
     }
 
     /// Records the generation of the store that another gateway knows. If it is newer, the whole state is read again.
-    pub(crate) fn hint(&self, generation: Generation) {
+    pub(crate) fn note_generation(&self, generation: Generation) {
         let mut gateway = self.0.gateway();
         let before = gateway.spread.revision();
-        let is_news = gateway.spread.hint(generation);
+        let is_news = gateway.spread.note_generation(generation);
         drop(gateway);
         if is_news {
             log::info!(target: "store", generation, before:?; "another gateway knows a newer generation of the store; reading the whole state again");
@@ -171,14 +171,14 @@
     }
 
     /// Records that the store no longer has the changes after the known revision, so that the whole state is read again.
-    pub fn forget(&self) {
+    pub fn require_full_read(&self) {
         log::info!(target: "store", "store no longer has the changes needed; reading the whole state again");
-        self.0.gateway().spread.forget();
+        self.0.gateway().spread.require_full_read();
     }
 
     /// Applies the answer of a gateway that reads the store.
     pub(crate) fn apply_answer(&self, answer: Answer) {
-        self.hint(answer.until.generation);
+        self.note_generation(answer.until.generation);
         let (new, known_at) = self.0.gateway().spread.apply_answer(answer);
         if let Some(known_at) = known_at {
             self.record_known(known_at);
@@ -191,7 +191,7 @@
     fn record_answer(&self, asked: Monotonic) {
         let mut gateway = self.0.gateway();
         gateway.roster.set_store_unreachable(false);
-        gateway.spread.reach();
+        gateway.spread.record_success();
         drop(gateway);
         self.record_known(asked);
     }
@@ -210,7 +210,7 @@
 
     /// Records that a request to the store failed; returns the delay before the next one.
     #[must_use]
-    pub fn miss(&self, cause: &str) -> Duration {
+    pub fn record_failure(&self, cause: &str) -> Duration {
         metrics::counter!("auburnline_store_failures_total").increment(1);
         let now = self.now();
         let mut gateway = self.0.gateway();
@@ -219,10 +219,10 @@
         let age = gateway.knowledge.age(now);
         let is_told = age.is_some_and(|age| age < MAX_RELAYED_AGE);
         if !is_told {
-            gateway.knowledge.miss();
+            gateway.knowledge.record_failure();
         }
         let (_, is_reader) = gateway.roster.readers(now);
-        let pause = gateway.spread.miss(is_reader);
+        let pause = gateway.spread.record_failure(is_reader);
         drop(gateway);
         if !was_unreachable {
             let age_ms = millis(age.unwrap_or_default());
