--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -13,12 +13,6 @@
 use auburnline_core::hash::stable;
 use auburnline_core::time::Monotonic;
 use auburnline_quota::Rate;
-use auburnline_quota::book;
-use auburnline_quota::book::Book;
-use auburnline_quota::book::Limit;
-use auburnline_quota::book::MOST_NOTICES;
-use auburnline_quota::book::Notice;
-use auburnline_quota::book::Teller;
 use auburnline_quota::home::Ask;
 use auburnline_quota::home::Home;
 use auburnline_quota::home::Permit;
@@ -27,6 +21,12 @@
 use auburnline_quota::loan::Lender;
 use auburnline_quota::loan::Loan;
 use auburnline_quota::loan::Outcome;
+use auburnline_quota::registry;
+use auburnline_quota::registry::Limit;
+use auburnline_quota::registry::MAX_NOTICES;
+use auburnline_quota::registry::Notice;
+use auburnline_quota::registry::Registry;
+use auburnline_quota::registry::Teller;
 use rand::Rng as _;
 
 use crate::gateway::Gateway;
@@ -86,7 +86,7 @@
 /// All that a gateway knows of rate limits.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Limits {
-    book: Book,
+    registry: Registry,
     lender: Lender,
     home: Home,
     /// Until when upstreams are not used.
@@ -100,7 +100,7 @@
 impl Limits {
     /// Returns whether no limit is known, in force or ended.
     pub(crate) fn is_idle(&self) -> bool {
-        self.book.is_empty()
+        self.registry.is_empty()
     }
 
     /// Returns until when an upstream is not used; none if it is open.
@@ -113,12 +113,12 @@
     }
 
     /// Reopens an upstream whose limit ended or changed.
-    fn reopen(&mut self, news: book::News) {
+    fn reopen(&mut self, news: registry::News) {
         self.closed.remove(&news.upstream);
     }
 
     fn rate(&self, upstream: StartTag, now: Monotonic) -> Option<Rate> {
-        self.book.limit(upstream, now).map(|limit| limit.rate)
+        self.registry.limit(upstream, now).map(|limit| limit.rate)
     }
 }
 
@@ -134,7 +134,7 @@
         if self.limits.is_idle() {
             return None;
         }
-        self.limits.book.limit(start_tag(upstream), now)
+        self.limits.registry.limit(start_tag(upstream), now)
     }
 
     /// Returns the upstreams of a service that have a limit, at most `most`.
@@ -145,7 +145,7 @@
         let limited = starts.filter_map(|(start, upstream)| {
             Some(Limited {
                 upstream: Arc::clone(upstream),
-                limit: self.limits.book.limit(start, now)?,
+                limit: self.limits.registry.limit(start, now)?,
                 home: self.home(start, now),
             })
         });
@@ -162,7 +162,7 @@
         now: Monotonic,
     ) -> Option<News> {
         let start = start_tag(upstream);
-        let news = self.limits.book.answered(start, rate, sent, now)?;
+        let news = self.limits.registry.answered(start, rate, sent, now)?;
         self.limits.reopen(news);
         Some(News {
             upstream: Arc::clone(upstream),
@@ -182,8 +182,8 @@
         let known: HashMap<StartTag, &Arc<Upstream>> = self.pool.starts().collect();
         let is_known = |notice: &&Notice| known.contains_key(&notice.upstream);
         let notices: Vec<Notice> = notices.iter().filter(is_known).copied().collect();
-        let heard = self.limits.book.merge(&notices, from, now);
-        let news = heard.into_iter().filter_map(|news: book::News| {
+        let heard = self.limits.registry.merge(&notices, from, now);
+        let news = heard.into_iter().filter_map(|news: registry::News| {
             self.limits.reopen(news);
             Some(News {
                 upstream: Arc::clone(known.get(&news.upstream)?),
@@ -207,9 +207,9 @@
         }
         let known: HashMap<StartTag, _> = self.pool.starts().collect();
         self.limits
-            .book
+            .registry
             .forget(|upstream| known.contains_key(&upstream), now);
-        self.limits.book.notices(now)
+        self.limits.registry.notices(now)
     }
 
     /// Lends this gateway's share of each limit to the limit's home; returns the loans to send.
@@ -226,7 +226,7 @@
         }
         let lender = stable(0, self.roster.own_entry().instance.as_bytes());
         let fleet = u32::try_from(self.roster.peak_members()).unwrap_or(u32::MAX);
-        for notice in self.limits.book.in_force(now) {
+        for notice in self.limits.registry.in_force(now) {
             let home = self.roster.home(&home_key(notice.upstream), now);
             let heartbeat = Heartbeat {
                 home: &home.entry.instance,
@@ -264,7 +264,7 @@
             let (_, upstream) = starts.find(|(tag, _)| *tag == start)?;
             Some(Limited {
                 upstream: Arc::clone(upstream),
-                limit: self.limits.book.limit(start, now)?,
+                limit: self.limits.registry.limit(start, now)?,
                 home,
             })
         });
@@ -282,8 +282,8 @@
     }
 
     fn borrow(&mut self, loan: &Loan, now: Monotonic) {
-        let Limits { book, home, .. } = &mut self.limits;
-        let rate = |upstream| book.limit(upstream, now).map(|limit| limit.rate);
+        let Limits { registry, home, .. } = &mut self.limits;
+        let rate = |upstream| registry.limit(upstream, now).map(|limit| limit.rate);
         home.borrow(loan, rate, now);
     }
 
@@ -354,7 +354,7 @@
 
 /// Splits a loan into messages that each fit into one packet.
 fn split(home: SocketAddr, loan: &Loan) -> Vec<(SocketAddr, Loan)> {
-    let parts = loan.limits.chunks(MOST_NOTICES);
+    let parts = loan.limits.chunks(MAX_NOTICES);
     let parts = parts.map(|limits| {
         let part = Loan {
             limits: limits.to_vec(),
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -8,9 +8,9 @@
 use auburnline_lockstep::message::Ask;
 use auburnline_lockstep::message::Digest;
 use auburnline_lockstep::message::Forwarded;
-use auburnline_quota::book::Notice;
 use auburnline_quota::home;
 use auburnline_quota::loan::Loan;
+use auburnline_quota::registry::Notice;
 use serde::Deserialize;
 use serde::Serialize;
 
--- a/crates/gateway/tests/all/fleet/mod.rs
+++ b/crates/gateway/tests/all/fleet/mod.rs
@@ -23,10 +23,10 @@
 use auburnline_gateway::request::Plan;
 use auburnline_gateway::upstream::Upstream;
 use auburnline_quota::Rate;
-use auburnline_quota::book::Notice;
 use auburnline_quota::home::Ask;
 use auburnline_quota::home::Reply;
 use auburnline_quota::loan::Loan;
+use auburnline_quota::registry::Notice;
 use rand_chacha::ChaCha8Rng;
 
 /// Time on the simulation's clock.
--- a/crates/quota/src/loan.rs
+++ b/crates/quota/src/loan.rs
@@ -17,7 +17,7 @@
 
 use crate::LenderTag;
 use crate::UpstreamTag;
-use crate::book::Notice;
+use crate::registry::Notice;
 
 /// Time after a home's heartbeat for which a share lent in response to it is valid: several heartbeats longer than
 /// information takes to propagate through a fleet of hundreds of gateways.
--- a/crates/quota/src/book.rs
+++ b/crates/quota/src/registry.rs
@@ -19,7 +19,7 @@
 /// Time for which an ended limit is kept: much longer than a notice takes to reach all gateways.
 pub const ENDED_RETENTION: Duration = Duration::from_mins(1);
 /// Maximum number of notices in one message, so that it fits into one packet.
-pub const MOST_NOTICES: usize = 56;
+pub const MAX_NOTICES: usize = 56;
 /// Maximum number of limits that are stored, including ended ones.
 const MAX_ENTRIES: usize = 4_096;
 /// Lower bound for a stored rate: without an occasional response, gateways would not learn that the limit has ended.
@@ -95,13 +95,13 @@
 
 /// Limits known to a gateway, including recently ended ones.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Registry {
     entries: BTreeMap<UpstreamTag, Entry>,
     /// First upstream of the next message, if the notices do not fit into one.
     next: UpstreamTag,
 }
 
-impl Book {
+impl Registry {
     /// Returns whether no limit is stored, not even an ended one.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -161,11 +161,11 @@
         let now = since_epoch(now);
         let later = self.entries.range(self.next..);
         let earlier = self.entries.range(..self.next);
-        let selected: Vec<_> = later.chain(earlier).take(MOST_NOTICES + 1).collect();
+        let selected: Vec<_> = later.chain(earlier).take(MAX_NOTICES + 1).collect();
         let next = selected
-            .get(MOST_NOTICES)
+            .get(MAX_NOTICES)
             .map_or(0, |(upstream, _)| **upstream);
-        let notices = selected.into_iter().take(MOST_NOTICES);
+        let notices = selected.into_iter().take(MAX_NOTICES);
         let notices = notices.map(|(upstream, entry)| entry.notice(*upstream, now));
         let notices = notices.collect();
         self.next = next;
--- a/crates/quota/tests/all/home.rs
+++ b/crates/quota/tests/all/home.rs
@@ -5,11 +5,11 @@
 use auburnline_quota::LenderTag;
 use auburnline_quota::Rate;
 use auburnline_quota::UpstreamTag;
-use auburnline_quota::book::Notice;
 use auburnline_quota::home::Home;
 use auburnline_quota::home::Permit;
 use auburnline_quota::loan::LEASE;
 use auburnline_quota::loan::Loan;
+use auburnline_quota::registry::Notice;
 use googletest::prelude::*;
 
 const UPSTREAM: UpstreamTag = 7;
--- a/crates/quota/tests/all/main.rs
+++ b/crates/quota/tests/all/main.rs
@@ -1,4 +1,4 @@
 //! Distributed enforcement of rate limits set by upstreams.
 
-mod book;
 mod home;
+mod registry;
