--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -47,7 +47,7 @@
 
 /// A limit that was named, changed or ended, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct Update {
     /// Upstream that the limit is for.
     pub upstream: Arc<Upstream>,
     /// Requests per second from all gateways together; none if the limit ended.
@@ -113,8 +113,8 @@
     }
 
     /// Reopens an upstream whose limit ended or changed.
-    fn reopen(&mut self, news: registry::News) {
-        self.closed.remove(&news.upstream);
+    fn reopen(&mut self, update: registry::Update) {
+        self.closed.remove(&update.upstream);
     }
 
     fn rate(&self, upstream: StartTag, now: Monotonic) -> Option<Rate> {
@@ -160,14 +160,14 @@
         rate: Option<Rate>,
         sent: Monotonic,
         now: Monotonic,
-    ) -> Option<News> {
+    ) -> Option<Update> {
         let start = start_tag(upstream);
-        let news = self.limits.registry.answered(start, rate, sent, now)?;
-        self.limits.reopen(news);
-        Some(News {
+        let update = self.limits.registry.answered(start, rate, sent, now)?;
+        self.limits.reopen(update);
+        Some(Update {
             upstream: Arc::clone(upstream),
-            rate: news.rate,
-            teller: news.teller,
+            rate: update.rate,
+            teller: update.teller,
         })
     }
 
@@ -178,20 +178,20 @@
         notices: &[Notice],
         from: SocketAddr,
         now: Monotonic,
-    ) -> Vec<News> {
+    ) -> Vec<Update> {
         let known: HashMap<StartTag, &Arc<Upstream>> = self.pool.starts().collect();
         let is_known = |notice: &&Notice| known.contains_key(&notice.upstream);
         let notices: Vec<Notice> = notices.iter().filter(is_known).copied().collect();
         let heard = self.limits.registry.merge(&notices, from, now);
-        let news = heard.into_iter().filter_map(|news: registry::News| {
-            self.limits.reopen(news);
-            Some(News {
-                upstream: Arc::clone(known.get(&news.upstream)?),
-                rate: news.rate,
-                teller: news.teller,
+        let updates = heard.into_iter().filter_map(|update: registry::Update| {
+            self.limits.reopen(update);
+            Some(Update {
+                upstream: Arc::clone(known.get(&update.upstream)?),
+                rate: update.rate,
+                teller: update.teller,
             })
         });
-        news.collect()
+        updates.collect()
     }
 
     /// Records that a heartbeat is sent; returns the notices of limits to send with it, and drops
@@ -273,12 +273,12 @@
 
     /// Records shares that another gateway lends to this one; returns what the loan changed in the
     /// known limits.
-    pub fn receive_loan(&mut self, loan: &Loan, from: SocketAddr, now: Monotonic) -> Vec<News> {
-        let news = self.receive_limits(&loan.limits, from, now);
+    pub fn receive_loan(&mut self, loan: &Loan, from: SocketAddr, now: Monotonic) -> Vec<Update> {
+        let updates = self.receive_limits(&loan.limits, from, now);
         if loan.incarnation == self.roster.own_entry().incarnation {
             self.borrow(loan, now);
         }
-        news
+        updates
     }
 
     fn borrow(&mut self, loan: &Loan, now: Monotonic) {
--- a/crates/quota/src/registry.rs
+++ b/crates/quota/src/registry.rs
@@ -67,7 +67,7 @@
 
 /// A limit that was set, changed or ended, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct News {
+pub struct Update {
     /// Upstream that set the limit.
     pub upstream: UpstreamTag,
     /// New limit; `None` if it ended.
@@ -133,7 +133,7 @@
         rate: Option<Rate>,
         sent: Monotonic,
         now: Monotonic,
-    ) -> Option<News> {
+    ) -> Option<Update> {
         if rate.is_none() && !self.entries.contains_key(&upstream) {
             return None;
         }
@@ -142,7 +142,7 @@
     }
 
     /// Merges notices from another gateway; returns what changed.
-    pub fn merge(&mut self, notices: &[Notice], from: SocketAddr, now: Monotonic) -> Vec<News> {
+    pub fn merge(&mut self, notices: &[Notice], from: SocketAddr, now: Monotonic) -> Vec<Update> {
         let heard = notices.iter().filter_map(|notice| {
             let age = Duration::from_millis(notice.age_ms.into());
             let stated_at = since_epoch(now).saturating_sub(age);
@@ -187,7 +187,7 @@
         rate: Option<Rate>,
         teller: Teller,
         stated_at: SinceEpoch,
-    ) -> Option<News> {
+    ) -> Option<Update> {
         let rate = rate.filter(|rate| rate.is_finite());
         let rate = rate.map(|rate| rate.max(MIN_RATE));
         let known = self.entries.get(&upstream);
@@ -207,7 +207,7 @@
             stated_at,
         };
         self.entries.insert(upstream, entry);
-        is_change.then_some(News {
+        is_change.then_some(Update {
             upstream,
             rate,
             teller,
--- a/crates/quota/tests/all/registry.rs
+++ b/crates/quota/tests/all/registry.rs
@@ -52,8 +52,8 @@
 fn gateways_learn_of_limits_from_each_other_and_the_newest_word_wins() {
     let mut first = registry_with_limit(2.0, 100);
     let second = registry_with_limit(1.0, 300).notices(millis(300));
-    let news = first.merge(&second, other(), millis(350));
-    expect_that!(news, len(eq(1)));
+    let updates = first.merge(&second, other(), millis(350));
+    expect_that!(updates, len(eq(1)));
     expect_that!(rate(&first), some(eq(1.0)));
     let limit = first.limit(UPSTREAM, millis(400)).expect("a limit");
     expect_that!(limit.teller, eq(Teller::Gateway(other())));
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use auburnline_gateway::limit::Consent;
-use auburnline_gateway::limit::News;
+use auburnline_gateway::limit::Update;
 use auburnline_gateway::message::Datagram;
 use auburnline_gateway::neighbour::MAX_COUNTS;
 use auburnline_gateway::upstream::Upstream;
@@ -43,10 +43,10 @@
         };
         let now = self.shared.now();
         let mut gateway = self.shared.gateway();
-        let news = gateway.take_limit(flight.target(), rate, flight.began(), now);
+        let update = gateway.take_limit(flight.target(), rate, flight.began(), now);
         drop(gateway);
-        if let Some(news) = news {
-            log_limit_change(&news, self.id());
+        if let Some(update) = update {
+            log_limit_change(&update, self.id());
         }
     }
 
@@ -122,9 +122,9 @@
 /// Merges limit notices from another gateway.
 pub(crate) fn merge_notices(shared: &Shared, notices: &[Notice], from: SocketAddr) {
     let now = shared.now();
-    let heard = shared.gateway().receive_limits(notices, from, now);
-    for news in &heard {
-        log_limit_change(news, "");
+    let updates = shared.gateway().receive_limits(notices, from, now);
+    for update in &updates {
+        log_limit_change(update, "");
     }
 }
 
@@ -132,13 +132,13 @@
 pub(crate) fn accept_loan(shared: &Shared, loan: &Loan, from: SocketAddr) {
     let now = shared.now();
     let mut gateway = shared.gateway();
-    let heard = gateway.receive_loan(loan, from, now);
+    let updates = gateway.receive_loan(loan, from, now);
     let counts = gateway.pool.counts(MAX_COUNTS);
     let heartbeat = gateway.roster.own_heartbeat(counts, now);
     drop(gateway);
     shared.send(&Datagram::Heartbeat(heartbeat), from);
-    for news in &heard {
-        log_limit_change(news, "");
+    for update in &updates {
+        log_limit_change(update, "");
     }
 }
 
@@ -159,18 +159,18 @@
 }
 
 /// Logs that a limit was set, changed or ended; `request` is the id of the request that revealed it, or empty.
-fn log_limit_change(news: &News, request: &str) {
-    let outcome = if news.rate.is_some() {
+fn log_limit_change(update: &Update, request: &str) {
+    let outcome = if update.rate.is_some() {
         "named"
     } else {
         "ended"
     };
     log::info!(
         target: "limits",
-        upstream = &*news.upstream.id,
-        service = &*news.upstream.service,
-        rate:? = news.rate,
-        teller:? = news.teller,
+        upstream = &*update.upstream.id,
+        service = &*update.upstream.service,
+        rate:? = update.rate,
+        teller:? = update.teller,
         request;
         "{outcome}"
     );
