--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -13,7 +13,7 @@
 use auburnline_core::hash::stable;
 use auburnline_core::time::Monotonic;
 use auburnline_quota::Rate;
-use auburnline_quota::home::Ask;
+use auburnline_quota::home;
 use auburnline_quota::home::Home;
 use auburnline_quota::home::Permit;
 use auburnline_quota::home::Reply;
@@ -67,8 +67,8 @@
     Ask {
         /// Address of the home.
         home: SocketAddr,
-        /// Question to send; the reply goes to [`Gateway::take_reply`].
-        ask: Ask,
+        /// Request to send; the reply goes to [`Gateway::take_reply`].
+        request: home::Request,
     },
 }
 
@@ -91,8 +91,8 @@
     home: Home,
     /// Until when upstreams are not used.
     closed: HashMap<StartTag, Monotonic>,
-    /// Questions asked so far, which number them.
-    asks: u64,
+    /// Requests sent so far, which number them.
+    requests: u64,
     /// Shares that were lent to another home and are not logged yet.
     moved: Vec<(StartTag, SocketAddr)>,
 }
@@ -199,7 +199,7 @@
     pub fn heartbeat_limits(&mut self, now: Monotonic) -> Vec<Notice> {
         self.limits
             .home
-            .sent(self.roster.own_entry().heartbeats, now);
+            .record_heartbeat(self.roster.own_entry().heartbeats, now);
         self.limits.closed.retain(|_, until| now < *until);
         self.limits.lender.forget(now);
         if self.limits.is_idle() {
@@ -236,7 +236,7 @@
                 address: home.entry.peers,
             };
             match self.limits.lender.lend(notice.upstream, &heartbeat, now) {
-                Outcome::Held => continue,
+                Outcome::StillLent => continue,
                 Outcome::Moved => self.limits.moved.push((notice.upstream, heartbeat.address)),
                 Outcome::Renewed => {}
             }
@@ -250,7 +250,7 @@
             loan.limits.push(notice);
         }
         if let Some(own) = loans.remove(&self.roster.own_entry().peers) {
-            self.borrow(&own, now);
+            self.accept_loan(&own, now);
         }
         let loans = loans.into_iter();
         loans.flat_map(|(home, loan)| split(home, &loan)).collect()
@@ -276,15 +276,15 @@
     pub fn receive_loan(&mut self, loan: &Loan, from: SocketAddr, now: Monotonic) -> Vec<Update> {
         let updates = self.receive_limits(&loan.limits, from, now);
         if loan.incarnation == self.roster.own_entry().incarnation {
-            self.borrow(loan, now);
+            self.accept_loan(loan, now);
         }
         updates
     }
 
-    fn borrow(&mut self, loan: &Loan, now: Monotonic) {
+    fn accept_loan(&mut self, loan: &Loan, now: Monotonic) {
         let Limits { registry, home, .. } = &mut self.limits;
         let rate = |upstream| registry.limit(upstream, now).map(|limit| limit.rate);
-        home.borrow(loan, rate, now);
+        home.accept_loan(loan, rate, now);
     }
 
     /// Decides whether a request may be sent to an upstream, or which gateway has to be asked.
@@ -298,13 +298,13 @@
             let permit = self.permit(start, now);
             return self.take_permit(start, permit, now);
         }
-        self.limits.asks += 1;
-        let number = self.limits.asks;
-        let ask = Ask {
+        self.limits.requests += 1;
+        let number = self.limits.requests;
+        let request = home::Request {
             number,
             upstream: start,
         };
-        Consent::Ask { home, ask }
+        Consent::Ask { home, request }
     }
 
     /// Returns the address of the gateway that permits requests to an upstream with a limit.
@@ -317,11 +317,11 @@
     }
 
     /// Replies to a gateway that asks whether it may send a request.
-    pub fn reply(&mut self, ask: Ask, now: Monotonic) -> Reply {
+    pub fn reply(&mut self, request: home::Request, now: Monotonic) -> Reply {
         Reply {
-            number: ask.number,
-            upstream: ask.upstream,
-            permit: self.permit(ask.upstream, now),
+            number: request.number,
+            upstream: request.upstream,
+            permit: self.permit(request.upstream, now),
         }
     }
 
@@ -332,11 +332,16 @@
     }
 
     /// Applies the home's reply to a request; none if the home did not reply.
-    pub fn take_reply(&mut self, ask: Ask, permit: Option<Permit>, now: Monotonic) -> Consent {
+    pub fn take_reply(
+        &mut self,
+        request: home::Request,
+        permit: Option<Permit>,
+        now: Monotonic,
+    ) -> Consent {
         let no_reply = Permit::Denied {
             retry_ms: u32::try_from(NO_REPLY_RETRY.as_millis()).unwrap_or(u32::MAX),
         };
-        self.take_permit(ask.upstream, permit.unwrap_or(no_reply), now)
+        self.take_permit(request.upstream, permit.unwrap_or(no_reply), now)
     }
 
     fn take_permit(&mut self, upstream: StartTag, permit: Permit, now: Monotonic) -> Consent {
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -83,7 +83,7 @@
     /// Shares of rate limits that the sender lends to the receiver.
     Loan(Loan),
     /// Request for permission to send to an upstream that has a rate limit.
-    LimitAsk(home::Ask),
+    LimitAsk(home::Request),
     /// Reply to [`Datagram::LimitAsk`].
     LimitReply(home::Reply),
 }
--- a/crates/gateway/tests/all/fleet/mod.rs
+++ b/crates/gateway/tests/all/fleet/mod.rs
@@ -23,7 +23,7 @@
 use auburnline_gateway::request::Plan;
 use auburnline_gateway::upstream::Upstream;
 use auburnline_quota::Rate;
-use auburnline_quota::home::Ask;
+use auburnline_quota::home;
 use auburnline_quota::home::Reply;
 use auburnline_quota::loan::Loan;
 use auburnline_quota::registry::Notice;
@@ -53,7 +53,7 @@
     JoinReply(Heartbeat),
     Limits(Vec<Notice>),
     Loan(Loan),
-    Ask(Ask),
+    Ask(home::Request),
     Reply(Reply),
 }
 
@@ -97,7 +97,7 @@
     /// Whether it got an answer that says that each upstream leaves.
     knows_leaving: Vec<bool>,
     /// Unanswered requests for permits by their numbers, with the upstream of each.
-    waiting: BTreeMap<u64, (Ask, usize)>,
+    waiting: BTreeMap<u64, (home::Request, usize)>,
 }
 
 struct World {
--- a/crates/gateway/tests/all/fleet/world.rs
+++ b/crates/gateway/tests/all/fleet/world.rs
@@ -251,15 +251,15 @@
                 let word = gateway.roster.own_heartbeat(Vec::new(), local);
                 self.send(number, peers(from), Message::Heartbeat(word), now);
             }
-            Message::Ask(ask) => {
-                let reply = gateway.reply(ask, local);
+            Message::Ask(request) => {
+                let reply = gateway.reply(request, local);
                 self.send(number, peers(from), Message::Reply(reply), now);
             }
             Message::Reply(reply) => {
-                let Some((ask, upstream)) = node.waiting.remove(&reply.number) else {
+                let Some((request, upstream)) = node.waiting.remove(&reply.number) else {
                     return;
                 };
-                let consent = gateway.take_reply(ask, Some(reply.permit), local);
+                let consent = gateway.take_reply(request, Some(reply.permit), local);
                 let target = Arc::clone(&self.upstreams[upstream]);
                 let (node, local) = self.at(number, now);
                 if consent == Consent::Granted && node.gateway.accepts_requests(&target, local) {
@@ -285,9 +285,9 @@
             match gateway.consent(&choice.upstream, local) {
                 Consent::Granted => return self.forward(number, upstream, now),
                 Consent::Denied => denied.push(choice.upstream.id.clone()),
-                Consent::Ask { home, ask } => {
-                    node.waiting.insert(ask.number, (ask, upstream));
-                    return self.send(number, home, Message::Ask(ask), now);
+                Consent::Ask { home, request } => {
+                    node.waiting.insert(request.number, (request, upstream));
+                    return self.send(number, home, Message::Ask(request), now);
                 }
             }
         }
--- a/crates/gateway/tests/all/limit.rs
+++ b/crates/gateway/tests/all/limit.rs
@@ -300,19 +300,19 @@
     name_limit(&mut gateway, "desk-0", 2.0, 2_200);
     let upstream = find(&gateway, "desk-0");
     let address = with_home(&mut gateway, &upstream, 1..=99, 2_250);
-    let Consent::Ask { home, ask } = gateway.consent(&upstream, millis(2_300)) else {
+    let Consent::Ask { home, request } = gateway.consent(&upstream, millis(2_300)) else {
         panic!("the gateway did not ask the home");
     };
     expect_that!(home, eq(address));
-    let granted = gateway.take_reply(ask, Some(Permit::Granted), millis(2_302));
+    let granted = gateway.take_reply(request, Some(Permit::Granted), millis(2_302));
     expect_that!(granted, eq(Consent::Granted));
     let denied = Permit::Denied { retry_ms: 400 };
-    let denied = gateway.take_reply(ask, Some(denied), millis(2_310));
+    let denied = gateway.take_reply(request, Some(denied), millis(2_310));
     expect_that!(denied, eq(Consent::Denied));
     let sent = press(&mut gateway, "/desk/a", 2_320, 2_700);
     expect_that!(count(&sent, "desk-0"), eq(0));
     expect_that!(
-        gateway.take_reply(ask, None, millis(2_710)),
+        gateway.take_reply(request, None, millis(2_710)),
         eq(Consent::Denied)
     );
 }
--- a/crates/quota/src/home.rs
+++ b/crates/quota/src/home.rs
@@ -24,7 +24,7 @@
 
 /// Request to a limit's home for the permit to send one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// Correlates the reply.
     pub number: u64,
     /// Upstream that the request is to be sent to.
@@ -43,12 +43,12 @@
     },
 }
 
-/// Reply of a home to an [`Ask`].
+/// Reply of a home to a [`Request`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
-    /// Number of the [`Ask`].
+    /// Number of the [`Request`].
     pub number: u64,
-    /// Upstream of the [`Ask`].
+    /// Upstream of the [`Request`].
     pub upstream: UpstreamTag,
     /// The home's decision.
     pub permit: Permit,
@@ -109,7 +109,7 @@
 
 impl Home {
     /// Records that this gateway sends a heartbeat, and drops limits without valid shares.
-    pub fn sent(&mut self, heartbeat: u64, now: Monotonic) {
+    pub fn record_heartbeat(&mut self, heartbeat: u64, now: Monotonic) {
         self.heartbeats.push_back((heartbeat, now));
         while let Some((_, at)) = self.heartbeats.front()
             && now.saturating_sub(*at) >= LEASE
@@ -122,7 +122,7 @@
 
     /// Records the shares that a gateway lends, of limits whose rates `rate` returns. A loan based on a heartbeat older than
     /// a lease has expired and is ignored.
-    pub fn borrow(
+    pub fn accept_loan(
         &mut self,
         loan: &Loan,
         rate: impl Fn(UpstreamTag) -> Option<Rate>,
--- a/crates/quota/src/loan.rs
+++ b/crates/quota/src/loan.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Not lent: another home may still count the share, or the lender started less than a lease ago.
-    Held,
+    StillLent,
     /// Lent; before, the share was lent to another home or to none.
     Moved,
     /// Lent again to the same home.
@@ -85,7 +85,7 @@
     ) -> Outcome {
         // Loans made before a restart are not recorded, but expire within a lease.
         if now < LEASE {
-            return Outcome::Held;
+            return Outcome::StillLent;
         }
         let until = heartbeat.heard + LEASE;
         let known = self.0.get_mut(&upstream);
@@ -96,7 +96,7 @@
                 return Outcome::Renewed;
             }
             if now < lent.until {
-                return Outcome::Held;
+                return Outcome::StillLent;
             }
         }
         let lent = ActiveLoan {
--- a/crates/quota/tests/all/home.rs
+++ b/crates/quota/tests/all/home.rs
@@ -47,9 +47,9 @@
     for now in (from..until).step_by(10) {
         if now % PERIOD == 0 {
             let heartbeat = now / PERIOD;
-            home.sent(heartbeat, millis(now));
+            home.record_heartbeat(heartbeat, millis(now));
             for lender in 0..lenders {
-                home.borrow(&loan(lender, heartbeat, FLEET), rate, millis(now));
+                home.accept_loan(&loan(lender, heartbeat, FLEET), rate, millis(now));
             }
         }
         let permit = home.permit(UPSTREAM, RATE, millis(now));
@@ -82,8 +82,8 @@
 #[gtest]
 fn shares_lapse_a_lease_after_the_beat_that_they_rest_on() {
     let mut home = Home::default();
-    home.sent(1, millis(1_000));
-    home.borrow(&loan(1, 1, 1), rate, millis(1_500));
+    home.record_heartbeat(1, millis(1_000));
+    home.accept_loan(&loan(1, 1, 1), rate, millis(1_500));
     let lapse = millis(1_000) + LEASE;
     home.permit(UPSTREAM, RATE, lapse.saturating_sub(millis(1)));
     expect_that!(home.shares(UPSTREAM).0, eq(1));
@@ -95,10 +95,10 @@
 #[gtest]
 fn a_loan_that_rests_on_an_old_beat_counts_for_nothing() {
     let mut home = Home::default();
-    home.sent(1, millis(1_000));
+    home.record_heartbeat(1, millis(1_000));
     let resumed = millis(1_000) + LEASE;
-    home.sent(2, resumed);
-    home.borrow(&loan(1, 1, 1), rate, resumed);
+    home.record_heartbeat(2, resumed);
+    home.accept_loan(&loan(1, 1, 1), rate, resumed);
     expect_that!(home.shares(UPSTREAM).0, eq(0));
     let denied = home.permit(UPSTREAM, RATE, resumed + millis(900));
     expect_that!(denied, not(eq(Permit::Granted)));
@@ -109,8 +109,8 @@
 fn a_home_that_was_not_asked_saves_up_no_more_than_a_burst() {
     let mut home = Home::default();
     for now in (0..9_000).step_by(300) {
-        home.sent(now / PERIOD, millis(now));
-        home.borrow(&loan(1, now / PERIOD, 1), rate, millis(now));
+        home.record_heartbeat(now / PERIOD, millis(now));
+        home.accept_loan(&loan(1, now / PERIOD, 1), rate, millis(now));
     }
     let at_once = (0..50).filter(|_| {
         let permit = home.permit(UPSTREAM, RATE, millis(8_900));
@@ -122,8 +122,8 @@
 #[gtest]
 fn who_is_denied_is_told_when_the_next_request_may_go() {
     let mut home = Home::default();
-    home.sent(0, millis(0));
-    home.borrow(&loan(1, 0, 1), rate, millis(0));
+    home.record_heartbeat(0, millis(0));
+    home.accept_loan(&loan(1, 0, 1), rate, millis(0));
     let permit = home.permit(UPSTREAM, RATE, millis(25));
     expect_that!(permit, eq(Permit::Denied { retry_ms: 100 }));
     let permit = home.permit(UPSTREAM, RATE, millis(125));
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -184,7 +184,7 @@
         Ok(Datagram::Crashes(marks)) => crash::merge_marks(shared, &marks),
         Ok(Datagram::Limits(notices)) => limit::merge_notices(shared, &notices, from),
         Ok(Datagram::Loan(loan)) => limit::accept_loan(shared, &loan, from),
-        Ok(Datagram::LimitAsk(ask)) => limit::answer(shared, ask, from),
+        Ok(Datagram::LimitAsk(request)) => limit::answer(shared, request, from),
         Ok(Datagram::LimitReply(reply)) => limit::deliver_reply(shared, reply),
         Err(error) => {
             let cause = error.to_string();
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -11,7 +11,6 @@
 use auburnline_gateway::upstream::Upstream;
 use auburnline_http::Reply;
 use auburnline_quota::home;
-use auburnline_quota::home::Ask;
 use auburnline_quota::home::Permit;
 use auburnline_quota::loan::Loan;
 use auburnline_quota::registry::Notice;
@@ -55,10 +54,10 @@
         let now = self.shared.now();
         let consent = self.shared.gateway().consent(upstream, now);
         let (consent, home) = match consent {
-            Consent::Ask { home, ask } => {
-                let permit = ask_home(&self.shared, home, ask).await;
+            Consent::Ask { home, request } => {
+                let permit = ask_home(&self.shared, home, request).await;
                 let now = self.shared.now();
-                let consent = self.shared.gateway().take_reply(ask, permit, now);
+                let consent = self.shared.gateway().take_reply(request, permit, now);
                 let outcome = match permit {
                     Some(Permit::Granted) => "granted",
                     Some(Permit::Denied { .. }) => "denied",
@@ -92,10 +91,10 @@
 }
 
 /// Asks a limit's home for a permit; returns `None` if it does not reply in time.
-async fn ask_home(shared: &Shared, home: SocketAddr, ask: Ask) -> Option<Permit> {
+async fn ask_home(shared: &Shared, home: SocketAddr, request: home::Request) -> Option<Permit> {
     let asked = shared.now();
-    let reply = shared.register_permit(ask.number);
-    shared.send(&Datagram::LimitAsk(ask), home);
+    let reply = shared.register_permit(request.number);
+    shared.send(&Datagram::LimitAsk(request), home);
     let permit = timeout(REPLY_TIMEOUT, reply).await.ok()?.ok();
     let took = shared.now().saturating_sub(asked);
     histogram!("auburnline_limit_ask_seconds").record(took);
@@ -103,9 +102,9 @@
 }
 
 /// Replies to another gateway's request for a permit.
-pub(crate) fn answer(shared: &Shared, ask: Ask, from: SocketAddr) {
+pub(crate) fn answer(shared: &Shared, request: home::Request, from: SocketAddr) {
     let now = shared.now();
-    let reply = shared.gateway().reply(ask, now);
+    let reply = shared.gateway().reply(request, now);
     let outcome = match reply.permit {
         Permit::Granted => "granted",
         Permit::Denied { .. } => "denied",
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -60,7 +60,7 @@
     pub(crate) straggler_reported: Notify,
     /// Gateways that queried this one for changes, with the time of the latest query.
     subscribers: RefCell<HashMap<SocketAddr, Monotonic>>,
-    /// Requests that wait for a reply from a limit's home, by the number of the [`Ask`](auburnline_quota::home::Ask).
+    /// Requests that wait for a reply from a limit's home, by the number of the [`Request`](auburnline_quota::home::Request).
     permits: RefCell<HashMap<u64, oneshot::Sender<Permit>>>,
     socket: OnceCell<Rc<UdpSocket>>,
 }
