--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -195,8 +195,8 @@
             traffic.has_open_rank |= self.is_open(usage.upstream, now);
             traffic.load.in_flight = traffic.load.in_flight.saturating_add(usage.requests);
             traffic.own += usage.own;
-            traffic.report_age = traffic.report_age.max(usage.told.map(|load| load.age));
-            let pace = usage.told.map_or(0, |load| load.pace);
+            traffic.report_age = traffic.report_age.max(usage.reported.map(|load| load.age));
+            let pace = usage.reported.map_or(0, |load| load.pace);
             traffic.load.slowest = traffic.load.slowest.max(pace);
             if usage.requests > 0 {
                 traffic.load.slowest_busy = traffic.load.slowest_busy.max(pace);
--- a/crates/gateway/src/choice.rs
+++ b/crates/gateway/src/choice.rs
@@ -46,7 +46,7 @@
     pub in_flight: u32,
     /// Age of the leader's report that `in_flight` comes from; none if it is the sum of this
     /// gateway's and its neighbours' counts.
-    pub told: Option<Duration>,
+    pub report_age: Option<Duration>,
     /// Number of upstreams that were compared.
     pub candidates: usize,
     /// Rate limit that the upstream named, in requests per second from all gateways together.
@@ -66,7 +66,7 @@
         rng: &mut impl Rng,
     ) -> Option<Choice> {
         let candidates: Vec<&Member> = self
-            .of(service)
+            .ready_members(service)
             .filter(|member| may_take(&member.upstream))
             .collect();
         let shortest = shortest_mean(&candidates);
@@ -87,7 +87,7 @@
             upstream: Arc::clone(&member.upstream),
             score,
             in_flight: usage.requests,
-            told: usage.told.map(|load| load.age),
+            report_age: usage.reported.map(|load| load.age),
             candidates: candidates.len(),
             limit: None,
         })
@@ -110,7 +110,7 @@
             Preference::EvenLoad => {
                 // A slow rank's part of a pass is longer even before it runs anything, and all
                 // other ranks wait for it.
-                let slowness = usage.told.map_or(1.0, |load| slowness(load.pace));
+                let slowness = usage.reported.map_or(1.0, |load| slowness(load.pace));
                 load * slowness + (slowness - 1.0) * slots + failures
             }
             Preference::ShortestTime => (load + 1.0) * member.slowness(shortest, now) + failures,
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -67,7 +67,7 @@
     Ask {
         /// Address of the home.
         home: SocketAddr,
-        /// Request to send; the reply goes to [`Gateway::take_reply`].
+        /// Request to send; the reply goes to [`Gateway::apply_reply`].
         request: home::Request,
     },
 }
@@ -154,7 +154,7 @@
 
     /// Records what an answer says about its upstream's limit; its request was sent at `sent`.
     /// Returns what changed.
-    pub fn take_limit(
+    pub fn record_limit(
         &mut self,
         upstream: &Arc<Upstream>,
         rate: Option<Rate>,
@@ -257,7 +257,7 @@
     }
 
     /// Returns the limits whose share was lent to another home since the last call.
-    pub fn take_moved(&mut self, now: Monotonic) -> Vec<Limited> {
+    pub fn take_moved_loans(&mut self, now: Monotonic) -> Vec<Limited> {
         let moved = std::mem::take(&mut self.limits.moved);
         let moved = moved.into_iter().filter_map(|(start, home)| {
             let mut starts = self.pool.starts();
@@ -332,7 +332,7 @@
     }
 
     /// Applies the home's reply to a request; none if the home did not reply.
-    pub fn take_reply(
+    pub fn apply_reply(
         &mut self,
         request: home::Request,
         permit: Option<Permit>,
--- a/crates/gateway/src/member.rs
+++ b/crates/gateway/src/member.rs
@@ -78,7 +78,7 @@
     }
 
     /// Marks it as draining.
-    pub(crate) fn leave(&mut self) {
+    pub(crate) fn mark_draining(&mut self) {
         let upstream = Upstream {
             state: State::Draining,
             ..Upstream::clone(&self.upstream)
--- a/crates/gateway/src/moving.rs
+++ b/crates/gateway/src/moving.rs
@@ -29,7 +29,9 @@
         let group = self.group_of(upstream);
         let ranks = self.pool.usages(&plan.service, now);
         let ranks = ranks.filter(|usage| self.group_of(usage.upstream) == group);
-        let paces = ranks.filter_map(|usage| usage.told).map(|load| load.pace);
+        let paces = ranks
+            .filter_map(|usage| usage.reported)
+            .map(|load| load.pace);
         let least = paces.min().unwrap_or(load.pace);
         let slower = slowness(load.pace) - slowness(least);
         engine.base().mul_f64(slower) > longest.mul_f64(MAX_WAIT_FRACTION)
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -97,7 +97,7 @@
     /// Requests in flight from this gateway.
     pub(crate) own: u32,
     /// Load reported by the group's leader; `None` without a recent report.
-    pub(crate) told: Option<report::Load>,
+    pub(crate) reported: Option<report::Load>,
 }
 
 /// Change of the pool, for the log.
@@ -154,12 +154,12 @@
     }
 
     /// Records that an upstream announced its departure in a response, whatever the list says.
-    pub fn leave(&mut self, upstream: &Upstream) -> Option<Change> {
+    pub fn mark_draining(&mut self, upstream: &Upstream) -> Option<Change> {
         self.leaving.record(upstream);
         let known = self.members.get_mut(&upstream.id);
         let member = known.filter(|member| !member.is_other_incarnation(upstream))?;
         let was_ready = member.is_ready();
-        member.leave();
+        member.mark_draining();
         was_ready.then(|| Change::Leaving(Arc::clone(&member.upstream)))
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Records that an upstream is missing from the list; [`Pool::expire`] removes it.
-    pub fn miss(&mut self, id: &str) {
+    pub fn mark_missing(&mut self, id: &str) {
         self.untrusted.remove(id);
         if let Some(member) = self.members.get_mut(id) {
             member.is_missing = true;
@@ -224,7 +224,7 @@
     }
 
     /// Sets the requests that a neighbour has in flight.
-    pub fn set_elsewhere(&mut self, neighbour: u64, counts: Counts, now: Monotonic) {
+    pub fn set_neighbour_counts(&mut self, neighbour: u64, counts: Counts, now: Monotonic) {
         let counts = counts.into_iter().collect();
         self.neighbours.insert(neighbour, (now, counts));
         self.neighbours
@@ -257,11 +257,14 @@
     /// Returns the number of upstreams of a service that accept new requests.
     #[must_use]
     pub fn ready(&self, service: &str) -> usize {
-        self.of(service).count()
+        self.ready_members(service).count()
     }
 
     /// Returns the upstreams of a service that accept new requests.
-    pub(crate) fn of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Member> {
+    pub(crate) fn ready_members<'a>(
+        &'a self,
+        service: &'a str,
+    ) -> impl Iterator<Item = &'a Member> {
         let members = self.members.values();
         members.filter(move |member| {
             let is_asked = *member.upstream.service == *service;
@@ -275,7 +278,8 @@
         service: &'a str,
         now: Monotonic,
     ) -> impl Iterator<Item = Usage<'a>> {
-        self.of(service).map(move |member| self.usage(member, now))
+        self.ready_members(service)
+            .map(move |member| self.usage(member, now))
     }
 
     /// Returns the requests in flight at a service: those of this gateway, and those of its
@@ -293,16 +297,16 @@
     }
 
     pub(crate) fn usage<'a>(&self, member: &'a Member, now: Monotonic) -> Usage<'a> {
-        let told = self.reports.load(member.upstream.address, now);
+        let reported = self.reports.load(member.upstream.address, now);
         let from_neighbours = || self.neighbour_sums.get(&member.tag).copied().unwrap_or(0);
         Usage {
             upstream: &member.upstream,
-            requests: told.map_or_else(
+            requests: reported.map_or_else(
                 || member.in_flight + from_neighbours(),
                 |load| load.requests,
             ),
             own: member.in_flight,
-            told,
+            reported,
         }
     }
 
--- a/crates/gateway/src/upstream/restore.rs
+++ b/crates/gateway/src/upstream/restore.rs
@@ -27,7 +27,7 @@
     }
 
     /// Adds the untrusted entries whose time has passed without their removal from the list.
-    pub fn admit(&mut self, now: Monotonic) -> Vec<Change> {
+    pub fn take_trusted(&mut self, now: Monotonic) -> Vec<Change> {
         let untrusted = self.untrusted.values();
         let due = untrusted.filter(|(_, until)| now >= *until);
         let due: Vec<_> = due.map(|(upstream, _)| upstream.clone()).collect();
--- a/crates/gateway/tests/all/backoff.rs
+++ b/crates/gateway/tests/all/backoff.rs
@@ -125,7 +125,7 @@
     let mut gateway = gateway();
     back_off(&mut gateway, "desk-0", 2_200);
     let before = find(&gateway, "desk-0");
-    gateway.pool.miss("desk-0");
+    gateway.pool.mark_missing("desk-0");
     gateway.pool.expire(false);
     tick(&mut gateway, 2_400);
     gateway.pool.insert(Upstream::clone(&before));
--- a/crates/gateway/tests/all/departure.rs
+++ b/crates/gateway/tests/all/departure.rs
@@ -29,7 +29,7 @@
     let mut gateway = gateway();
     for id in ["desk-0", "a-0"] {
         let leaving = find(&gateway, id);
-        let change = gateway.pool.leave(&leaving);
+        let change = gateway.pool.mark_draining(&leaving);
         expect_that!(change, some(matches_pattern!(Change::Leaving(anything()))));
     }
     let sent = press(&mut gateway, "/desk/a", 2_210, 4_200);
@@ -56,13 +56,13 @@
         if by_list {
             pool.insert(started(1, State::Draining));
         } else {
-            pool.leave(&started(1, State::Ready));
+            pool.mark_draining(&started(1, State::Ready));
         }
         expect_that!(pool.insert(started(1, State::Ready)), none());
         expect_that!(pool.ready("desk"), eq(0));
         pool.replace(vec![started(1, State::Ready)]);
         expect_that!(pool.ready("desk"), eq(0));
-        pool.miss("u");
+        pool.mark_missing("u");
         pool.expire(false);
         pool.insert(started(1, State::Ready));
         expect_that!(pool.ready("desk"), eq(0));
@@ -81,7 +81,7 @@
     let mut pool = Pool::default();
     pool.insert(started(1, State::Ready));
     pool.insert(started(2, State::Ready));
-    expect_that!(pool.leave(&started(1, State::Ready)), none());
+    expect_that!(pool.mark_draining(&started(1, State::Ready)), none());
     expect_that!(pool.ready("desk"), eq(1));
     expect_that!(pool.is_ready(&started(2, State::Ready)), eq(true));
     expect_that!(pool.is_ready(&started(1, State::Ready)), eq(false));
@@ -95,8 +95,8 @@
         let mut pool = Pool::default();
         pool.insert(started(earlier, State::Ready));
         pool.insert(started(later, State::Ready));
-        pool.leave(&started(later, State::Ready));
-        pool.leave(&started(earlier, State::Ready));
+        pool.mark_draining(&started(later, State::Ready));
+        pool.mark_draining(&started(earlier, State::Ready));
         pool.insert(started(later, State::Ready));
         expect_that!(pool.ready("desk"), eq(0));
     }
@@ -111,20 +111,20 @@
     for is_written in [false, true] {
         let mut pool = Pool::default();
         pool.insert(started(1, State::Ready));
-        pool.miss("u");
+        pool.mark_missing("u");
         pool.expire(false);
         pool.restore(vec![started(1, State::Ready)], millis(TRUST_AFTER_MS));
         expect_that!(pool.ready("desk"), eq(0));
         // Another full read, as after the store lost its history.
         pool.replace(vec![started(1, State::Ready)]);
-        expect_that!(pool.admit(millis(TRUST_AFTER_MS - 1)), is_empty());
+        expect_that!(pool.take_trusted(millis(TRUST_AFTER_MS - 1)), is_empty());
         expect_that!(pool.ready("desk"), eq(0));
         if is_written {
             pool.insert(started(1, State::Ready));
             expect_that!(pool.ready("desk"), eq(1));
         } else {
-            pool.miss("u");
-            expect_that!(pool.admit(millis(TRUST_AFTER_MS)), is_empty());
+            pool.mark_missing("u");
+            expect_that!(pool.take_trusted(millis(TRUST_AFTER_MS)), is_empty());
             expect_that!(pool.ready("desk"), eq(0));
         }
     }
@@ -135,10 +135,10 @@
 fn an_entry_that_stays_listed_is_believed_in_the_end() {
     let mut pool = Pool::default();
     pool.insert(started(1, State::Ready));
-    pool.miss("u");
+    pool.mark_missing("u");
     pool.expire(false);
     pool.restore(vec![started(1, State::Ready)], millis(TRUST_AFTER_MS));
-    expect_that!(pool.admit(millis(TRUST_AFTER_MS)), len(eq(1)));
+    expect_that!(pool.take_trusted(millis(TRUST_AFTER_MS)), len(eq(1)));
     expect_that!(pool.ready("desk"), eq(1));
 }
 
--- a/crates/gateway/tests/all/fleet/world.rs
+++ b/crates/gateway/tests/all/fleet/world.rs
@@ -259,7 +259,7 @@
                 let Some((request, upstream)) = node.waiting.remove(&reply.number) else {
                     return;
                 };
-                let consent = gateway.take_reply(request, Some(reply.permit), local);
+                let consent = gateway.apply_reply(request, Some(reply.permit), local);
                 let target = Arc::clone(&self.upstreams[upstream]);
                 let (node, local) = self.at(number, now);
                 if consent == Consent::Granted && node.gateway.accepts_requests(&target, local) {
@@ -316,13 +316,13 @@
         let target = Arc::clone(&self.upstreams[upstream]);
         let (node, local) = self.at(number, now);
         let sent = sent.saturating_sub(node.started);
-        node.gateway.take_limit(&target, rate, sent, local);
+        node.gateway.record_limit(&target, rate, sent, local);
         if let Some(backoff) = backoff {
             node.gateway.back_off(&target, backoff, local);
             node.backoff_at[upstream] = Some(now);
         }
         if is_leaving {
-            node.gateway.pool.leave(&target);
+            node.gateway.pool.mark_draining(&target);
             node.knows_leaving[upstream] = true;
         }
         if rate.is_some() {
--- a/crates/gateway/tests/all/limit.rs
+++ b/crates/gateway/tests/all/limit.rs
@@ -89,7 +89,7 @@
 
 fn name_limit(gateway: &mut Gateway, id: &str, rate: Rate, now: u64) {
     let upstream = find(gateway, id);
-    gateway.take_limit(&upstream, Some(rate), millis(now - 1), millis(now));
+    gateway.record_limit(&upstream, Some(rate), millis(now - 1), millis(now));
 }
 
 /// Sends one request every ten milliseconds for a time; returns when and where each was sent.
@@ -186,7 +186,7 @@
     press(&mut gateway, "/desk/a", 2_400, 4_400);
     for id in ["desk-0", "desk-1"] {
         let upstream = find(&gateway, id);
-        gateway.take_limit(&upstream, None, millis(4_400), millis(4_420));
+        gateway.record_limit(&upstream, None, millis(4_400), millis(4_420));
     }
     let sent = press(&mut gateway, "/desk/a", 4_430, 5_430);
     expect_that!(sent.len(), eq(100));
@@ -304,15 +304,15 @@
         panic!("the gateway did not ask the home");
     };
     expect_that!(home, eq(address));
-    let granted = gateway.take_reply(request, Some(Permit::Granted), millis(2_302));
+    let granted = gateway.apply_reply(request, Some(Permit::Granted), millis(2_302));
     expect_that!(granted, eq(Consent::Granted));
     let denied = Permit::Denied { retry_ms: 400 };
-    let denied = gateway.take_reply(request, Some(denied), millis(2_310));
+    let denied = gateway.apply_reply(request, Some(denied), millis(2_310));
     expect_that!(denied, eq(Consent::Denied));
     let sent = press(&mut gateway, "/desk/a", 2_320, 2_700);
     expect_that!(count(&sent, "desk-0"), eq(0));
     expect_that!(
-        gateway.take_reply(request, None, millis(2_710)),
+        gateway.apply_reply(request, None, millis(2_710)),
         eq(Consent::Denied)
     );
 }
--- a/crates/gateway/tests/all/load.rs
+++ b/crates/gateway/tests/all/load.rs
@@ -133,7 +133,9 @@
             let counts = (0..4)
                 .map(|rank| (tag(&format!("rank-0-{rank}")), 1))
                 .collect();
-            gateway.pool.set_elsewhere(neighbour, counts, millis(now));
+            gateway
+                .pool
+                .set_neighbour_counts(neighbour, counts, millis(now));
         }
         let plan = ask(&mut gateway, "/draft/", Some("key-1"), now).expect("a plan");
         gateway.observe(&plan, &"model".into(), millis(90), millis(now));
--- a/crates/gateway/tests/all/upstream.rs
+++ b/crates/gateway/tests/all/upstream.rs
@@ -51,14 +51,14 @@
 #[gtest]
 fn the_neighbours_load_counts() {
     let mut pool = pool(2);
-    pool.set_elsewhere(1, vec![(tag("u0"), 5)], millis(100));
+    pool.set_neighbour_counts(1, vec![(tag("u0"), 5)], millis(100));
     assert_that!(
         choose(&pool, Preference::EvenLoad, &[], 100),
         some(eq("u1"))
     );
     assert_that!(pool.in_flight("desk"), eq((0, 5)));
     // The counts of a neighbour that stopped sending them are dropped.
-    pool.set_elsewhere(2, Vec::new(), millis(5_000));
+    pool.set_neighbour_counts(2, Vec::new(), millis(5_000));
     assert_that!(pool.in_flight("desk"), eq((0, 0)));
 }
 
@@ -147,12 +147,12 @@
 #[gtest]
 fn entries_that_lapsed_while_the_store_was_away_may_come_back() {
     let mut pool = pool(2);
-    pool.miss("u0");
+    pool.mark_missing("u0");
     assert_that!(pool.expire(true), is_empty());
     assert_that!(pool.ready("desk"), eq(2));
     pool.insert(upstream("u0", "desk", State::Ready));
     assert_that!(pool.expire(false), is_empty());
-    pool.miss("u1");
+    pool.mark_missing("u1");
     assert_that!(pool.expire(false), len(eq(1)));
     assert_that!(pool.ready("desk"), eq(1));
 }
@@ -181,7 +181,7 @@
         assert_that!(pool.ready("desk"), eq(1));
         let chosen = choose(&pool, Preference::EvenLoad, &[], 0);
         assert_that!(chosen, some(eq("new")));
-        pool.miss("old");
+        pool.mark_missing("old");
         assert_that!(pool.expire(false), len(eq(1)));
         assert_that!(pool.ready("desk"), eq(1));
     }
--- a/crates/relay/src/condition.rs
+++ b/crates/relay/src/condition.rs
@@ -52,7 +52,7 @@
             return;
         }
         let mut gateway = self.shared.gateway();
-        let change = gateway.pool.leave(flight.target());
+        let change = gateway.pool.mark_draining(flight.target());
         drop(gateway);
         if change.is_none() {
             return;
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -215,7 +215,9 @@
         log::info!(target: "neighbours", instance = &*news.instance, is_ready = news.is_ready; "heard");
     }
     let neighbour = stable(0, heartbeat.from.instance.as_bytes());
-    gateway.pool.set_elsewhere(neighbour, heartbeat.counts, now);
+    gateway
+        .pool
+        .set_neighbour_counts(neighbour, heartbeat.counts, now);
     let awaits_peers = gateway.awaits_peers(now);
     drop(gateway);
     if awaits_peers {
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -42,7 +42,7 @@
         };
         let now = self.shared.now();
         let mut gateway = self.shared.gateway();
-        let update = gateway.take_limit(flight.target(), rate, flight.began(), now);
+        let update = gateway.record_limit(flight.target(), rate, flight.began(), now);
         drop(gateway);
         if let Some(update) = update {
             log_limit_change(&update, self.id());
@@ -57,7 +57,7 @@
             Consent::Ask { home, request } => {
                 let permit = ask_home(&self.shared, home, request).await;
                 let now = self.shared.now();
-                let consent = self.shared.gateway().take_reply(request, permit, now);
+                let consent = self.shared.gateway().apply_reply(request, permit, now);
                 let outcome = match permit {
                     Some(Permit::Granted) => "granted",
                     Some(Permit::Denied { .. }) => "denied",
@@ -146,7 +146,7 @@
     let now = shared.now();
     let mut gateway = shared.gateway();
     let loans = gateway.loans(now);
-    let moved = gateway.take_moved(now);
+    let moved = gateway.take_moved_loans(now);
     drop(gateway);
     for limited in moved {
         let (upstream, rate) = (&*limited.upstream.id, limited.limit.rate);
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -215,7 +215,7 @@
         let mut gateway = self.gateway();
         let is_doubtful = gateway.knowledge.is_doubtful(now);
         let mut changes = gateway.pool.expire(is_doubtful);
-        changes.extend(gateway.pool.admit(now));
+        changes.extend(gateway.pool.take_trusted(now));
         changes
     }
 
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -256,7 +256,7 @@
                 spread::Change::Upstream(upstream) => {
                     pool_changes.extend(gateway.pool.insert(upstream))
                 }
-                spread::Change::Removed(id) => gateway.pool.miss(&id),
+                spread::Change::Removed(id) => gateway.pool.mark_missing(&id),
                 spread::Change::Configuration => {}
             }
         }
--- a/crates/relay/src/telemetry.rs
+++ b/crates/relay/src/telemetry.rs
@@ -111,7 +111,7 @@
             send = self.sends + 1,
             after:?,
             in_flight = choice.in_flight,
-            told_ms:? = choice.told.map(millis),
+            told_ms:? = choice.report_age.map(millis),
             limit:? = choice.limit,
             score = choice.score,
             candidates = choice.candidates,
