--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -17,14 +17,14 @@
 use crate::allowance::Allowance;
 use crate::allowance::REPORT_INTERVAL;
 use crate::gateway::Gateway;
-use crate::gateway::NO_UPSTREAM_RETURN;
+use crate::gateway::NO_UPSTREAM_RETRY;
+use crate::headroom::Headroom;
+use crate::headroom::Traffic;
 use crate::pace;
 use crate::real;
 use crate::request::Admission;
 use crate::request::Plan;
 use crate::request::Refusal;
-use crate::room::Headroom;
-use crate::room::Traffic;
 use crate::route::Engine;
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamId;
@@ -70,7 +70,7 @@
         }
         if self.pool.ready(&plan.service) == 0 {
             let refusal = Refusal::new(ErrorKind::Unreachable, "no upstream accepts requests");
-            return Admission::Refuse(refusal.with_retry_after(NO_UPSTREAM_RETURN));
+            return Admission::Refuse(refusal.with_retry_after(NO_UPSTREAM_RETRY));
         }
         if let Some(refusal) = self.all_closed(plan, &[], &[], now) {
             return Admission::Refuse(refusal);
--- a/crates/gateway/src/assign.rs
+++ b/crates/gateway/src/assign.rs
@@ -12,7 +12,7 @@
 use crate::choice::Choice;
 use crate::choice::Preference;
 use crate::gateway::Gateway;
-use crate::gateway::NO_UPSTREAM_RETURN;
+use crate::gateway::NO_UPSTREAM_RETRY;
 use crate::request::Plan;
 use crate::request::Refusal;
 use crate::upstream::Upstream;
@@ -92,7 +92,7 @@
                 return Err(refusal);
             }
             let refusal = Refusal::new(ErrorKind::Unreachable, "no upstream is left");
-            return Err(refusal.with_retry_after(NO_UPSTREAM_RETURN));
+            return Err(refusal.with_retry_after(NO_UPSTREAM_RETRY));
         };
         choice.limit = self.limit(&choice.upstream, now).map(|limit| limit.rate);
         Ok(choice)
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -32,10 +32,10 @@
 use crate::request::Plan;
 use crate::request::Refusal;
 use crate::request::Request;
+use crate::retry_budget;
 use crate::route::Route;
 use crate::route::ServiceId;
 use crate::route::Table;
-use crate::share::shares;
 use crate::spread;
 use crate::spread::FullRead;
 use crate::spread::Need;
@@ -48,7 +48,7 @@
 use crate::version::Lag;
 
 /// Retry time when no upstream accepts work: a group forms again within about a second.
-pub(crate) const NO_UPSTREAM_RETURN: Duration = Duration::from_millis(800);
+pub(crate) const NO_UPSTREAM_RETRY: Duration = Duration::from_millis(800);
 /// Retry time when this gateway's configuration is missing or too old: the caller finds another
 /// gateway.
 const NOT_READY_RETRY: Duration = Duration::from_millis(100);
@@ -133,7 +133,7 @@
             allowances: HashMap::new(),
             all_unavailable_at: HashMap::new(),
             groups: Groups::default(),
-            budget: Budget::new(shares(&bounds, None)),
+            budget: Budget::new(retry_budget::settings(&bounds, None)),
             rng: ChaCha8Rng::seed_from_u64(seed),
             pool: Pool::default(),
             roster,
@@ -202,7 +202,8 @@
     pub fn tick(&mut self, now: Monotonic) {
         let is_settled = now > crate::neighbour::NEWS_TIMEOUT;
         let fleet = is_settled.then_some(self.roster.peak_members());
-        self.budget.resize(shares(&self.bounds, fleet));
+        self.budget
+            .resize(retry_budget::settings(&self.bounds, fleet));
         self.budget.tick(now);
         self.backoffs.forget(now);
     }
--- a/crates/gateway/src/share.rs
+++ b/crates/gateway/src/retry_budget.rs
@@ -20,7 +20,7 @@
 
 /// Returns the settings of this gateway's share of the fleet's retry budget; without slack while
 /// the fleet's size is unknown.
-pub(crate) fn shares(bounds: &Bounds, fleet: Option<usize>) -> budget::Settings {
+pub(crate) fn settings(bounds: &Bounds, fleet: Option<usize>) -> budget::Settings {
     let slack = fleet.map_or(0.0, |fleet| {
         let fleet = u32::try_from(fleet).unwrap_or(u32::MAX);
         bounds.retry_slack / f64::from(fleet.max(1))
