--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -167,7 +167,7 @@
         // After a loss of all power, ranks stall before they give up on the missing ones, and only
         // then form a group. A group that is unavailable for longer has lost a rank, and when that
         // rank returns is unknown.
-        let reform = self.bounds.stall + engine.form;
+        let reform = self.bounds.stall + engine.form_time;
         let usages = self.pool.usages(&plan.service, now);
         let groups = usages.map(|usage| self.group_of(usage.upstream));
         let unavailable_since = self
--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/pace.rs
@@ -191,5 +191,5 @@
 
 /// Returns the seconds that one request adds to a pass if the work is spread evenly over the ranks.
 fn slope(engine: &Engine, ranks: u32) -> f64 {
-    engine.writing().as_secs_f64() / f64::from(ranks.max(1))
+    engine.decode_time().as_secs_f64() / f64::from(ranks.max(1))
 }
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -96,15 +96,15 @@
     /// Time that 1,000 tokens of context add to a step.
     pub per_context: Duration,
     /// Prefill rate, in prompt tokens per second.
-    pub read_rate: f64,
+    pub prefill_rate: f64,
     /// Fraction of the work per token that is done by experts.
     pub expert_part: f64,
     /// Mean prompt length, in tokens.
-    pub usual_prompt: f64,
+    pub mean_prompt_tokens: f64,
     /// Mean answer length, in tokens.
-    pub usual_answer: f64,
+    pub mean_answer_tokens: f64,
     /// Time that a group takes to form again.
-    pub form: Duration,
+    pub form_time: Duration,
     /// Layout of the model's experts; `None` if it has none.
     pub shape: Option<Shape>,
 }
@@ -119,13 +119,13 @@
     /// Returns the number of passes that decode an answer of mean length; at least 1.
     #[must_use]
     pub fn passes(&self) -> f64 {
-        (self.usual_answer / f64::from(self.steps.max(1))).max(1.0)
+        (self.mean_answer_tokens / f64::from(self.steps.max(1))).max(1.0)
     }
 
     /// Returns the time that decoding a request of mean length adds to a pass of its rank.
     #[must_use]
-    pub fn writing(&self) -> Duration {
-        let context = (self.usual_prompt + self.usual_answer / 2.0) / 1_000.0;
+    pub fn decode_time(&self) -> Duration {
+        let context = (self.mean_prompt_tokens + self.mean_answer_tokens / 2.0) / 1_000.0;
         let request = self.per_request + self.per_context.mul_f64(context);
         request * self.steps
     }
@@ -133,7 +133,7 @@
     /// Returns the prefill time of a prompt of mean length, averaged over its request's passes.
     #[must_use]
     pub fn prefill_time(&self) -> Duration {
-        let prompt = self.usual_prompt / self.read_rate.max(1.0);
+        let prompt = self.mean_prompt_tokens / self.prefill_rate.max(1.0);
         Duration::try_from_secs_f64(prompt / self.passes()).unwrap_or_default()
     }
 
@@ -143,7 +143,7 @@
     pub fn cost(&self, longest_pause: Duration) -> Cost {
         Cost {
             base: self.base(),
-            request: self.writing() + self.prefill_time(),
+            request: self.decode_time() + self.prefill_time(),
             expert_part: self.expert_part,
             longest_pause,
         }
--- a/crates/gateway/tests/all/gateway.rs
+++ b/crates/gateway/tests/all/gateway.rs
@@ -259,7 +259,7 @@
         .expect("an upstream");
     gateway.refused(&plan, &choice.upstream.id, &group, millis(1_010));
     let refusal = gateway.give_up(&plan, "no send succeeded", millis(1_010));
-    assert_that!(refusal.retry_after, some(ge(ENGINE.form * 2)));
+    assert_that!(refusal.retry_after, some(ge(ENGINE.form_time * 2)));
 }
 
 /// Guards against requests that wait for a group that has been closed for seconds because the group
--- a/crates/gateway/tests/all/support.rs
+++ b/crates/gateway/tests/all/support.rs
@@ -26,11 +26,11 @@
     step: Duration::from_micros(5_850),
     per_request: Duration::from_micros(355),
     per_context: Duration::from_micros(36),
-    read_rate: 61_200.0,
+    prefill_rate: 61_200.0,
     expert_part: 0.85,
-    usual_prompt: 835.0,
-    usual_answer: 139.0,
-    form: Duration::from_millis(600),
+    mean_prompt_tokens: 835.0,
+    mean_answer_tokens: 139.0,
+    form_time: Duration::from_millis(600),
     shape: None,
 };
 
