--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -177,9 +177,9 @@
     pub name: WorkspaceId,
 }
 
-/// Content of one version of the configuration, from which a [`Table`] is built.
+/// One version of the configuration, from which a [`Table`] is built.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Content {
+pub struct Configuration {
     /// Version; a table is only replaced by one of a newer version.
     pub version: Version,
     /// Routes; the last one wins where several have the same host and prefix.
@@ -205,25 +205,25 @@
 impl Table {
     /// Indexes one version of the configuration.
     #[must_use]
-    pub fn new(content: Content) -> Table {
+    pub fn new(configuration: Configuration) -> Table {
         let mut routes: HashMap<String, HashMap<String, Arc<Route>>> = HashMap::new();
-        for route in content.routes {
+        for route in configuration.routes {
             let host = routes.entry(route.host.to_ascii_lowercase()).or_default();
             host.insert(route.prefix.clone(), Arc::new(route));
         }
-        let services = content.services.into_iter();
+        let services = configuration.services.into_iter();
         let services = services.map(|service| (Arc::clone(&service.name), Arc::new(service)));
         let mut keys = HashMap::new();
-        for (workspace, held) in content.workspaces {
+        for (workspace, held) in configuration.workspaces {
             let workspace = Arc::new(workspace);
             keys.extend(held.into_iter().map(|key| (key, Arc::clone(&workspace))));
         }
         Table {
-            version: content.version,
+            version: configuration.version,
             routes,
             services: services.collect(),
             keys,
-            limits: content.limits,
+            limits: configuration.limits,
         }
     }
 
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -23,7 +23,7 @@
 use serde::Serialize;
 
 use crate::message::Entry;
-use crate::route::Content;
+use crate::route::Configuration;
 use crate::route::Version;
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamId;
@@ -84,8 +84,8 @@
 pub struct Update {
     /// Revision of the store at which it was written.
     pub revision: Revision,
-    /// Content of the configuration.
-    pub content: Content,
+    /// The configuration.
+    pub configuration: Configuration,
 }
 
 /// Changes that a reader sends, in reply to a [`Question`] or unsolicited.
@@ -206,7 +206,7 @@
     /// Keeps a configuration to answer queries. The order is by version first: versions only
     /// increase, whereas a restored store may contain an older one at a later revision.
     pub fn keep_configuration(&mut self, update: Update) {
-        let order = |update: &Update| (update.content.version, update.revision);
+        let order = |update: &Update| (update.configuration.version, update.revision);
         let is_newer = self
             .kept_configuration
             .as_ref()
@@ -230,7 +230,7 @@
     #[must_use]
     pub fn configuration_newer_than(&self, version: Option<Version>) -> Option<&Update> {
         let kept = self.kept_configuration.as_ref();
-        kept.filter(|kept| Some(kept.content.version) > version)
+        kept.filter(|kept| Some(kept.configuration.version) > version)
     }
 
     /// Returns whether a configuration was announced that has not been read yet.
--- a/crates/gateway/tests/all/restore/mod.rs
+++ b/crates/gateway/tests/all/restore/mod.rs
@@ -21,7 +21,7 @@
 use rand::Rng as _;
 use rand_chacha::ChaCha8Rng;
 
-use crate::support::content;
+use crate::support::configuration;
 use crate::support::millis;
 
 const STEP: Duration = Duration::from_millis(100);
@@ -122,12 +122,12 @@
 }
 
 fn apply_configuration(gateway: &mut Gateway, version: Version, written: Revision) {
-    let content = content(version, Vec::new());
+    let configuration = configuration(version, Vec::new());
     gateway.spread.keep_configuration(Update {
         revision: written,
-        content: content.clone(),
+        configuration: configuration.clone(),
     });
-    gateway.set_table(Table::new(content));
+    gateway.set_table(Table::new(configuration));
     gateway.spread.record_configuration(written);
 }
 
--- a/crates/gateway/tests/all/restore/world.rs
+++ b/crates/gateway/tests/all/restore/world.rs
@@ -160,7 +160,7 @@
                 update.map(Message::Configuration)
             }
             Message::Configuration(update) => {
-                apply_configuration(gateway, update.content.version, update.revision);
+                apply_configuration(gateway, update.configuration.version, update.revision);
                 None
             }
         };
--- a/crates/gateway/tests/all/route.rs
+++ b/crates/gateway/tests/all/route.rs
@@ -4,7 +4,7 @@
 use auburnline_gateway::route::Table;
 use googletest::prelude::*;
 
-use crate::support::content;
+use crate::support::configuration;
 use crate::support::route;
 use crate::support::table;
 
@@ -50,7 +50,7 @@
         route("/", "desk", Kind::Safe),
         route("/a/", "desk", Kind::Safe),
     ];
-    let table = Table::new(content(1, routes));
+    let table = Table::new(configuration(1, routes));
     let found = table.route("desk.example", "/b/c").expect("a route");
     assert_that!(found.prefix, eq("/"));
 }
--- a/crates/gateway/tests/all/spread.rs
+++ b/crates/gateway/tests/all/spread.rs
@@ -9,7 +9,7 @@
 use auburnline_gateway::upstream::State;
 use googletest::prelude::*;
 
-use crate::support::content;
+use crate::support::configuration;
 use crate::support::millis;
 use crate::support::revision as at;
 use crate::support::upstream;
@@ -101,7 +101,7 @@
 fn update(revision: u64) -> Update {
     Update {
         revision: at(revision),
-        content: content(revision, Vec::new()),
+        configuration: configuration(revision, Vec::new()),
     }
 }
 
@@ -220,7 +220,7 @@
     reader.take(vec![(restored(11), Change::Configuration)], restored(11));
     let newer = Update {
         revision: restored(11),
-        content: content(91, Vec::new()),
+        configuration: configuration(91, Vec::new()),
     };
     reader.keep_configuration(newer.clone());
     let question = asker.question(millis(1_000)).expect("a question");
@@ -264,7 +264,7 @@
     spread.note_generation(1);
     spread.keep_configuration(Update {
         revision: restored(5),
-        content: content(15, Vec::new()),
+        configuration: configuration(15, Vec::new()),
     });
     let mut late = Spread::default();
     late.record_full_read(at(4), at(4));
--- a/crates/gateway/tests/all/support.rs
+++ b/crates/gateway/tests/all/support.rs
@@ -6,7 +6,7 @@
 
 use auburnline_gateway::message::Entry;
 use auburnline_gateway::message::Heartbeat;
-use auburnline_gateway::route::Content;
+use auburnline_gateway::route::Configuration;
 use auburnline_gateway::route::Engine;
 use auburnline_gateway::route::Kind;
 use auburnline_gateway::route::Limits;
@@ -56,7 +56,7 @@
     }
 }
 
-pub(crate) fn content(version: u64, routes: Vec<Route>) -> Content {
+pub(crate) fn configuration(version: u64, routes: Vec<Route>) -> Configuration {
     let service = |name: &str, engine| Service {
         name: name.into(),
         engine,
@@ -64,7 +64,7 @@
     let workspace = Workspace {
         name: "valley".into(),
     };
-    Content {
+    Configuration {
         version,
         routes,
         services: vec![service("model", Some(ENGINE)), service("desk", None)],
@@ -84,7 +84,7 @@
         route("/desk/", "desk", Kind::Unsafe),
         route("/desk/cover/", "desk", Kind::Safe),
     ];
-    Table::new(content(version, routes))
+    Table::new(configuration(version, routes))
 }
 
 pub(crate) fn upstream(id: &str, service: &str, state: State) -> Upstream {
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -5,7 +5,7 @@
 
 use auburnline_core::time::Monotonic;
 use auburnline_gateway::knowledge;
-use auburnline_gateway::route::Content;
+use auburnline_gateway::route::Configuration;
 use auburnline_gateway::route::Table;
 use auburnline_gateway::spread;
 use auburnline_gateway::spread::Answer;
@@ -43,7 +43,7 @@
     /// An upstream's entry was removed.
     Missing(UpstreamId),
     /// A configuration was written; `None` if it cannot be decoded.
-    Configuration(Option<Content>),
+    Configuration(Option<Configuration>),
 }
 
 /// Snapshot of the published state.
@@ -54,7 +54,7 @@
     /// All upstreams that could be decoded.
     pub upstreams: Vec<Upstream>,
     /// Configuration with the revision at which it was written; `None` if there is none or it cannot be decoded.
-    pub configuration: Option<(Revision, Content)>,
+    pub configuration: Option<(Revision, Configuration)>,
 }
 
 /// Interface through which a source delivers what it reads.
@@ -91,8 +91,8 @@
             .configuration
             .as_ref()
             .map_or_else(Revision::default, |(revision, _)| *revision);
-        if let Some((revision, content)) = all.configuration {
-            self.apply_configuration(revision, content);
+        if let Some((revision, configuration)) = all.configuration {
+            self.apply_configuration(revision, configuration);
         }
         self.set_generation(all.revision.generation);
         let now = self.now();
@@ -107,9 +107,9 @@
     }
 
     /// Applies a configuration written at `revision`; `None` if it could not be decoded.
-    pub fn configuration(&self, revision: Revision, content: Option<Content>) {
-        if let Some(content) = content {
-            self.apply_configuration(revision, content);
+    pub fn configuration(&self, revision: Revision, configuration: Option<Configuration>) {
+        if let Some(configuration) = configuration {
+            self.apply_configuration(revision, configuration);
         }
         self.0.gateway().spread.record_configuration(revision);
     }
@@ -117,7 +117,7 @@
     /// Applies a configuration received from another gateway.
     pub(crate) fn apply_relayed(&self, update: Update) {
         metrics::counter!("auburnline_configurations_told_total").increment(1);
-        self.configuration(update.revision, Some(update.content));
+        self.configuration(update.revision, Some(update.configuration));
     }
 
     /// Applies all changes up to `until`, which were requested at `asked`, and sends them on to other gateways.
@@ -129,8 +129,8 @@
             let change = match change {
                 Change::Upstream(upstream) => spread::Change::Upstream(upstream),
                 Change::Missing(id) => spread::Change::Removed(id),
-                Change::Configuration(content) => {
-                    self.configuration(revision, content);
+                Change::Configuration(configuration) => {
+                    self.configuration(revision, configuration);
                     spread::Change::Configuration
                 }
             };
@@ -232,13 +232,14 @@
     }
 
     /// Puts a configuration in force if its version is newer, and keeps it for gateways that request it.
-    fn apply_configuration(&self, revision: Revision, content: Content) {
-        let table = Table::new(content.clone());
+    fn apply_configuration(&self, revision: Revision, configuration: Configuration) {
+        let table = Table::new(configuration.clone());
         let version = table.version();
         let mut gateway = self.0.gateway();
-        gateway
-            .spread
-            .keep_configuration(Update { revision, content });
+        gateway.spread.keep_configuration(Update {
+            revision,
+            configuration,
+        });
         let before = gateway.version();
         let is_newer = gateway.set_table(table);
         drop(gateway);
