--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -31,7 +31,7 @@
 
 /// Values for the head of a request to an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct Onward<'a> {
+pub struct Outbound<'a> {
     /// Id of the upstream that may execute the request; any other one refuses it.
     pub upstream: &'a str,
     /// Time left until the request's deadline.
@@ -44,13 +44,13 @@
 
 /// How the head of a response relates to the request that was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Classification {
     /// A response to this request.
     Answer,
     /// The upstream states that it did not execute the request.
     NotRun,
     /// Not a response to this request, or one that lacks what is needed to pass it on.
-    Foreign,
+    Unrelated,
 }
 
 /// Rate limit carried by the head of a response.
@@ -77,7 +77,7 @@
 
 /// A discovery request: a caller asks which gateways to use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Question {
+pub struct DiscoveryRequest {
     /// Failure domain of the caller, if it names one.
     pub failure_domain: Option<String>,
 }
@@ -92,10 +92,10 @@
     fn call(&self, uri: &Uri, headers: &HeaderMap) -> Result<Call, Kind>;
 
     /// Rewrites the end-to-end headers of a caller's request for an upstream.
-    fn onward(&self, headers: &mut HeaderMap, onward: &Onward<'_>);
+    fn outbound(&self, headers: &mut HeaderMap, outbound: &Outbound<'_>);
 
     /// Classifies the head of a response to the attempt `id`.
-    fn verdict(&self, status: http::StatusCode, headers: &HeaderMap, id: &str) -> Verdict;
+    fn classify(&self, status: http::StatusCode, headers: &HeaderMap, id: &str) -> Classification;
 
     /// Decodes the rate limit from the head of a response.
     fn limit(&self, headers: &HeaderMap) -> Limit;
@@ -107,13 +107,13 @@
     fn is_leaving(&self, headers: &HeaderMap) -> bool;
 
     /// Adds the platform's headers to a response that the gateway generates itself.
-    fn own_answer(&self, headers: &mut HeaderMap, id: &str, retry_after: Option<Duration>);
+    fn generated_response(&self, headers: &mut HeaderMap, id: &str, retry_after: Option<Duration>);
 
     /// Decodes a discovery request; `None` if `uri` is for something else.
-    fn question(&self, uri: &Uri) -> Option<Question>;
+    fn discovery_request(&self, uri: &Uri) -> Option<DiscoveryRequest>;
 
     /// Encodes the response to a discovery request: the gateways to use, and how long the caller may cache them.
-    fn offer(&self, addresses: &[SocketAddr], lifetime: Duration) -> Bytes;
+    fn discovery_response(&self, addresses: &[SocketAddr], lifetime: Duration) -> Bytes;
 
     /// Returns the path of the platform's readiness probe.
     fn ready_path(&self) -> &'static str;
--- a/crates/relay/src/endpoints.rs
+++ b/crates/relay/src/endpoints.rs
@@ -77,8 +77,8 @@
             let is_ready = self.shared.gateway().roster.is_ready();
             return respond(ready_status(is_ready), "text/plain", Bytes::new());
         }
-        match dialect.question(uri) {
-            Some(question) => self.offer(question.failure_domain.as_deref()),
+        match dialect.discovery_request(uri) {
+            Some(request) => self.offer(request.failure_domain.as_deref()),
             None => respond(StatusCode::NOT_FOUND, "text/plain", Bytes::new()),
         }
     }
@@ -92,7 +92,7 @@
             return respond(StatusCode::SERVICE_UNAVAILABLE, "text/plain", Bytes::new());
         }
         let lifetime = DISCOVERY_LIFETIME.min(self.max_lifetime);
-        let body = self.shared.dialect.offer(&addresses, lifetime);
+        let body = self.shared.dialect.discovery_response(&addresses, lifetime);
         respond(StatusCode::OK, "application/json", body)
     }
 }
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -31,8 +31,8 @@
 
 use crate::answer;
 use crate::dialect::Call;
-use crate::dialect::Onward;
-use crate::dialect::Verdict;
+use crate::dialect::Classification;
+use crate::dialect::Outbound;
 use crate::flight::Flight;
 use crate::head;
 use crate::head::Body;
@@ -268,13 +268,13 @@
         let uri = uri.map_err(|report| *report.current_context())?;
         let mut headers = self.arrival.headers.clone();
         let workspace = self.plan.workspace.as_ref();
-        let onward = Onward {
+        let outbound = Outbound {
             upstream,
             left: self.time_left(),
             workspace: workspace.map(|workspace| &*workspace.name),
             after,
         };
-        self.shared.dialect.onward(&mut headers, &onward);
+        self.shared.dialect.outbound(&mut headers, &outbound);
         let mut request = Request::new(self.arrival.body.clone().into());
         *request.method_mut() = self.arrival.method.clone();
         *request.uri_mut() = uri;
@@ -285,14 +285,14 @@
     async fn began(&mut self, reply: Reply, mut flight: Flight) -> Sent {
         self.record_condition(&reply, &flight);
         let dialect = &self.shared.dialect;
-        match dialect.verdict(reply.status, &reply.headers, self.id()) {
-            Verdict::Answer => {
+        match dialect.classify(reply.status, &reply.headers, self.id()) {
+            Classification::Answer => {
                 self.shared.gateway().groups.mark_available(flight.group());
                 self.sends += 1;
                 self.may_have_run = true;
                 Sent::Began(reply, flight)
             }
-            Verdict::NotRun => {
+            Classification::NotRun => {
                 self.sends += 1;
                 flight.refused();
                 self.log_failure("refused by the upstream without executing it", &flight);
@@ -304,7 +304,7 @@
                     may_retry: self.may_retry(self.sends),
                 }
             }
-            Verdict::Foreign => {
+            Classification::Unrelated => {
                 flight.failed();
                 self.failed(Failure::Malformed, &flight).await
             }
--- a/crates/relay/src/head.rs
+++ b/crates/relay/src/head.rs
@@ -89,6 +89,6 @@
     let status = StatusCode::from_u16(kind.row().status);
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut headers = HeaderMap::new();
-    dialect.own_answer(&mut headers, id, retry_after);
+    dialect.generated_response(&mut headers, id, retry_after);
     whole(status, headers, Bytes::from(kind.name()))
 }
