--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -37,7 +37,7 @@
 pub use dialect::Outbound;
 pub use run::run;
 pub use settings::Settings;
-pub use source::All;
 pub use source::Change;
 pub use source::Feed;
+pub use source::Snapshot;
 pub use source::Source;
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -48,7 +48,7 @@
 
 /// Snapshot of the published state.
 #[derive(Debug)]
-pub struct All {
+pub struct Snapshot {
     /// Revision up to which the snapshot is complete.
     pub revision: Revision,
     /// All upstreams that could be decoded.
@@ -86,18 +86,18 @@
     }
 
     /// Applies a snapshot that was requested at `asked`.
-    pub fn all(&self, all: All, asked: Monotonic) {
-        let written = all
+    pub fn apply_snapshot(&self, snapshot: Snapshot, asked: Monotonic) {
+        let written = snapshot
             .configuration
             .as_ref()
             .map_or_else(Revision::default, |(revision, _)| *revision);
-        if let Some((revision, configuration)) = all.configuration {
+        if let Some((revision, configuration)) = snapshot.configuration {
             self.apply_configuration(revision, configuration);
         }
-        self.set_generation(all.revision.generation);
+        self.set_generation(snapshot.revision.generation);
         let now = self.now();
         let mut gateway = self.0.gateway();
-        let changes = gateway.apply_full_read(all.upstreams, all.revision, written, now);
+        let changes = gateway.apply_full_read(snapshot.upstreams, snapshot.revision, written, now);
         drop(gateway);
         self.0.upstreams_changed(changes);
         self.record_answer(asked);
@@ -107,7 +107,11 @@
     }
 
     /// Applies a configuration written at `revision`; `None` if it could not be decoded.
-    pub fn configuration(&self, revision: Revision, configuration: Option<Configuration>) {
+    pub fn apply_configuration_change(
+        &self,
+        revision: Revision,
+        configuration: Option<Configuration>,
+    ) {
         if let Some(configuration) = configuration {
             self.apply_configuration(revision, configuration);
         }
@@ -117,11 +121,16 @@
     /// Applies a configuration received from another gateway.
     pub(crate) fn apply_relayed(&self, update: Update) {
         metrics::counter!("auburnline_configurations_told_total").increment(1);
-        self.configuration(update.revision, Some(update.configuration));
+        self.apply_configuration_change(update.revision, Some(update.configuration));
     }
 
     /// Applies all changes up to `until`, which were requested at `asked`, and sends them on to other gateways.
-    pub fn changes(&self, changes: Vec<(Revision, Change)>, until: Revision, asked: Monotonic) {
+    pub fn apply_changes(
+        &self,
+        changes: Vec<(Revision, Change)>,
+        until: Revision,
+        asked: Monotonic,
+    ) {
         self.set_generation(until.generation);
         let since = self.0.gateway().spread.revision().unwrap_or_default();
         let mut published = Vec::with_capacity(changes.len());
@@ -130,7 +139,7 @@
                 Change::Upstream(upstream) => spread::Change::Upstream(upstream),
                 Change::Missing(id) => spread::Change::Removed(id),
                 Change::Configuration(configuration) => {
-                    self.configuration(revision, configuration);
+                    self.apply_configuration_change(revision, configuration);
                     spread::Change::Configuration
                 }
             };
