--- a/crates/gateway/src/knowledge.rs
+++ b/crates/gateway/src/freshness.rs
@@ -21,7 +21,7 @@
 
 /// Age of the published state as known here, and whether the store answers.
 #[derive(Clone, Copy, Debug)]
-pub struct Knowledge {
+pub struct Freshness {
     max_age: Duration,
     current_at: Option<Monotonic>,
     /// Whether the last request to the store failed.
@@ -40,11 +40,11 @@
     Lost,
 }
 
-impl Knowledge {
+impl Freshness {
     /// Returns the state before anything is known, with the given revocation bound.
     #[must_use]
-    pub const fn new(revocation: Duration) -> Knowledge {
-        Knowledge {
+    pub const fn new(revocation: Duration) -> Freshness {
+        Freshness {
             max_age: revocation.saturating_sub(REVOCATION_MARGIN),
             current_at: None,
             is_failing: false,
@@ -58,7 +58,7 @@
     }
 
     /// Records an answer to a request that was sent at `asked`.
-    pub fn confirm(&mut self, asked: Monotonic, now: Monotonic) -> Change {
+    pub fn record_success(&mut self, asked: Monotonic, now: Monotonic) -> Change {
         self.current_at = self.current_at.max(Some(asked));
         if !self.is_failing {
             return Change::None;
@@ -79,7 +79,7 @@
 
     /// Records that the store was restored from a backup, so that entries may be missing until
     /// their upstreams write them again.
-    pub const fn restored(&mut self, now: Monotonic) {
+    pub const fn record_restore(&mut self, now: Monotonic) {
         self.recovered_at = Some(now);
     }
 
@@ -98,7 +98,7 @@
     /// Returns whether the store is unavailable or recently was, so that a missing entry doesn't
     /// mean that its upstream is gone.
     #[must_use]
-    pub fn is_doubtful(&self, now: Monotonic) -> bool {
+    pub fn may_lack_entries(&self, now: Monotonic) -> bool {
         let just_recovered = |at| now.saturating_sub(at) < RECOVERY_GRACE;
         self.is_failing || self.recovered_at.is_some_and(just_recovered)
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -23,8 +23,8 @@
 
 use crate::allowance::Allowance;
 use crate::backoff::Backoffs;
+use crate::freshness::Freshness;
 use crate::group::Groups;
-use crate::knowledge::Knowledge;
 use crate::limit::Limits;
 use crate::neighbour::Roster;
 use crate::pace::Group;
@@ -104,7 +104,7 @@
     /// Which upstreams run in lock-step, and which of these groups serve.
     pub groups: Groups,
     /// Age of the known state of the store.
-    pub knowledge: Knowledge,
+    pub freshness: Freshness,
     /// How far this gateway's configuration may be behind those of others.
     pub(crate) lag: Lag,
     /// How far the store has been read, and what is passed on to other gateways.
@@ -137,7 +137,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             pool: Pool::default(),
             roster,
-            knowledge: Knowledge::new(bounds.revocation),
+            freshness: Freshness::new(bounds.revocation),
             lag: Lag::default(),
             spread: Spread::default(),
             quarantine: Quarantine::default(),
@@ -149,7 +149,7 @@
 
     /// Replaces the operators' bounds.
     pub fn set_bounds(&mut self, bounds: Bounds) {
-        self.knowledge.set_bound(bounds.revocation);
+        self.freshness.set_bound(bounds.revocation);
         self.bounds = bounds;
     }
 
@@ -178,7 +178,7 @@
         match self.spread.record_full_read(revision, configuration) {
             FullRead::Complete => self.pool.replace(upstreams),
             FullRead::Restored => {
-                self.knowledge.restored(now);
+                self.freshness.record_restore(now);
                 let until = now + self.bounds.heartbeat * EXPIRY_HEARTBEATS;
                 self.pool.restore(upstreams, until)
             }
@@ -212,13 +212,13 @@
     /// serve.
     #[must_use]
     pub fn can_serve(&self, now: Monotonic) -> bool {
-        self.table.is_some() && self.knowledge.is_fresh(now)
+        self.table.is_some() && self.freshness.is_fresh(now)
     }
 
     /// Returns what this gateway has to read from the store now.
     pub fn need(&mut self, now: Monotonic) -> Need {
         let (_, is_reader) = self.roster.readers(now);
-        let is_alone = spread::must_read_itself(self.knowledge.age(now));
+        let is_alone = spread::must_read_itself(self.freshness.age(now));
         self.spread.need(is_reader || is_alone, now)
     }
 
@@ -233,8 +233,8 @@
             let refusal = Refusal::new(ErrorKind::NotReady, "no configuration");
             return Err(refusal.with_retry_after(NOT_READY_RETRY));
         };
-        let age = self.knowledge.age(now).unwrap_or(Duration::MAX);
-        let is_fresh = self.knowledge.is_fresh(now);
+        let age = self.freshness.age(now).unwrap_or(Duration::MAX);
+        let is_fresh = self.freshness.is_fresh(now);
         let stale = Refusal::new(ErrorKind::NotReady, "configuration may be outdated");
         let stale = stale.with_retry_after(NOT_READY_RETRY);
         let Some(route) = table.route(request.host, request.path) else {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -16,7 +16,7 @@
 //! - [`quarantine`]: which requests crash the upstreams that run them
 //! - [`limit`]: the rate limits that upstreams announce
 //! - `backoff`: which upstreams have asked for backoff
-//! - [`knowledge`]: how old the known state may be
+//! - [`freshness`]: how old the known state may be
 //! - [`spread`]: which gateways read the store on behalf of others
 //! - `version`: whether another gateway has a newer configuration
 //! - [`event`]: splitting streams into whole events
@@ -32,10 +32,10 @@
 pub mod choice;
 mod departure;
 pub mod event;
+pub mod freshness;
 pub mod gateway;
 pub mod group;
 mod headroom;
-pub mod knowledge;
 pub mod limit;
 mod member;
 pub mod message;
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -201,10 +201,10 @@
         changes
     }
 
-    /// Removes missing upstreams, unless `is_doubtful`: the store was unavailable, and entries may
-    /// be written again.
-    pub fn expire(&mut self, is_doubtful: bool) -> Vec<Change> {
-        if is_doubtful {
+    /// Removes missing upstreams, unless `may_lack_entries`: the store was unavailable, and entries
+    /// may be written again.
+    pub fn expire(&mut self, may_lack_entries: bool) -> Vec<Change> {
+        if may_lack_entries {
             return Vec::new();
         }
         let mut removed = Vec::new();
--- a/crates/gateway/src/version.rs
+++ b/crates/gateway/src/version.rs
@@ -14,8 +14,8 @@
 use auburnline_core::time::Monotonic;
 use rand::Rng;
 
+use crate::freshness;
 use crate::gateway::Gateway;
-use crate::knowledge;
 use crate::message::Heartbeat;
 use crate::neighbour::HEARTBEAT_PERIOD;
 use crate::neighbour::NEWS_TIMEOUT;
@@ -80,7 +80,7 @@
     /// may be ahead.
     #[must_use]
     pub fn awaits_peers(&self, now: Monotonic) -> bool {
-        self.lag.unconfirmed.is_some() && !self.knowledge.is_fresh(now)
+        self.lag.unconfirmed.is_some() && !self.freshness.is_fresh(now)
     }
 
     /// Returns the reply to the heartbeat of a gateway that started or came back. It reports this
@@ -101,7 +101,7 @@
 
     /// Records that the state of the store is known as of `known_at`. It takes effect once no other
     /// gateway is ahead.
-    pub fn confirm(&mut self, known_at: Monotonic, now: Monotonic) -> knowledge::Change {
+    pub fn confirm(&mut self, known_at: Monotonic, now: Monotonic) -> freshness::Change {
         let before = self.lag.known_at;
         // Messages received before a gap, or queued in the socket during it, don't show which
         // version others have in force now.
@@ -115,15 +115,15 @@
     }
 
     /// Confirms the recorded knowledge once it no longer has to wait for other gateways.
-    pub fn confirm_pending(&mut self, now: Monotonic) -> knowledge::Change {
+    pub fn confirm_pending(&mut self, now: Monotonic) -> freshness::Change {
         let Some(known_at) = self.lag.unconfirmed else {
-            return knowledge::Change::None;
+            return freshness::Change::None;
         };
         if !self.has_heard_peers(now) || self.ahead(now).is_some() {
-            return knowledge::Change::None;
+            return freshness::Change::None;
         }
         self.lag.unconfirmed = None;
-        self.knowledge.confirm(known_at, now)
+        self.freshness.record_success(known_at, now)
     }
 
     /// Returns whether another gateway has reported its version, or the time to wait for that has
--- a/crates/gateway/tests/all/departure.rs
+++ b/crates/gateway/tests/all/departure.rs
@@ -176,13 +176,13 @@
         .collect();
     gateway.apply_full_read(all, Revision::default(), Revision::default(), now);
     gateway.apply_full_read(listed, restored(4), restored(2), now);
-    expect_that!(gateway.knowledge.is_doubtful(millis(5_500)), eq(true));
+    expect_that!(gateway.freshness.may_lack_entries(millis(5_500)), eq(true));
     gateway
         .pool
-        .expire(gateway.knowledge.is_doubtful(millis(5_500)));
+        .expire(gateway.freshness.may_lack_entries(millis(5_500)));
     expect_that!(gateway.pool.ready("desk"), eq(before));
     gateway
         .pool
-        .expire(gateway.knowledge.is_doubtful(millis(5_700)));
+        .expire(gateway.freshness.may_lack_entries(millis(5_700)));
     expect_that!(gateway.pool.ready("desk"), eq(1));
 }
--- a/crates/gateway/tests/all/fleet/world.rs
+++ b/crates/gateway/tests/all/fleet/world.rs
@@ -88,7 +88,9 @@
         for upstream in &self.upstreams {
             gateway.pool.insert(Upstream::clone(upstream));
         }
-        let _ = gateway.knowledge.confirm(Monotonic::ZERO, Monotonic::ZERO);
+        let _ = gateway
+            .freshness
+            .record_success(Monotonic::ZERO, Monotonic::ZERO);
         let plan = ask(&mut gateway, "/desk/a", Some("key-1"), 0).expect("a plan");
         self.nodes[node] = Some(Node {
             gateway,
--- a/crates/gateway/tests/all/gateway.rs
+++ b/crates/gateway/tests/all/gateway.rs
@@ -55,7 +55,9 @@
     for id in ["desk-0", "desk-1"] {
         gateway.pool.insert(upstream(id, "desk", State::Ready));
     }
-    let _ = gateway.knowledge.confirm(millis(1_000), millis(1_000));
+    let _ = gateway
+        .freshness
+        .record_success(millis(1_000), millis(1_000));
     gateway
 }
 
--- a/crates/gateway/tests/all/limit.rs
+++ b/crates/gateway/tests/all/limit.rs
@@ -76,7 +76,7 @@
 pub(crate) fn tick(gateway: &mut Gateway, now: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let now = millis(now);
-    let _ = gateway.knowledge.confirm(now, now);
+    let _ = gateway.freshness.record_success(now, now);
     gateway.roster.next_heartbeat(Vec::new(), now, &mut rng);
     gateway.heartbeat_limits(now);
     gateway.loans(now);
--- a/crates/gateway/tests/all/load.rs
+++ b/crates/gateway/tests/all/load.rs
@@ -51,7 +51,7 @@
         let heartbeat = support::heartbeat(entry(number, 1, heartbeats));
         gateway.roster.receive(&heartbeat, millis(now));
     }
-    let _ = gateway.knowledge.confirm(millis(now), millis(now));
+    let _ = gateway.freshness.record_success(millis(now), millis(now));
 }
 
 /// Returns one gateway of many that knows the ranks of some groups.
--- a/crates/gateway/tests/all/restore/world.rs
+++ b/crates/gateway/tests/all/restore/world.rs
@@ -140,7 +140,7 @@
             }
             Message::Question(question) => {
                 gateway.spread.note_generation(question.revision.generation);
-                let age = gateway.knowledge.age(now).unwrap_or_default();
+                let age = gateway.freshness.age(now).unwrap_or_default();
                 let answer = gateway.spread.answer(question, age).map(Message::Answer);
                 if let Some(update) = gateway.spread.requested_configuration(question).cloned() {
                     self.send(number, peers(from), Message::Configuration(update));
--- a/crates/gateway/tests/all/version.rs
+++ b/crates/gateway/tests/all/version.rs
@@ -99,7 +99,7 @@
     gateway.confirm_pending(millis(9_610));
     expect_that!(gateway.can_serve(millis(9_610)), eq(true));
     gateway.confirm(millis(9_700), millis(9_710));
-    expect_that!(gateway.knowledge.age(millis(9_710)), some(eq(millis(10))));
+    expect_that!(gateway.freshness.age(millis(9_710)), some(eq(millis(10))));
 }
 
 /// Guards against a starting gateway that hears from one other starting gateway and takes its
@@ -175,13 +175,13 @@
     receive(&mut gateway, 2, 8, Some(20), 4_700);
     gateway.confirm(millis(4_700), millis(4_710));
     expect_that!(
-        gateway.knowledge.age(millis(4_710)),
+        gateway.freshness.age(millis(4_710)),
         some(eq(millis(4_700)))
     );
     // A gateway that has failed is no longer waited for.
     gateway.confirm_pending(millis(9_000));
     expect_that!(
-        gateway.knowledge.age(millis(9_000)),
+        gateway.freshness.age(millis(9_000)),
         some(eq(millis(4_300)))
     );
 }
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -11,7 +11,7 @@
 
 use auburnline_core::time::Monotonic;
 use auburnline_gateway::Gateway;
-use auburnline_gateway::knowledge;
+use auburnline_gateway::freshness;
 use auburnline_gateway::message::Datagram;
 use auburnline_gateway::route::ServiceId;
 use auburnline_gateway::spread::Question;
@@ -114,7 +114,7 @@
         let now = self.now();
         self.subscribers.borrow_mut().insert(from, now);
         let gateway = self.gateway();
-        let Some(age) = gateway.knowledge.age(now) else {
+        let Some(age) = gateway.freshness.age(now) else {
             return;
         };
         let answer = gateway.spread.answer(question, age);
@@ -135,7 +135,7 @@
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.retain(|_, asked| now.saturating_sub(*asked) < SUBSCRIPTION_AGE);
         let gateway = self.gateway();
-        let age = gateway.knowledge.age(now).unwrap_or_default();
+        let age = gateway.freshness.age(now).unwrap_or_default();
         let Some(answer) = gateway.spread.changes_since(since, age) else {
             return;
         };
@@ -213,8 +213,8 @@
     pub(crate) fn expire(&self) -> Vec<upstream::Change> {
         let now = self.now();
         let mut gateway = self.gateway();
-        let is_doubtful = gateway.knowledge.is_doubtful(now);
-        let mut changes = gateway.pool.expire(is_doubtful);
+        let may_lack_entries = gateway.freshness.may_lack_entries(now);
+        let mut changes = gateway.pool.expire(may_lack_entries);
         changes.extend(gateway.pool.take_trusted(now));
         changes
     }
@@ -224,12 +224,12 @@
         let now = self.now();
         let mut gateway = self.gateway();
         let change = gateway.confirm_pending(now);
-        if change == knowledge::Change::Regained {
+        if change == freshness::Change::Regained {
             log_regained(&gateway, now);
         }
         let is_ready = gateway.can_serve(now) && !self.is_leaving();
         if gateway.roster.set_ready(is_ready) {
-            let age = gateway.knowledge.age(now).unwrap_or_default();
+            let age = gateway.freshness.age(now).unwrap_or_default();
             let version = gateway.version();
             log::info!(target: "gateway", is_ready, version:?, age_ms = millis(age); "readiness");
         }
@@ -294,7 +294,7 @@
 
 /// Logs that the store answers again after a failure.
 pub(crate) fn log_regained(gateway: &Gateway, now: Monotonic) {
-    let age_ms = millis(gateway.knowledge.age(now).unwrap_or_default());
+    let age_ms = millis(gateway.freshness.age(now).unwrap_or_default());
     log::info!(target: "store", age_ms; "regained");
 }
 
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use auburnline_core::time::Monotonic;
-use auburnline_gateway::knowledge;
+use auburnline_gateway::freshness;
 use auburnline_gateway::route::Configuration;
 use auburnline_gateway::route::Table;
 use auburnline_gateway::spread;
@@ -210,7 +210,7 @@
         let now = self.now();
         let mut gateway = self.0.gateway();
         let change = gateway.confirm(known_at, now);
-        if change == knowledge::Change::Regained {
+        if change == freshness::Change::Regained {
             log_regained(&gateway, now);
         }
         drop(gateway);
@@ -225,10 +225,10 @@
         let mut gateway = self.0.gateway();
         let was_unreachable = gateway.roster.is_store_unreachable();
         gateway.roster.set_store_unreachable(true);
-        let age = gateway.knowledge.age(now);
+        let age = gateway.freshness.age(now);
         let is_told = age.is_some_and(|age| age < MAX_RELAYED_AGE);
         if !is_told {
-            gateway.knowledge.record_failure();
+            gateway.freshness.record_failure();
         }
         let (_, is_reader) = gateway.roster.readers(now);
         let pause = gateway.spread.record_failure(is_reader);
--- a/crates/relay/src/telemetry.rs
+++ b/crates/relay/src/telemetry.rs
@@ -40,7 +40,7 @@
     let kind = refusal.kind;
     let gateway = shared.gateway();
     let now = shared.now();
-    let age = gateway.knowledge.age(now).unwrap_or_default();
+    let age = gateway.freshness.age(now).unwrap_or_default();
     let basis = refusal.basis;
     let limited = plan.filter(|_| refusal.is_throttled).map(|plan| {
         let limited = gateway.limited(&plan.service, MAX_LISTED_UPSTREAMS, now);
