--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -264,7 +264,7 @@
         for change in changes {
             match change {
                 spread::Change::Upstream(upstream) => {
-                    pool_changes.extend(gateway.pool.insert(upstream))
+                    pool_changes.extend(gateway.pool.insert(upstream));
                 }
                 spread::Change::Removed(id) => gateway.pool.mark_missing(&id),
                 spread::Change::Configuration => {}
