--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -17,14 +17,14 @@
 use crate::allowance::Allowance;
 use crate::allowance::REPORT_INTERVAL;
 use crate::gateway::Gateway;
-use crate::gateway::NO_UPSTREAM_RETURN;
+use crate::gateway::NO_UPSTREAM_RETRY;
+use crate::headroom::Headroom;
+use crate::headroom::Traffic;
 use crate::pace;
 use crate::real;
 use crate::request::Admission;
 use crate::request::Plan;
 use crate::request::Refusal;
-use crate::room::Headroom;
-use crate::room::Traffic;
 use crate::route::Engine;
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamId;
@@ -64,31 +64,31 @@
 impl Gateway {
     /// Decides whether a planned request may be sent now.
     pub fn admit(&mut self, plan: &Plan, now: Monotonic) -> Admission {
-        if now >= plan.due {
-            let refusal = Refusal::of(ErrorKind::DeadlinePassed, "deadline passed before a send");
+        if now >= plan.deadline {
+            let refusal = Refusal::new(ErrorKind::DeadlinePassed, "deadline passed before a send");
             return Admission::Refuse(refusal);
         }
         if self.pool.ready(&plan.service) == 0 {
-            let refusal = Refusal::of(ErrorKind::Unreachable, "no upstream accepts requests");
-            return Admission::Refuse(refusal.after(NO_UPSTREAM_RETURN));
+            let refusal = Refusal::new(ErrorKind::Unreachable, "no upstream accepts requests");
+            return Admission::Refuse(refusal.with_retry_after(NO_UPSTREAM_RETRY));
         }
         if let Some(refusal) = self.all_closed(plan, &[], &[], now) {
             return Admission::Refuse(refusal);
         }
         let (Some(engine), Some(longest)) = (plan.engine, plan.route.longest_pause) else {
-            return Admission::Go(None);
+            return Admission::Admit(None);
         };
         let Some(headroom) = self.pick_group(&plan.service, &engine, longest, now) else {
             return self.await_reform(plan, &engine, now);
         };
         let basis = Some(headroom.basis());
         if headroom.is_free() {
-            return Admission::Go(basis);
+            return Admission::Admit(basis);
         }
-        let reopened = self.shut_at.get(&plan.service).copied();
-        let reopened = reopened.filter(|shut_at| *shut_at >= plan.arrived);
+        let reopened = self.all_unavailable_at.get(&plan.service).copied();
+        let reopened = reopened.filter(|all_unavailable_at| *all_unavailable_at >= plan.arrived);
         let (until, poll_bounds) = match reopened {
-            Some(shut_at) => (shut_at + REOPENED_MAX_WAIT, LATE_POLL_SECONDS),
+            Some(all_unavailable_at) => (all_unavailable_at + REOPENED_MAX_WAIT, LATE_POLL_SECONDS),
             None => (
                 plan.arrived + plan.route.objective.mul_f64(WAIT_FRACTION),
                 CAPACITY_POLL_SECONDS,
@@ -98,10 +98,10 @@
             let interval = self.random_duration(poll_bounds);
             return Admission::Wait(until.min(now + interval));
         }
-        let mut refusal = Refusal::of(ErrorKind::Overloaded, headroom.reason());
+        let mut refusal = Refusal::new(ErrorKind::Overloaded, headroom.reason());
         refusal.basis = basis;
         let after = self.random_duration(OVERLOAD_RETRY_SECONDS);
-        Admission::Refuse(refusal.after(after))
+        Admission::Refuse(refusal.with_retry_after(after))
     }
 
     /// Refuses a request that upstreams refused without running it and that may not be sent again;
@@ -115,7 +115,7 @@
             _ => INDEPENDENT_RETRY_SECONDS,
         };
         let after = self.random_duration(retry_bounds);
-        Refusal::of(ErrorKind::Unreachable, reason).after(after)
+        Refusal::new(ErrorKind::Unreachable, reason).with_retry_after(after)
     }
 
     /// Refuses a request if every upstream that it could go to is at its rate limit or asked for
@@ -133,7 +133,7 @@
         let mut first_open: Option<Monotonic> = None;
         for usage in self.pool.usages(&plan.service, now) {
             let upstream = usage.upstream;
-            let is_unavailable = self.groups.is_shut(&self.group_of(upstream), now);
+            let is_unavailable = self.groups.is_unavailable(&self.group_of(upstream), now);
             if is_unavailable || tried.contains(&upstream.id) {
                 continue;
             }
@@ -149,9 +149,9 @@
         };
         let after = closed_for + self.random_duration(retry_bounds);
         let reason = "all remaining upstreams are at their rate limits or asked for backoff";
-        let mut refusal = Refusal::of(ErrorKind::Overloaded, reason);
-        refusal.is_closed = true;
-        Some(refusal.after(after))
+        let mut refusal = Refusal::new(ErrorKind::Overloaded, reason);
+        refusal.is_throttled = true;
+        Some(refusal.with_retry_after(after))
     }
 
     /// Returns a random time between two bounds in seconds.
@@ -162,11 +162,12 @@
     /// Decides on a request while no group is available: a group that just became unavailable may
     /// re-form at once.
     fn await_reform(&mut self, plan: &Plan, engine: &Engine, now: Monotonic) -> Admission {
-        self.shut_at.insert(Arc::clone(&plan.service), now);
+        self.all_unavailable_at
+            .insert(Arc::clone(&plan.service), now);
         // After a loss of all power, ranks stall before they give up on the missing ones, and only
         // then form a group. A group that is unavailable for longer has lost a rank, and when that
         // rank returns is unknown.
-        let reform = self.bounds.stall + engine.form;
+        let reform = self.bounds.stall + engine.form_time;
         let usages = self.pool.usages(&plan.service, now);
         let groups = usages.map(|usage| self.group_of(usage.upstream));
         let unavailable_since = self
@@ -178,9 +179,9 @@
         if now < until {
             return Admission::Wait(until.min(now + REFORM_POLL_INTERVAL));
         }
-        let refusal = Refusal::of(ErrorKind::Unreachable, "all groups are unavailable");
+        let refusal = Refusal::new(ErrorKind::Unreachable, "all groups are unavailable");
         let after = self.random_duration(UNAVAILABLE_RETRY_SECONDS);
-        Admission::Refuse(refusal.after(after))
+        Admission::Refuse(refusal.with_retry_after(after))
     }
 
     /// Returns the traffic of each available group of a service.
@@ -194,8 +195,8 @@
             traffic.has_open_rank |= self.is_open(usage.upstream, now);
             traffic.load.in_flight = traffic.load.in_flight.saturating_add(usage.requests);
             traffic.own += usage.own;
-            traffic.report_age = traffic.report_age.max(usage.told.map(|load| load.age));
-            let pace = usage.told.map_or(0, |load| load.pace);
+            traffic.report_age = traffic.report_age.max(usage.reported.map(|load| load.age));
+            let pace = usage.reported.map_or(0, |load| load.pace);
             traffic.load.slowest = traffic.load.slowest.max(pace);
             if usage.requests > 0 {
                 traffic.load.slowest_busy = traffic.load.slowest_busy.max(pace);
@@ -206,7 +207,7 @@
             .values_mut()
             .filter(|traffic| traffic.report_age.is_none());
         unreported.for_each(|traffic| traffic.add_unreported(scale));
-        groups.retain(|group, _| !self.groups.is_shut(group, now));
+        groups.retain(|group, _| !self.groups.is_unavailable(group, now));
         let is_stalled = |group: &GroupId| self.groups.is_stalled(group, now);
         if groups.keys().any(|group| !is_stalled(group)) {
             groups.retain(|group, _| !is_stalled(group));
--- a/crates/gateway/src/assign.rs
+++ b/crates/gateway/src/assign.rs
@@ -12,7 +12,7 @@
 use crate::choice::Choice;
 use crate::choice::Preference;
 use crate::gateway::Gateway;
-use crate::gateway::NO_UPSTREAM_RETURN;
+use crate::gateway::NO_UPSTREAM_RETRY;
 use crate::request::Plan;
 use crate::request::Refusal;
 use crate::upstream::Upstream;
@@ -91,8 +91,8 @@
             if let Some(refusal) = self.all_closed(plan, tried, denied, now) {
                 return Err(refusal);
             }
-            let refusal = Refusal::of(ErrorKind::Unreachable, "no upstream is left");
-            return Err(refusal.after(NO_UPSTREAM_RETURN));
+            let refusal = Refusal::new(ErrorKind::Unreachable, "no upstream is left");
+            return Err(refusal.with_retry_after(NO_UPSTREAM_RETRY));
         };
         choice.limit = self.limit(&choice.upstream, now).map(|limit| limit.rate);
         Ok(choice)
@@ -108,7 +108,7 @@
         now: Monotonic,
     ) -> GroupId {
         debug_assert!(
-            self.wants_work(&choice.upstream, now),
+            self.accepts_requests(&choice.upstream, now),
             "request sent to an upstream that is leaving or asked for backoff"
         );
         self.pool.begin(&choice.upstream.id);
@@ -146,7 +146,7 @@
             !is_limited && !is_backing_off && usage.requests <= usage.upstream.slots
         });
         if plan.engine.is_some() && had_slot {
-            self.groups.suspect(group, now);
+            self.groups.mark_unavailable(group, now);
         }
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -2,7 +2,7 @@
 //!
 //! A request passes through [`Gateway::plan`] (route, key and age of the known state),
 //! [`Gateway::admit`] (whether a group can serve it in time) and [`Gateway::assign`] (which
-//! upstream). After a failure, [`Gateway::may_repeat`] decides whether it may be retried. Plans,
+//! upstream). After a failure, [`Gateway::take_retry`] decides whether it may be retried. Plans,
 //! admissions and refusals carry the inputs that they were decided on, for the log.
 
 use std::collections::HashMap;
@@ -23,8 +23,8 @@
 
 use crate::allowance::Allowance;
 use crate::backoff::Backoffs;
+use crate::freshness::Freshness;
 use crate::group::Groups;
-use crate::knowledge::Knowledge;
 use crate::limit::Limits;
 use crate::neighbour::Roster;
 use crate::pace::Group;
@@ -32,13 +32,13 @@
 use crate::request::Plan;
 use crate::request::Refusal;
 use crate::request::Request;
+use crate::retry_budget;
 use crate::route::Route;
 use crate::route::ServiceId;
 use crate::route::Table;
-use crate::share::shares;
 use crate::spread;
+use crate::spread::FullRead;
 use crate::spread::Need;
-use crate::spread::Reading;
 use crate::spread::Revision;
 use crate::spread::Spread;
 use crate::upstream::Change;
@@ -48,7 +48,7 @@
 use crate::version::Lag;
 
 /// Retry time when no upstream accepts work: a group forms again within about a second.
-pub(crate) const NO_UPSTREAM_RETURN: Duration = Duration::from_millis(800);
+pub(crate) const NO_UPSTREAM_RETRY: Duration = Duration::from_millis(800);
 /// Retry time when this gateway's configuration is missing or too old: the caller finds another
 /// gateway.
 const NOT_READY_RETRY: Duration = Duration::from_millis(100);
@@ -94,7 +94,7 @@
     pub(crate) paces: HashMap<GroupId, Group>,
     pub(crate) allowances: HashMap<GroupId, Allowance>,
     /// When a request last found all groups of a service closed.
-    pub(crate) shut_at: HashMap<ServiceId, Monotonic>,
+    pub(crate) all_unavailable_at: HashMap<ServiceId, Monotonic>,
     pub(crate) budget: Budget<ServiceId, ServiceId>,
     pub(crate) rng: ChaCha8Rng,
     /// Known upstreams and the requests in flight there.
@@ -104,7 +104,7 @@
     /// Which upstreams run in lock-step, and which of these groups serve.
     pub groups: Groups,
     /// Age of the known state of the store.
-    pub knowledge: Knowledge,
+    pub freshness: Freshness,
     /// How far this gateway's configuration may be behind those of others.
     pub(crate) lag: Lag,
     /// How far the store has been read, and what is passed on to other gateways.
@@ -131,13 +131,13 @@
             table: None,
             paces: HashMap::new(),
             allowances: HashMap::new(),
-            shut_at: HashMap::new(),
+            all_unavailable_at: HashMap::new(),
             groups: Groups::default(),
-            budget: Budget::new(shares(&bounds, None)),
+            budget: Budget::new(retry_budget::settings(&bounds, None)),
             rng: ChaCha8Rng::seed_from_u64(seed),
             pool: Pool::default(),
             roster,
-            knowledge: Knowledge::new(bounds.revocation),
+            freshness: Freshness::new(bounds.revocation),
             lag: Lag::default(),
             spread: Spread::default(),
             quarantine: Quarantine::default(),
@@ -149,7 +149,7 @@
 
     /// Replaces the operators' bounds.
     pub fn set_bounds(&mut self, bounds: Bounds) {
-        self.knowledge.set_bound(bounds.revocation);
+        self.freshness.set_bound(bounds.revocation);
         self.bounds = bounds;
     }
 
@@ -168,17 +168,17 @@
 
     /// Applies a full read of the store as of `revision`, whose configuration was written at
     /// `configuration`; returns what changed in the pool.
-    pub fn read_all(
+    pub fn apply_full_read(
         &mut self,
         upstreams: Vec<Upstream>,
         revision: Revision,
         configuration: Revision,
         now: Monotonic,
     ) -> Vec<Change> {
-        match self.spread.read_all(revision, configuration) {
-            Reading::Whole => self.pool.replace(upstreams),
-            Reading::Restored => {
-                self.knowledge.restored(now);
+        match self.spread.record_full_read(revision, configuration) {
+            FullRead::Complete => self.pool.replace(upstreams),
+            FullRead::Restored => {
+                self.freshness.record_restore(now);
                 let until = now + self.bounds.heartbeat * EXPIRY_HEARTBEATS;
                 self.pool.restore(upstreams, until)
             }
@@ -200,9 +200,10 @@
     /// Does periodic work: adjusts this gateway's share of the retry budget to the size of the
     /// fleet, and drops expired backoffs.
     pub fn tick(&mut self, now: Monotonic) {
-        let is_settled = now > crate::neighbour::LIFE;
-        let fleet = is_settled.then_some(self.roster.most());
-        self.budget.resize(shares(&self.bounds, fleet));
+        let is_settled = now > crate::neighbour::NEWS_TIMEOUT;
+        let fleet = is_settled.then_some(self.roster.peak_members());
+        self.budget
+            .resize(retry_budget::settings(&self.bounds, fleet));
         self.budget.tick(now);
         self.backoffs.forget(now);
     }
@@ -210,14 +211,14 @@
     /// Returns whether this gateway has a configuration and knows that it is current enough to
     /// serve.
     #[must_use]
-    pub fn is_able(&self, now: Monotonic) -> bool {
-        self.table.is_some() && self.knowledge.is_fresh(now)
+    pub fn can_serve(&self, now: Monotonic) -> bool {
+        self.table.is_some() && self.freshness.is_fresh(now)
     }
 
     /// Returns what this gateway has to read from the store now.
     pub fn need(&mut self, now: Monotonic) -> Need {
         let (_, is_reader) = self.roster.readers(now);
-        let is_alone = spread::helps_itself(self.knowledge.age(now));
+        let is_alone = spread::must_read_itself(self.freshness.age(now));
         self.spread.need(is_reader || is_alone, now)
     }
 
@@ -229,15 +230,15 @@
     /// missing or may be outdated.
     pub fn plan(&mut self, request: &Request<'_>, now: Monotonic) -> Result<Plan, Refusal> {
         let Some(table) = self.table.clone() else {
-            let refusal = Refusal::of(ErrorKind::NotReady, "no configuration");
-            return Err(refusal.after(NOT_READY_RETRY));
+            let refusal = Refusal::new(ErrorKind::NotReady, "no configuration");
+            return Err(refusal.with_retry_after(NOT_READY_RETRY));
         };
-        let age = self.knowledge.age(now).unwrap_or(Duration::MAX);
-        let is_fresh = self.knowledge.is_fresh(now);
-        let stale = Refusal::of(ErrorKind::NotReady, "configuration may be outdated");
-        let stale = stale.after(NOT_READY_RETRY);
+        let age = self.freshness.age(now).unwrap_or(Duration::MAX);
+        let is_fresh = self.freshness.is_fresh(now);
+        let stale = Refusal::new(ErrorKind::NotReady, "configuration may be outdated");
+        let stale = stale.with_retry_after(NOT_READY_RETRY);
         let Some(route) = table.route(request.host, request.path) else {
-            let refusal = Refusal::of(ErrorKind::UnknownRoute, "no route");
+            let refusal = Refusal::new(ErrorKind::UnknownRoute, "no route");
             return Err(if is_fresh { refusal } else { stale });
         };
         let workspace = request.key.and_then(|key| table.workspace(key)).cloned();
@@ -246,12 +247,12 @@
                 return Err(stale);
             }
             if workspace.is_none() {
-                return Err(Refusal::of(ErrorKind::Unauthorized, "unknown key"));
+                return Err(Refusal::new(ErrorKind::Unauthorized, "unknown key"));
             }
         }
         let service = self.service(route);
         let engine = table.service(&service).and_then(|service| service.engine);
-        let patience = request.patience.unwrap_or(route.timeout).min(route.timeout);
+        let timeout = request.timeout.unwrap_or(route.timeout).min(route.timeout);
         Ok(Plan {
             route: Arc::clone(route),
             service,
@@ -260,7 +261,7 @@
             version: table.version(),
             age,
             arrived: now,
-            due: now + patience,
+            deadline: now + timeout,
         })
     }
 
@@ -309,9 +310,9 @@
     }
 
     /// Applies the digest of a group's leader; returns what it changed.
-    pub fn hear(&mut self, digest: &Digest, now: Monotonic) -> Update {
-        let has_slowed = self.pool.reports.hear(digest, now);
-        let is_changed = self.groups.hear(digest, now);
+    pub fn apply_digest(&mut self, digest: &Digest, now: Monotonic) -> Update {
+        let has_slowed = self.pool.reports.apply(digest, now);
+        let is_changed = self.groups.apply_digest(digest, now);
         if is_changed {
             // A group forms with the initial map, on which passes take longer than those seen
             // before.
@@ -330,7 +331,7 @@
 
     /// Takes a retry out of this gateway's share of the fleet's budget; returns whether one was
     /// left.
-    pub fn may_repeat(&mut self, plan: &Plan, now: Monotonic) -> bool {
+    pub fn take_retry(&mut self, plan: &Plan, now: Monotonic) -> bool {
         let permit = self.budget.repeat(now, &plan.service, &plan.service);
         permit.is_ok()
     }
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -13,20 +13,20 @@
 use auburnline_core::hash::stable;
 use auburnline_core::time::Monotonic;
 use auburnline_quota::Rate;
-use auburnline_quota::book;
-use auburnline_quota::book::Book;
-use auburnline_quota::book::Limit;
-use auburnline_quota::book::MOST_NOTICES;
-use auburnline_quota::book::Notice;
-use auburnline_quota::book::Teller;
-use auburnline_quota::home::Ask;
+use auburnline_quota::home;
 use auburnline_quota::home::Home;
 use auburnline_quota::home::Permit;
 use auburnline_quota::home::Reply;
+use auburnline_quota::loan::Heartbeat;
 use auburnline_quota::loan::Lender;
 use auburnline_quota::loan::Loan;
 use auburnline_quota::loan::Outcome;
-use auburnline_quota::loan::Sign;
+use auburnline_quota::registry;
+use auburnline_quota::registry::Limit;
+use auburnline_quota::registry::MAX_NOTICES;
+use auburnline_quota::registry::Notice;
+use auburnline_quota::registry::Registry;
+use auburnline_quota::registry::Teller;
 use rand::Rng as _;
 
 use crate::gateway::Gateway;
@@ -41,13 +41,13 @@
 const RETRY_JITTER: (f64, f64) = (1.0, 1.5);
 /// Heartbeats between two renewals of loans: several renewals within a lease, since messages get
 /// lost.
-const LOAN_INTERVAL_BEATS: u64 = 2;
+const LOAN_INTERVAL_HEARTBEATS: u64 = 2;
 /// Shortest retry time: a round trip between failure domains.
 const MIN_RETRY: Duration = Duration::from_millis(10);
 
 /// A limit that was named, changed or ended, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct Update {
     /// Upstream that the limit is for.
     pub upstream: Arc<Upstream>,
     /// Requests per second from all gateways together; none if the limit ended.
@@ -67,8 +67,8 @@
     Ask {
         /// Address of the home.
         home: SocketAddr,
-        /// Question to send; the reply goes to [`Gateway::take_reply`].
-        ask: Ask,
+        /// Request to send; the reply goes to [`Gateway::apply_reply`].
+        request: home::Request,
     },
 }
 
@@ -86,13 +86,13 @@
 /// All that a gateway knows of rate limits.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Limits {
-    book: Book,
+    registry: Registry,
     lender: Lender,
     home: Home,
     /// Until when upstreams are not used.
     closed: HashMap<StartTag, Monotonic>,
-    /// Questions asked so far, which number them.
-    asks: u64,
+    /// Requests sent so far, which number them.
+    requests: u64,
     /// Shares that were lent to another home and are not logged yet.
     moved: Vec<(StartTag, SocketAddr)>,
 }
@@ -100,7 +100,7 @@
 impl Limits {
     /// Returns whether no limit is known, in force or ended.
     pub(crate) fn is_idle(&self) -> bool {
-        self.book.is_empty()
+        self.registry.is_empty()
     }
 
     /// Returns until when an upstream is not used; none if it is open.
@@ -113,12 +113,12 @@
     }
 
     /// Reopens an upstream whose limit ended or changed.
-    fn reopen(&mut self, news: book::News) {
-        self.closed.remove(&news.upstream);
+    fn reopen(&mut self, update: registry::Update) {
+        self.closed.remove(&update.upstream);
     }
 
     fn rate(&self, upstream: StartTag, now: Monotonic) -> Option<Rate> {
-        self.book.limit(upstream, now).map(|limit| limit.rate)
+        self.registry.limit(upstream, now).map(|limit| limit.rate)
     }
 }
 
@@ -134,7 +134,7 @@
         if self.limits.is_idle() {
             return None;
         }
-        self.limits.book.limit(start_tag(upstream), now)
+        self.limits.registry.limit(start_tag(upstream), now)
     }
 
     /// Returns the upstreams of a service that have a limit, at most `most`.
@@ -145,7 +145,7 @@
         let limited = starts.filter_map(|(start, upstream)| {
             Some(Limited {
                 upstream: Arc::clone(upstream),
-                limit: self.limits.book.limit(start, now)?,
+                limit: self.limits.registry.limit(start, now)?,
                 home: self.home(start, now),
             })
         });
@@ -154,50 +154,52 @@
 
     /// Records what an answer says about its upstream's limit; its request was sent at `sent`.
     /// Returns what changed.
-    pub fn take_limit(
+    pub fn record_limit(
         &mut self,
         upstream: &Arc<Upstream>,
         rate: Option<Rate>,
         sent: Monotonic,
         now: Monotonic,
-    ) -> Option<News> {
+    ) -> Option<Update> {
         let start = start_tag(upstream);
-        let news = self.limits.book.answered(start, rate, sent, now)?;
-        self.limits.reopen(news);
-        Some(News {
+        let update = self.limits.registry.answered(start, rate, sent, now)?;
+        self.limits.reopen(update);
+        Some(Update {
             upstream: Arc::clone(upstream),
-            rate: news.rate,
-            teller: news.teller,
+            rate: update.rate,
+            teller: update.teller,
         })
     }
 
     /// Records the limits that another gateway reports; returns what changed. Upstreams that are
     /// not known here yet are left out, since limits are reported repeatedly.
-    pub fn hear_limits(
+    pub fn receive_limits(
         &mut self,
         notices: &[Notice],
         from: SocketAddr,
         now: Monotonic,
-    ) -> Vec<News> {
+    ) -> Vec<Update> {
         let known: HashMap<StartTag, &Arc<Upstream>> = self.pool.starts().collect();
         let is_known = |notice: &&Notice| known.contains_key(&notice.upstream);
         let notices: Vec<Notice> = notices.iter().filter(is_known).copied().collect();
-        let heard = self.limits.book.hear(&notices, from, now);
-        let news = heard.into_iter().filter_map(|news: book::News| {
-            self.limits.reopen(news);
-            Some(News {
-                upstream: Arc::clone(known.get(&news.upstream)?),
-                rate: news.rate,
-                teller: news.teller,
+        let heard = self.limits.registry.merge(&notices, from, now);
+        let updates = heard.into_iter().filter_map(|update: registry::Update| {
+            self.limits.reopen(update);
+            Some(Update {
+                upstream: Arc::clone(known.get(&update.upstream)?),
+                rate: update.rate,
+                teller: update.teller,
             })
         });
-        news.collect()
+        updates.collect()
     }
 
     /// Records that a heartbeat is sent; returns the notices of limits to send with it, and drops
     /// limits of upstreams that are gone.
-    pub fn beat_limits(&mut self, now: Monotonic) -> Vec<Notice> {
-        self.limits.home.sent(self.roster.me().beat, now);
+    pub fn heartbeat_limits(&mut self, now: Monotonic) -> Vec<Notice> {
+        self.limits
+            .home
+            .record_heartbeat(self.roster.own_entry().heartbeats, now);
         self.limits.closed.retain(|_, until| now < *until);
         self.limits.lender.forget(now);
         if self.limits.is_idle() {
@@ -205,58 +207,64 @@
         }
         let known: HashMap<StartTag, _> = self.pool.starts().collect();
         self.limits
-            .book
+            .registry
             .forget(|upstream| known.contains_key(&upstream), now);
-        self.limits.book.notices(now)
+        self.limits.registry.notices(now)
     }
 
     /// Lends this gateway's share of each limit to the limit's home; returns the loans to send.
     pub fn loans(&mut self, now: Monotonic) -> Vec<(SocketAddr, Loan)> {
         let mut loans: BTreeMap<SocketAddr, Loan> = BTreeMap::new();
-        if self.limits.is_idle() || !self.roster.me().beat.is_multiple_of(LOAN_INTERVAL_BEATS) {
+        if self.limits.is_idle()
+            || !self
+                .roster
+                .own_entry()
+                .heartbeats
+                .is_multiple_of(LOAN_INTERVAL_HEARTBEATS)
+        {
             return Vec::new();
         }
-        let lender = stable(0, self.roster.me().instance.as_bytes());
-        let fleet = u32::try_from(self.roster.most()).unwrap_or(u32::MAX);
-        for notice in self.limits.book.in_force(now) {
+        let lender = stable(0, self.roster.own_entry().instance.as_bytes());
+        let fleet = u32::try_from(self.roster.peak_members()).unwrap_or(u32::MAX);
+        for notice in self.limits.registry.in_force(now) {
             let home = self.roster.home(&home_key(notice.upstream), now);
-            let sign = Sign {
+            let heartbeat = Heartbeat {
                 home: &home.entry.instance,
                 incarnation: home.entry.incarnation,
-                beat: home.entry.beat,
+                heartbeat: home.entry.heartbeats,
                 heard: home.heard,
                 address: home.entry.peers,
             };
-            match self.limits.lender.lend(notice.upstream, &sign, now) {
-                Outcome::Held => continue,
-                Outcome::Moved => self.limits.moved.push((notice.upstream, sign.address)),
+            match self.limits.lender.lend(notice.upstream, &heartbeat, now) {
+                Outcome::StillLent => continue,
+                Outcome::Moved => self.limits.moved.push((notice.upstream, heartbeat.address)),
                 Outcome::Renewed => {}
             }
             let loan = loans.entry(home.entry.peers).or_insert_with(|| Loan {
                 lender,
                 fleet,
-                incarnation: sign.incarnation,
-                beat: sign.beat,
+                incarnation: heartbeat.incarnation,
+                heartbeat: heartbeat.heartbeat,
                 limits: Vec::new(),
             });
             loan.limits.push(notice);
         }
-        if let Some(own) = loans.remove(&self.roster.me().peers) {
-            self.borrow(&own, now);
+        if let Some(own) = loans.remove(&self.roster.own_entry().peers) {
+            self.accept_loan(&own, now);
         }
         let loans = loans.into_iter();
         loans.flat_map(|(home, loan)| split(home, &loan)).collect()
     }
 
     /// Returns the limits whose share was lent to another home since the last call.
-    pub fn take_moved(&mut self, now: Monotonic) -> Vec<Limited> {
+    pub fn take_moved_loans(&mut self, now: Monotonic) -> Vec<Limited> {
         let moved = std::mem::take(&mut self.limits.moved);
         let moved = moved.into_iter().filter_map(|(start, home)| {
             let mut starts = self.pool.starts();
             let (_, upstream) = starts.find(|(tag, _)| *tag == start)?;
             Some(Limited {
                 upstream: Arc::clone(upstream),
-                limit: self.limits.book.limit(start, now)?,
+                limit: self.limits.registry.limit(start, now)?,
                 home,
             })
         });
@@ -265,18 +273,18 @@
 
     /// Records shares that another gateway lends to this one; returns what the loan changed in the
     /// known limits.
-    pub fn hear_loan(&mut self, loan: &Loan, from: SocketAddr, now: Monotonic) -> Vec<News> {
-        let news = self.hear_limits(&loan.limits, from, now);
-        if loan.incarnation == self.roster.me().incarnation {
-            self.borrow(loan, now);
+    pub fn receive_loan(&mut self, loan: &Loan, from: SocketAddr, now: Monotonic) -> Vec<Update> {
+        let updates = self.receive_limits(&loan.limits, from, now);
+        if loan.incarnation == self.roster.own_entry().incarnation {
+            self.accept_loan(loan, now);
         }
-        news
+        updates
     }
 
-    fn borrow(&mut self, loan: &Loan, now: Monotonic) {
-        let Limits { book, home, .. } = &mut self.limits;
-        let rate = |upstream| book.limit(upstream, now).map(|limit| limit.rate);
-        home.borrow(loan, rate, now);
+    fn accept_loan(&mut self, loan: &Loan, now: Monotonic) {
+        let Limits { registry, home, .. } = &mut self.limits;
+        let rate = |upstream| registry.limit(upstream, now).map(|limit| limit.rate);
+        home.accept_loan(loan, rate, now);
     }
 
     /// Decides whether a request may be sent to an upstream, or which gateway has to be asked.
@@ -286,17 +294,17 @@
         }
         let start = start_tag(upstream);
         let home = self.home(start, now);
-        if home == self.roster.me().peers {
+        if home == self.roster.own_entry().peers {
             let permit = self.permit(start, now);
             return self.take_permit(start, permit, now);
         }
-        self.limits.asks += 1;
-        let number = self.limits.asks;
-        let ask = Ask {
+        self.limits.requests += 1;
+        let number = self.limits.requests;
+        let request = home::Request {
             number,
             upstream: start,
         };
-        Consent::Ask { home, ask }
+        Consent::Ask { home, request }
     }
 
     /// Returns the address of the gateway that permits requests to an upstream with a limit.
@@ -309,11 +317,11 @@
     }
 
     /// Replies to a gateway that asks whether it may send a request.
-    pub fn reply(&mut self, ask: Ask, now: Monotonic) -> Reply {
+    pub fn reply(&mut self, request: home::Request, now: Monotonic) -> Reply {
         Reply {
-            number: ask.number,
-            upstream: ask.upstream,
-            permit: self.permit(ask.upstream, now),
+            number: request.number,
+            upstream: request.upstream,
+            permit: self.permit(request.upstream, now),
         }
     }
 
@@ -324,11 +332,16 @@
     }
 
     /// Applies the home's reply to a request; none if the home did not reply.
-    pub fn take_reply(&mut self, ask: Ask, permit: Option<Permit>, now: Monotonic) -> Consent {
+    pub fn apply_reply(
+        &mut self,
+        request: home::Request,
+        permit: Option<Permit>,
+        now: Monotonic,
+    ) -> Consent {
         let no_reply = Permit::Denied {
             retry_ms: u32::try_from(NO_REPLY_RETRY.as_millis()).unwrap_or(u32::MAX),
         };
-        self.take_permit(ask.upstream, permit.unwrap_or(no_reply), now)
+        self.take_permit(request.upstream, permit.unwrap_or(no_reply), now)
     }
 
     fn take_permit(&mut self, upstream: StartTag, permit: Permit, now: Monotonic) -> Consent {
@@ -346,7 +359,7 @@
 
 /// Splits a loan into messages that each fit into one packet.
 fn split(home: SocketAddr, loan: &Loan) -> Vec<(SocketAddr, Loan)> {
-    let parts = loan.limits.chunks(MOST_NOTICES);
+    let parts = loan.limits.chunks(MAX_NOTICES);
     let parts = parts.map(|limits| {
         let part = Loan {
             limits: limits.to_vec(),
--- a/crates/gateway/src/member.rs
+++ b/crates/gateway/src/member.rs
@@ -78,7 +78,7 @@
     }
 
     /// Marks it as draining.
-    pub(crate) fn leave(&mut self) {
+    pub(crate) fn mark_draining(&mut self) {
         let upstream = Upstream {
             state: State::Draining,
             ..Upstream::clone(&self.upstream)
@@ -87,7 +87,7 @@
     }
 
     /// Returns whether it accepts new requests.
-    pub(crate) fn takes_work(&self) -> bool {
+    pub(crate) fn is_ready(&self) -> bool {
         self.upstream.state == State::Ready
     }
 
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -8,9 +8,9 @@
 use auburnline_lockstep::message::Ask;
 use auburnline_lockstep::message::Digest;
 use auburnline_lockstep::message::Forwarded;
-use auburnline_quota::book::Notice;
 use auburnline_quota::home;
 use auburnline_quota::loan::Loan;
+use auburnline_quota::registry::Notice;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -27,7 +27,7 @@
     /// Random number drawn when the process started.
     pub incarnation: Incarnation,
     /// Heartbeats that the process has sent; increases within an incarnation.
-    pub beat: u64,
+    pub heartbeats: u64,
     /// Failure domain in which the gateway runs.
     pub failure_domain: FailureDomainId,
     /// Address for callers.
@@ -37,14 +37,14 @@
     /// Whether it accepts new requests.
     pub is_ready: bool,
     /// Whether its last call to the store failed.
-    pub is_cut: bool,
+    pub is_store_unreachable: bool,
     /// Version of the configuration in force there; `None` until it has one.
     pub version: Option<Version>,
 }
 
 /// Heartbeat with gossip about other gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// State of the sender.
     pub from: Entry,
     /// Requests that the sender has in flight at upstreams.
@@ -59,9 +59,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
     /// Periodic heartbeat of another gateway.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Reply to the heartbeat of a gateway that started or came back; never replied to.
-    Introduction(Beat),
+    JoinReply(Heartbeat),
     /// Request of a sidecar for the upstreams that serve a service.
     Ask(Ask),
     /// State of a group, from its leader.
@@ -73,9 +73,9 @@
     /// Changes of the published state.
     Answer(spread::Answer),
     /// Request for a configuration that is newer than this version.
-    Behind(Option<Version>),
+    ConfigurationQuery(Option<Version>),
     /// Configuration that the receiver is waiting for.
-    Configuration(Box<spread::Told>),
+    Configuration(Box<spread::Update>),
     /// Requests that were running when an upstream crashed.
     Crashes(Vec<Mark>),
     /// Rate limits that upstreams reported.
@@ -83,7 +83,7 @@
     /// Shares of rate limits that the sender lends to the receiver.
     Loan(Loan),
     /// Request for permission to send to an upstream that has a rate limit.
-    LimitAsk(home::Ask),
+    LimitAsk(home::Request),
     /// Reply to [`Datagram::LimitAsk`].
     LimitReply(home::Reply),
 }
--- a/crates/gateway/src/neighbour.rs
+++ b/crates/gateway/src/neighbour.rs
@@ -1,9 +1,9 @@
 //! Membership of the gateways and their load, by gossip.
 //!
-//! Each gateway sends a [`Beat`] to a few others several times a second. It describes the sender
-//! and relays part of what the sender knows of others, so that every gateway learns of all others
-//! without sending to all. A gateway without news for [`LIFE`] is no longer offered to callers; one
-//! that leaves announces it.
+//! Each gateway sends a [`Heartbeat`] to a few others several times a second. It describes the
+//! sender and relays part of what the sender knows of others, so that every gateway learns of all
+//! others without sending to all. A gateway without news for [`NEWS_TIMEOUT`] is no longer offered
+//! to callers; one that leaves announces it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,21 +18,21 @@
 use rand::Rng;
 use rand::seq::IteratorRandom as _;
 
-use crate::message::Beat;
 use crate::message::Entry;
+use crate::message::Heartbeat;
 use crate::route::Version;
 use crate::spread;
 use crate::upstream::Counts;
 
-/// Interval of heartbeats: several arrive within [`LIFE`], and the reported counts of requests in
-/// flight stay younger than the requests last.
-pub const PERIOD: Duration = Duration::from_millis(300);
+/// Interval of heartbeats: several arrive within [`NEWS_TIMEOUT`], and the reported counts of
+/// requests in flight stay younger than the requests last.
+pub const HEARTBEAT_PERIOD: Duration = Duration::from_millis(300);
 /// Time without news after which a gateway counts as failed: five heartbeats, since single ones get
 /// lost.
-pub const LIFE: Duration = Duration::from_millis(1_600);
-/// Time without news up to which a gateway may be the home of a limit. It exceeds [`LIFE`] because
-/// in a fleet of hundreds the latest news of a live gateway may be older, and all gateways have to
-/// agree on the home. Those that lend to the home hear from it directly.
+pub const NEWS_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// Time without news up to which a gateway may be the home of a limit. It exceeds [`NEWS_TIMEOUT`]
+/// because in a fleet of hundreds the latest news of a live gateway may be older, and all gateways
+/// have to agree on the home. Those that lend to the home hear from it directly.
 const HOME_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time without news up to which a gateway counts towards the size of the fleet. In a fleet of
 /// hundreds nearly all news is younger.
@@ -46,9 +46,9 @@
 /// Time without news after which a gateway is removed.
 const REMOVAL_TIMEOUT: Duration = Duration::from_mins(1);
 /// Number of the first heartbeat of a process.
-const FIRST_BEAT: u64 = 1;
+const FIRST_HEARTBEAT: u64 = 1;
 /// Heartbeats between two that also go to the seeds, which may have been down before.
-const SEED_BEATS: u64 = 6;
+const SEED_HEARTBEATS: u64 = 6;
 
 /// The gateway that grants permits for an upstream with a rate limit.
 #[derive(Clone, Copy, Debug)]
@@ -69,7 +69,7 @@
 
 impl Peer {
     fn is_alive(&self, now: Monotonic) -> bool {
-        now.saturating_sub(self.heard) < LIFE
+        now.saturating_sub(self.heard) < NEWS_TIMEOUT
     }
 
     fn may_be_home(&self, now: Monotonic) -> bool {
@@ -93,25 +93,25 @@
 /// All gateways that this one knows.
 #[derive(Clone, Debug)]
 pub struct Roster {
-    me: Entry,
+    own_entry: Entry,
     seeds: Vec<SocketAddr>,
     others: BTreeMap<InstanceId, Peer>,
     /// Own messages of others count as current only if they arrived after this time.
     ignored_until: Monotonic,
     /// Highest number of members seen at once, including this gateway.
-    most: usize,
+    peak_members: usize,
 }
 
 impl Roster {
     /// Returns a roster that knows only this gateway and the addresses of its seeds.
     #[must_use]
-    pub fn new(me: Entry, seeds: Vec<SocketAddr>) -> Roster {
+    pub fn new(own_entry: Entry, seeds: Vec<SocketAddr>) -> Roster {
         Roster {
-            me,
+            own_entry,
             seeds,
             others: BTreeMap::new(),
             ignored_until: Monotonic::ZERO,
-            most: 1,
+            peak_members: 1,
         }
     }
 
@@ -122,20 +122,20 @@
 
     /// Sets whether this gateway accepts new requests; returns whether that changed.
     pub fn set_ready(&mut self, is_ready: bool) -> bool {
-        let is_changed = self.me.is_ready != is_ready;
-        self.me.is_ready = is_ready;
+        let is_changed = self.own_entry.is_ready != is_ready;
+        self.own_entry.is_ready = is_ready;
         is_changed
     }
 
     /// Returns whether this gateway accepts new requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.me.is_ready
+        self.own_entry.is_ready
     }
 
     /// Sets the version of the configuration in force at this gateway.
     pub(crate) fn set_version(&mut self, version: Version) {
-        self.me.version = Some(version);
+        self.own_entry.version = Some(version);
     }
 
     /// Returns the newest version in force at another live gateway, and the address of one that has
@@ -145,7 +145,10 @@
         let live = self.others.values().filter(|known| known.is_alive(now));
         let versions = live.filter_map(|known| Some((known.entry.version?, &known.entry)));
         let newest = versions.max_by_key(|(version, entry)| {
-            (*version, rendezvous(&self.me.instance, &entry.instance))
+            (
+                *version,
+                rendezvous(&self.own_entry.instance, &entry.instance),
+            )
         });
         newest.map(|(version, entry)| (version, entry.peers))
     }
@@ -160,23 +163,26 @@
     pub(crate) fn is_view_current(&self, now: Monotonic) -> bool {
         let recent = self.others.values().filter(|known| {
             let heard_directly = known.heard_directly.filter(|at| *at > self.ignored_until);
-            heard_directly.is_some_and(|at| now.saturating_sub(at) < LIFE)
+            heard_directly.is_some_and(|at| now.saturating_sub(at) < NEWS_TIMEOUT)
         });
         let recent: Vec<&Entry> = recent.map(|known| &known.entry).collect();
         let heard_directly = |seed: &SocketAddr| recent.iter().any(|entry| entry.peers == *seed);
-        let mut seeds = self.seeds.iter().filter(|seed| **seed != self.me.peers);
+        let mut seeds = self
+            .seeds
+            .iter()
+            .filter(|seed| **seed != self.own_entry.peers);
         recent.iter().any(|entry| entry.is_ready) || seeds.all(heard_directly)
     }
 
     /// Sets whether this gateway's last call to the store failed.
-    pub fn set_cut(&mut self, is_cut: bool) {
-        self.me.is_cut = is_cut;
+    pub fn set_store_unreachable(&mut self, is_store_unreachable: bool) {
+        self.own_entry.is_store_unreachable = is_store_unreachable;
     }
 
     /// Returns whether this gateway's last call to the store failed.
     #[must_use]
-    pub const fn is_cut(&self) -> bool {
-        self.me.is_cut
+    pub const fn is_store_unreachable(&self) -> bool {
+        self.own_entry.is_store_unreachable
     }
 
     /// Returns the addresses of the other gateways that read the store for this one's failure
@@ -184,12 +190,18 @@
     #[must_use]
     pub fn readers(&self, now: Monotonic) -> (Vec<SocketAddr>, bool) {
         let live = self.others.values().filter(|known| known.is_alive(now));
-        let all: Vec<&Entry> = live.map(|known| &known.entry).chain([&self.me]).collect();
-        let is_near = |entry: &&Entry| entry.failure_domain == self.me.failure_domain;
+        let all: Vec<&Entry> = live
+            .map(|known| &known.entry)
+            .chain([&self.own_entry])
+            .collect();
+        let is_near = |entry: &&Entry| entry.failure_domain == self.own_entry.failure_domain;
         // A gateway that the store rejects may use readers of any failure domain.
-        let able = all.iter().copied().filter(|entry| !entry.is_cut);
+        let able = all
+            .iter()
+            .copied()
+            .filter(|entry| !entry.is_store_unreachable);
         let mut able: Vec<&Entry> = able
-            .filter(|entry| self.me.is_cut || is_near(entry))
+            .filter(|entry| self.own_entry.is_store_unreachable || is_near(entry))
             .collect();
         if able.is_empty() {
             // The store answers no gateway: the readers of each failure domain keep trying for the
@@ -199,10 +211,10 @@
         let readers = spread::readers(able);
         let is_reader = readers
             .iter()
-            .any(|entry| entry.instance == self.me.instance);
+            .any(|entry| entry.instance == self.own_entry.instance);
         let others = readers
             .iter()
-            .filter(|entry| entry.instance != self.me.instance);
+            .filter(|entry| entry.instance != self.own_entry.instance);
         (others.map(|entry| entry.peers).collect(), is_reader)
     }
 
@@ -210,7 +222,7 @@
     /// is preferred.
     pub(crate) fn home(&self, key: &str, now: Monotonic) -> Home<'_> {
         let me = Home {
-            entry: &self.me,
+            entry: &self.own_entry,
             heard: now,
         };
         let others = self.others.values();
@@ -227,32 +239,32 @@
     }
 
     /// Returns this gateway's own state.
-    pub(crate) const fn me(&self) -> &Entry {
-        &self.me
+    pub(crate) const fn own_entry(&self) -> &Entry {
+        &self.own_entry
     }
 
     /// Merges a heartbeat; returns which gateways are new, back, or have changed their readiness.
-    pub fn hear(&mut self, beat: &Beat, now: Monotonic) -> Vec<Update> {
+    pub fn receive(&mut self, heartbeat: &Heartbeat, now: Monotonic) -> Vec<Update> {
         let mut updates = Vec::new();
-        updates.extend(self.merge(&beat.from, true, now));
-        for entry in &beat.others {
+        updates.extend(self.merge(&heartbeat.from, true, now));
+        for entry in &heartbeat.others {
             updates.extend(self.merge(entry, false, now));
         }
         // In a fleet of hundreds a single gateway knows only some of the members, and each knows
         // different ones.
-        let reported = usize::try_from(beat.members).unwrap_or(0);
-        self.most = self.most.max(self.members(now)).max(reported);
+        let reported = usize::try_from(heartbeat.members).unwrap_or(0);
+        self.peak_members = self.peak_members.max(self.members(now)).max(reported);
         updates
     }
 
     fn merge(&mut self, entry: &Entry, is_direct: bool, now: Monotonic) -> Option<Update> {
-        if entry.instance == self.me.instance {
+        if entry.instance == self.own_entry.instance {
             return None;
         }
         let known = self.others.get(&entry.instance);
         let is_newer = known.is_none_or(|known| {
             if known.entry.incarnation == entry.incarnation {
-                entry.beat > known.entry.beat
+                entry.heartbeats > known.entry.heartbeats
             } else {
                 // Incarnations have no order, and others may still relay the previous one.
                 is_direct || !known.is_alive(now)
@@ -260,7 +272,9 @@
         });
         if !is_newer {
             let known = self.others.get_mut(&entry.instance);
-            if let Some(known) = known.filter(|known| is_direct && known.entry.beat == entry.beat) {
+            if let Some(known) =
+                known.filter(|known| is_direct && known.entry.heartbeats == entry.heartbeats)
+            {
                 known.heard_directly = Some(now);
             }
             return None;
@@ -285,27 +299,33 @@
     /// Returns whether the sender of a heartbeat just started or was considered failed, so that the
     /// others send it nothing.
     #[must_use]
-    pub fn is_back(&self, beat: &Beat, now: Monotonic) -> bool {
-        let known = self.others.get(&beat.from.instance);
-        beat.from.beat == FIRST_BEAT || known.is_none_or(|known| !known.is_alive(now))
+    pub fn needs_join_reply(&self, heartbeat: &Heartbeat, now: Monotonic) -> bool {
+        let known = self.others.get(&heartbeat.from.instance);
+        heartbeat.from.heartbeats == FIRST_HEARTBEAT
+            || known.is_none_or(|known| !known.is_alive(now))
     }
 
     /// Extends all timeouts by the time for which this process was suspended and received nothing.
-    pub fn pause(&mut self, pause: Duration) {
+    pub fn extend_timeouts(&mut self, pause: Duration) {
         for known in self.others.values_mut() {
             known.heard = known.heard.saturating_add(pause);
         }
     }
 
     /// Creates the next heartbeat, and removes gateways without news for a long time.
-    pub fn beat(&mut self, counts: Counts, now: Monotonic, rng: &mut impl Rng) -> Beat {
-        self.me.beat += 1;
+    pub fn next_heartbeat(
+        &mut self,
+        counts: Counts,
+        now: Monotonic,
+        rng: &mut impl Rng,
+    ) -> Heartbeat {
+        self.own_entry.heartbeats += 1;
         self.others
             .retain(|_, known| now.saturating_sub(known.heard) < REMOVAL_TIMEOUT);
         let live = self.others.values().filter(|known| known.is_alive(now));
         let relayed = live.choose_multiple(rng, MAX_RELAYED);
-        Beat {
-            from: self.me.clone(),
+        Heartbeat {
+            from: self.own_entry.clone(),
             counts,
             others: relayed
                 .into_iter()
@@ -318,9 +338,9 @@
     /// Returns the last heartbeat without gossip about others, for a gateway that lends to this
     /// one.
     #[must_use]
-    pub fn word(&self, counts: Counts, now: Monotonic) -> Beat {
-        Beat {
-            from: self.me.clone(),
+    pub fn own_heartbeat(&self, counts: Counts, now: Monotonic) -> Heartbeat {
+        Heartbeat {
+            from: self.own_entry.clone(),
             counts,
             others: Vec::new(),
             members: count(self.members(now)),
@@ -329,15 +349,15 @@
 
     /// Returns the last heartbeat with gossip about some others, for a gateway that started or came
     /// back.
-    pub(crate) fn introduction(&self, now: Monotonic, rng: &mut impl Rng) -> Beat {
+    pub(crate) fn join_reply(&self, now: Monotonic, rng: &mut impl Rng) -> Heartbeat {
         let live = self.others.values().filter(|known| known.is_alive(now));
         let relayed = live.choose_multiple(rng, MAX_RELAYED);
-        Beat {
+        Heartbeat {
             others: relayed
                 .into_iter()
                 .map(|known| known.entry.clone())
                 .collect(),
-            ..self.word(Counts::new(), now)
+            ..self.own_heartbeat(Counts::new(), now)
         }
     }
 
@@ -347,8 +367,12 @@
         let addresses = live.map(|known| known.entry.peers);
         let mut targets = addresses.choose_multiple(rng, FANOUT);
         let is_isolated = targets.len() < FANOUT / 2;
-        if is_isolated || self.me.beat.is_multiple_of(SEED_BEATS) {
-            targets.extend(self.seeds.iter().filter(|seed| **seed != self.me.peers));
+        if is_isolated || self.own_entry.heartbeats.is_multiple_of(SEED_HEARTBEATS) {
+            targets.extend(
+                self.seeds
+                    .iter()
+                    .filter(|seed| **seed != self.own_entry.peers),
+            );
         }
         if is_isolated {
             // After a network partition the seeds may be gone while other known gateways are
@@ -366,7 +390,7 @@
     pub fn addresses(&self, now: Monotonic, most: usize) -> Vec<SocketAddr> {
         let live = self.others.values().filter(|known| known.is_alive(now));
         let others = live.map(|known| known.entry.peers);
-        std::iter::once(self.me.peers)
+        std::iter::once(self.own_entry.peers)
             .chain(others)
             .take(most)
             .collect()
@@ -391,8 +415,8 @@
     /// Returns the highest number of members seen at once. It is a safe divisor for shared
     /// quantities, since an isolated gateway can't tell whether the others have failed.
     #[must_use]
-    pub const fn most(&self) -> usize {
-        self.most
+    pub const fn peak_members(&self) -> usize {
+        self.peak_members
     }
 
     /// Returns the gateways that a caller in `domain` should use.
@@ -402,7 +426,7 @@
         let mut candidates: Vec<Candidate> = others
             .map(|known| candidate(&known.entry, known.is_alive(now)))
             .collect();
-        candidates.push(candidate(&self.me, true));
+        candidates.push(candidate(&self.own_entry, true));
         discovery::offer(&candidates, domain, seed)
     }
 }
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -96,15 +96,15 @@
     /// Time that 1,000 tokens of context add to a step.
     pub per_context: Duration,
     /// Prefill rate, in prompt tokens per second.
-    pub read_rate: f64,
+    pub prefill_rate: f64,
     /// Fraction of the work per token that is done by experts.
     pub expert_part: f64,
     /// Mean prompt length, in tokens.
-    pub usual_prompt: f64,
+    pub mean_prompt_tokens: f64,
     /// Mean answer length, in tokens.
-    pub usual_answer: f64,
+    pub mean_answer_tokens: f64,
     /// Time that a group takes to form again.
-    pub form: Duration,
+    pub form_time: Duration,
     /// Layout of the model's experts; `None` if it has none.
     pub shape: Option<Shape>,
 }
@@ -119,13 +119,13 @@
     /// Returns the number of passes that decode an answer of mean length; at least 1.
     #[must_use]
     pub fn passes(&self) -> f64 {
-        (self.usual_answer / f64::from(self.steps.max(1))).max(1.0)
+        (self.mean_answer_tokens / f64::from(self.steps.max(1))).max(1.0)
     }
 
     /// Returns the time that decoding a request of mean length adds to a pass of its rank.
     #[must_use]
-    pub fn writing(&self) -> Duration {
-        let context = (self.usual_prompt + self.usual_answer / 2.0) / 1_000.0;
+    pub fn decode_time(&self) -> Duration {
+        let context = (self.mean_prompt_tokens + self.mean_answer_tokens / 2.0) / 1_000.0;
         let request = self.per_request + self.per_context.mul_f64(context);
         request * self.steps
     }
@@ -133,7 +133,7 @@
     /// Returns the prefill time of a prompt of mean length, averaged over its request's passes.
     #[must_use]
     pub fn prefill_time(&self) -> Duration {
-        let prompt = self.usual_prompt / self.read_rate.max(1.0);
+        let prompt = self.mean_prompt_tokens / self.prefill_rate.max(1.0);
         Duration::try_from_secs_f64(prompt / self.passes()).unwrap_or_default()
     }
 
@@ -143,7 +143,7 @@
     pub fn cost(&self, longest_pause: Duration) -> Cost {
         Cost {
             base: self.base(),
-            request: self.writing() + self.prefill_time(),
+            request: self.decode_time() + self.prefill_time(),
             expert_part: self.expert_part,
             longest_pause,
         }
@@ -177,9 +177,9 @@
     pub name: WorkspaceId,
 }
 
-/// Content of one version of the configuration, from which a [`Table`] is built.
+/// One version of the configuration, from which a [`Table`] is built.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Content {
+pub struct Configuration {
     /// Version; a table is only replaced by one of a newer version.
     pub version: Version,
     /// Routes; the last one wins where several have the same host and prefix.
@@ -205,25 +205,25 @@
 impl Table {
     /// Indexes one version of the configuration.
     #[must_use]
-    pub fn new(content: Content) -> Table {
+    pub fn new(configuration: Configuration) -> Table {
         let mut routes: HashMap<String, HashMap<String, Arc<Route>>> = HashMap::new();
-        for route in content.routes {
+        for route in configuration.routes {
             let host = routes.entry(route.host.to_ascii_lowercase()).or_default();
             host.insert(route.prefix.clone(), Arc::new(route));
         }
-        let services = content.services.into_iter();
+        let services = configuration.services.into_iter();
         let services = services.map(|service| (Arc::clone(&service.name), Arc::new(service)));
         let mut keys = HashMap::new();
-        for (workspace, held) in content.workspaces {
+        for (workspace, held) in configuration.workspaces {
             let workspace = Arc::new(workspace);
             keys.extend(held.into_iter().map(|key| (key, Arc::clone(&workspace))));
         }
         Table {
-            version: content.version,
+            version: configuration.version,
             routes,
             services: services.collect(),
             keys,
-            limits: content.limits,
+            limits: configuration.limits,
         }
     }
 
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -23,13 +23,13 @@
 use serde::Serialize;
 
 use crate::message::Entry;
-use crate::route::Content;
+use crate::route::Configuration;
 use crate::route::Version;
 use crate::upstream::Upstream;
 use crate::upstream::UpstreamId;
 
+pub use revision::FullRead;
 pub use revision::Generation;
-pub use revision::Reading;
 pub use revision::Revision;
 
 /// Readers per failure domain: two, so that one is left while the replacement of a failed one is
@@ -59,11 +59,11 @@
 
 /// One change of the published state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Published {
+pub enum Change {
     /// An upstream was added or rewritten.
     Upstream(Upstream),
     /// An upstream was removed from the list.
-    Missing(UpstreamId),
+    Removed(UpstreamId),
     /// A configuration was written; its content is requested separately.
     Configuration,
 }
@@ -81,11 +81,11 @@
 
 /// Configuration that a gateway sends to another one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Update {
     /// Revision of the store at which it was written.
     pub revision: Revision,
-    /// Content of the configuration.
-    pub content: Content,
+    /// The configuration.
+    pub configuration: Configuration,
 }
 
 /// Changes that a reader sends, in reply to a [`Question`] or unsolicited.
@@ -100,7 +100,7 @@
     /// Age of the reader's knowledge when it sent the answer.
     pub age: Duration,
     /// Changes in order of revision.
-    pub changes: Vec<(Revision, Published)>,
+    pub changes: Vec<(Revision, Change)>,
 }
 
 /// What this gateway has to read from the store now.
@@ -133,8 +133,8 @@
     /// Since when an announced configuration has been missing here.
     awaited_since: Option<Monotonic>,
     /// Newest configuration, kept to answer queries.
-    told: Option<Told>,
-    changes: VecDeque<(Revision, Published)>,
+    kept_configuration: Option<Update>,
+    changes: VecDeque<(Revision, Change)>,
     /// Revision after which `changes` is complete.
     kept_after: Revision,
     /// Consecutive requests to the store without an answer.
@@ -155,7 +155,7 @@
     /// Records the generation that the store itself reported; returns whether it differs from the
     /// previous one. A gateway's calls to the store are sequential, so each report is newer than
     /// the ones before.
-    pub fn enter(&mut self, generation: Generation) -> bool {
+    pub fn set_generation(&mut self, generation: Generation) -> bool {
         let is_other = generation != self.generation;
         if is_other {
             self.generation = generation;
@@ -166,7 +166,7 @@
 
     /// Records the generation that another gateway reported; returns whether it is new. The store
     /// has to confirm it: a wrong report costs one full read and doesn't block later generations.
-    pub fn hint(&mut self, generation: Generation) -> bool {
+    pub fn note_generation(&mut self, generation: Generation) -> bool {
         let is_new = generation > self.generation.max(self.reported_generation);
         if is_new {
             self.reported_generation = generation;
@@ -183,21 +183,21 @@
 
     /// Records a full read as of `revision`, with a configuration that was written at
     /// `configuration`.
-    pub fn read_all(&mut self, revision: Revision, configuration: Revision) -> Reading {
-        self.enter(revision.generation);
+    pub fn record_full_read(&mut self, revision: Revision, configuration: Revision) -> FullRead {
+        self.set_generation(revision.generation);
         let before = self.full_read_generation.replace(revision.generation);
         self.revision = Some(revision);
-        self.read_configuration(configuration);
+        self.record_configuration(configuration);
         self.changes.clear();
         self.kept_after = revision;
         match before {
-            Some(before) if before != revision.generation => Reading::Restored,
-            _ => Reading::Whole,
+            Some(before) if before != revision.generation => FullRead::Restored,
+            _ => FullRead::Complete,
         }
     }
 
     /// Records that a configuration written at `revision` was read.
-    pub fn read_configuration(&mut self, revision: Revision) {
+    pub fn record_configuration(&mut self, revision: Revision) {
         self.read = self.read.max(revision);
         self.heard = self.heard.max(revision);
         self.awaited_since = None;
@@ -205,30 +205,32 @@
 
     /// Keeps a configuration to answer queries. The order is by version first: versions only
     /// increase, whereas a restored store may contain an older one at a later revision.
-    pub fn keep(&mut self, told: Told) {
-        let order = |told: &Told| (told.content.version, told.revision);
+    pub fn keep_configuration(&mut self, update: Update) {
+        let order = |update: &Update| (update.configuration.version, update.revision);
         let is_newer = self
-            .told
+            .kept_configuration
             .as_ref()
-            .is_none_or(|kept| order(kept) < order(&told));
+            .is_none_or(|kept| order(kept) < order(&update));
         if is_newer {
-            self.told = Some(told);
+            self.kept_configuration = Some(update);
         }
     }
 
     /// Returns the kept configuration to send in reply to a question; `None` if the sender doesn't
     /// ask for one or has it already.
     #[must_use]
-    pub fn told(&self, question: Question) -> Option<&Told> {
+    pub fn requested_configuration(&self, question: Question) -> Option<&Update> {
         let known = question.configuration?;
-        self.told.as_ref().filter(|told| told.revision > known)
+        self.kept_configuration
+            .as_ref()
+            .filter(|kept| kept.revision > known)
     }
 
     /// Returns the kept configuration if its version is newer than `version`.
     #[must_use]
-    pub fn newer(&self, version: Option<Version>) -> Option<&Told> {
-        let told = self.told.as_ref();
-        told.filter(|told| Some(told.content.version) > version)
+    pub fn configuration_newer_than(&self, version: Option<Version>) -> Option<&Update> {
+        let kept = self.kept_configuration.as_ref();
+        kept.filter(|kept| Some(kept.configuration.version) > version)
     }
 
     /// Returns whether a configuration was announced that has not been read yet.
@@ -240,18 +242,18 @@
     /// Returns the revisions of the newest configuration that was announced and of the newest one
     /// that was read.
     #[must_use]
-    pub const fn configurations(&self) -> (Revision, Revision) {
+    pub const fn configuration_revisions(&self) -> (Revision, Revision) {
         (self.heard, self.read)
     }
 
     /// Records that the store answered.
-    pub const fn reach(&mut self) {
+    pub const fn record_success(&mut self) {
         self.failures = 0;
     }
 
     /// Records that the store did not answer; returns the delay before the next attempt. It grows
     /// for gateways that are not readers, since no other gateway depends on them.
-    pub fn miss(&mut self, is_reader: bool) -> Duration {
+    pub fn record_failure(&mut self, is_reader: bool) -> Duration {
         let (shortest, longest) = RETRY_DELAYS;
         let times = if is_reader { 0 } else { self.failures };
         self.failures += 1;
@@ -260,13 +262,13 @@
     }
 
     /// Records that the store no longer has the changes after the known revision.
-    pub const fn forget(&mut self) {
+    pub const fn require_full_read(&mut self) {
         self.revision = None;
     }
 
     /// Applies changes up to `until`, in order of revision; returns those that are new. Changes of
     /// a generation other than the known one are ignored.
-    pub fn take(&mut self, changes: Vec<(Revision, Published)>, until: Revision) -> Vec<Published> {
+    pub fn take(&mut self, changes: Vec<(Revision, Change)>, until: Revision) -> Vec<Change> {
         let known = self.revision;
         let Some(known) = known.filter(|known| known.generation == until.generation) else {
             return Vec::new();
@@ -276,7 +278,7 @@
             if revision <= known {
                 continue;
             }
-            if change == Published::Configuration {
+            if change == Change::Configuration {
                 self.heard = self.heard.max(revision);
             }
             self.changes.push_back((revision, change.clone()));
@@ -326,7 +328,7 @@
     /// revision are no longer kept.
     #[must_use]
     pub fn answer(&self, question: Question, age: Duration) -> Option<Answer> {
-        let answer = self.since(question.revision, age)?;
+        let answer = self.changes_since(question.revision, age)?;
         Some(Answer {
             number: Some(question.number),
             ..answer
@@ -336,7 +338,7 @@
     /// Returns an unsolicited answer with the changes after `since`. For an earlier generation it
     /// holds no changes and only announces the current generation.
     #[must_use]
-    pub fn since(&self, since: Revision, age: Duration) -> Option<Answer> {
+    pub fn changes_since(&self, since: Revision, age: Duration) -> Option<Answer> {
         let known = self.revision?;
         if since.generation < known.generation {
             return Some(Answer {
@@ -369,7 +371,7 @@
 
     /// Applies the answer of a reader. Returns the new changes and, if it confirms that everything
     /// up to now is known, the time as of which it does.
-    pub fn hear(&mut self, answer: Answer) -> (Vec<Published>, Option<Monotonic>) {
+    pub fn apply_answer(&mut self, answer: Answer) -> (Vec<Change>, Option<Monotonic>) {
         let Some(known) = self.revision else {
             return (Vec::new(), None);
         };
@@ -402,6 +404,6 @@
 
 /// Returns whether knowledge of this age requires a gateway to read the store itself.
 #[must_use]
-pub fn helps_itself(age: Option<Duration>) -> bool {
+pub fn must_read_itself(age: Option<Duration>) -> bool {
     age.is_none_or(|age| age > SELF_READ_AGE)
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -97,7 +97,7 @@
     /// Requests in flight from this gateway.
     pub(crate) own: u32,
     /// Load reported by the group's leader; `None` without a recent report.
-    pub(crate) told: Option<report::Load>,
+    pub(crate) reported: Option<report::Load>,
 }
 
 /// Change of the pool, for the log.
@@ -147,28 +147,28 @@
             self.members.insert(member.upstream.id.clone(), member);
             return Some(change);
         };
-        let was_ready = member.takes_work();
+        let was_ready = member.is_ready();
         member.update(upstream);
-        let is_leaving = was_ready && !member.takes_work();
+        let is_leaving = was_ready && !member.is_ready();
         is_leaving.then(|| Change::Leaving(Arc::clone(&member.upstream)))
     }
 
     /// Records that an upstream announced its departure in a response, whatever the list says.
-    pub fn leave(&mut self, upstream: &Upstream) -> Option<Change> {
+    pub fn mark_draining(&mut self, upstream: &Upstream) -> Option<Change> {
         self.leaving.record(upstream);
         let known = self.members.get_mut(&upstream.id);
         let member = known.filter(|member| !member.is_other_incarnation(upstream))?;
-        let was_ready = member.takes_work();
-        member.leave();
+        let was_ready = member.is_ready();
+        member.mark_draining();
         was_ready.then(|| Change::Leaving(Arc::clone(&member.upstream)))
     }
 
     /// Returns whether this incarnation of an upstream accepts new requests.
     #[must_use]
-    pub fn takes_work(&self, upstream: &Upstream) -> bool {
+    pub fn is_ready(&self, upstream: &Upstream) -> bool {
         let member = self.members.get(&upstream.id);
         let member = member.filter(|member| !member.is_other_incarnation(upstream));
-        member.is_some_and(Member::takes_work)
+        member.is_some_and(Member::is_ready)
     }
 
     /// Sets the services that the configuration in force defines.
@@ -177,7 +177,7 @@
     }
 
     /// Records that an upstream is missing from the list; [`Pool::expire`] removes it.
-    pub fn miss(&mut self, id: &str) {
+    pub fn mark_missing(&mut self, id: &str) {
         self.untrusted.remove(id);
         if let Some(member) = self.members.get_mut(id) {
             member.is_missing = true;
@@ -201,10 +201,10 @@
         changes
     }
 
-    /// Removes missing upstreams, unless `is_doubtful`: the store was unavailable, and entries may
-    /// be written again.
-    pub fn expire(&mut self, is_doubtful: bool) -> Vec<Change> {
-        if is_doubtful {
+    /// Removes missing upstreams, unless `may_lack_entries`: the store was unavailable, and entries
+    /// may be written again.
+    pub fn expire(&mut self, may_lack_entries: bool) -> Vec<Change> {
+        if may_lack_entries {
             return Vec::new();
         }
         let mut removed = Vec::new();
@@ -224,7 +224,7 @@
     }
 
     /// Sets the requests that a neighbour has in flight.
-    pub fn set_elsewhere(&mut self, neighbour: u64, counts: Counts, now: Monotonic) {
+    pub fn set_neighbour_counts(&mut self, neighbour: u64, counts: Counts, now: Monotonic) {
         let counts = counts.into_iter().collect();
         self.neighbours.insert(neighbour, (now, counts));
         self.neighbours
@@ -257,15 +257,18 @@
     /// Returns the number of upstreams of a service that accept new requests.
     #[must_use]
     pub fn ready(&self, service: &str) -> usize {
-        self.of(service).count()
+        self.ready_members(service).count()
     }
 
     /// Returns the upstreams of a service that accept new requests.
-    pub(crate) fn of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Member> {
+    pub(crate) fn ready_members<'a>(
+        &'a self,
+        service: &'a str,
+    ) -> impl Iterator<Item = &'a Member> {
         let members = self.members.values();
         members.filter(move |member| {
             let is_asked = *member.upstream.service == *service;
-            is_asked && member.takes_work() && self.addresses.is_newest(&member.upstream)
+            is_asked && member.is_ready() && self.addresses.is_newest(&member.upstream)
         })
     }
 
@@ -275,7 +278,8 @@
         service: &'a str,
         now: Monotonic,
     ) -> impl Iterator<Item = Usage<'a>> {
-        self.of(service).map(move |member| self.usage(member, now))
+        self.ready_members(service)
+            .map(move |member| self.usage(member, now))
     }
 
     /// Returns the requests in flight at a service: those of this gateway, and those of its
@@ -293,16 +297,16 @@
     }
 
     pub(crate) fn usage<'a>(&self, member: &'a Member, now: Monotonic) -> Usage<'a> {
-        let told = self.reports.load(member.upstream.address, now);
+        let reported = self.reports.load(member.upstream.address, now);
         let from_neighbours = || self.neighbour_sums.get(&member.tag).copied().unwrap_or(0);
         Usage {
             upstream: &member.upstream,
-            requests: told.map_or_else(
+            requests: reported.map_or_else(
                 || member.in_flight + from_neighbours(),
                 |load| load.requests,
             ),
             own: member.in_flight,
-            told,
+            reported,
         }
     }
 
--- a/crates/gateway/src/version.rs
+++ b/crates/gateway/src/version.rs
@@ -14,11 +14,11 @@
 use auburnline_core::time::Monotonic;
 use rand::Rng;
 
+use crate::freshness;
 use crate::gateway::Gateway;
-use crate::knowledge;
-use crate::message::Beat;
-use crate::neighbour::LIFE;
-use crate::neighbour::PERIOD;
+use crate::message::Heartbeat;
+use crate::neighbour::HEARTBEAT_PERIOD;
+use crate::neighbour::NEWS_TIMEOUT;
 
 /// Time that a starting or returning gateway waits for a message of another one: two heartbeats, of
 /// which one may be lost. Receivers of its own first heartbeat reply immediately.
@@ -68,8 +68,8 @@
         let since = *self.lag.behind_since.get_or_insert(now);
         let is_late = now.saturating_sub(since) >= CONFIGURATION_WAIT;
         let asked = self.lag.asked_ahead;
-        let is_asked = asked.is_some_and(|at| now.saturating_sub(at) < PERIOD);
-        if is_asked || !(self.waits_to_serve(now) || is_late) {
+        let is_asked = asked.is_some_and(|at| now.saturating_sub(at) < HEARTBEAT_PERIOD);
+        if is_asked || !(self.awaits_peers(now) || is_late) {
             return None;
         }
         self.lag.asked_ahead = Some(now);
@@ -79,18 +79,18 @@
     /// Returns whether this gateway has read the store and doesn't serve yet because another one
     /// may be ahead.
     #[must_use]
-    pub fn waits_to_serve(&self, now: Monotonic) -> bool {
-        self.lag.unconfirmed.is_some() && !self.knowledge.is_fresh(now)
+    pub fn awaits_peers(&self, now: Monotonic) -> bool {
+        self.lag.unconfirmed.is_some() && !self.freshness.is_fresh(now)
     }
 
     /// Returns the reply to the heartbeat of a gateway that started or came back. It reports this
     /// gateway as not ready if its knowledge is outdated: after a suspension the roster may still
     /// say ready.
     #[must_use]
-    pub fn introduction(&self, now: Monotonic, rng: &mut impl Rng) -> Beat {
-        let mut beat = self.roster.introduction(now, rng);
-        beat.from.is_ready &= self.is_able(now);
-        beat
+    pub fn join_reply(&self, now: Monotonic, rng: &mut impl Rng) -> Heartbeat {
+        let mut heartbeat = self.roster.join_reply(now, rng);
+        heartbeat.from.is_ready &= self.can_serve(now);
+        heartbeat
     }
 
     /// Returns the address of a gateway whose version is newer than this one's.
@@ -101,29 +101,29 @@
 
     /// Records that the state of the store is known as of `known_at`. It takes effect once no other
     /// gateway is ahead.
-    pub fn confirm(&mut self, known_at: Monotonic, now: Monotonic) -> knowledge::Change {
+    pub fn confirm(&mut self, known_at: Monotonic, now: Monotonic) -> freshness::Change {
         let before = self.lag.known_at;
         // Messages received before a gap, or queued in the socket during it, don't show which
         // version others have in force now.
-        if before.is_some_and(|before| known_at.saturating_sub(before) >= LIFE) {
+        if before.is_some_and(|before| known_at.saturating_sub(before) >= NEWS_TIMEOUT) {
             self.roster.ignore_until(now);
             self.lag.uninformed_since = None;
         }
         self.lag.known_at = before.max(Some(known_at));
         self.lag.unconfirmed = self.lag.unconfirmed.max(Some(known_at));
-        self.settle(now)
+        self.confirm_pending(now)
     }
 
     /// Confirms the recorded knowledge once it no longer has to wait for other gateways.
-    pub fn settle(&mut self, now: Monotonic) -> knowledge::Change {
+    pub fn confirm_pending(&mut self, now: Monotonic) -> freshness::Change {
         let Some(known_at) = self.lag.unconfirmed else {
-            return knowledge::Change::None;
+            return freshness::Change::None;
         };
         if !self.has_heard_peers(now) || self.ahead(now).is_some() {
-            return knowledge::Change::None;
+            return freshness::Change::None;
         }
         self.lag.unconfirmed = None;
-        self.knowledge.confirm(known_at, now)
+        self.freshness.record_success(known_at, now)
     }
 
     /// Returns whether another gateway has reported its version, or the time to wait for that has
--- a/crates/gateway/tests/all/backoff.rs
+++ b/crates/gateway/tests/all/backoff.rs
@@ -95,7 +95,7 @@
         panic!("the request was not refused");
     };
     expect_that!(refusal.kind, eq(Kind::Overloaded));
-    expect_that!(refusal.is_closed, eq(true));
+    expect_that!(refusal.is_throttled, eq(true));
     // The first of them accepts requests again after 2.2 s.
     expect_that!(refusal.retry_after, some(ge(millis(2_200))));
     let backing_off = gateway.backing_off("desk", 9, now);
@@ -125,7 +125,7 @@
     let mut gateway = gateway();
     back_off(&mut gateway, "desk-0", 2_200);
     let before = find(&gateway, "desk-0");
-    gateway.pool.miss("desk-0");
+    gateway.pool.mark_missing("desk-0");
     gateway.pool.expire(false);
     tick(&mut gateway, 2_400);
     gateway.pool.insert(Upstream::clone(&before));
@@ -146,7 +146,7 @@
     let plan = ask(&mut gateway, "/draft/a", Some("key-1"), 2_300).expect("a plan");
     let now = millis(2_300);
     gateway.refused(&plan, "a-0", &"a".into(), now);
-    expect_that!(gateway.groups.is_shut("a", now), eq(false));
+    expect_that!(gateway.groups.is_unavailable("a", now), eq(false));
 }
 
 /// Guards against a stream that leaves its slow rank and then breaks off because no other rank
@@ -157,8 +157,7 @@
     slow_down(&mut gateway, 2_300);
     let plan = ask(&mut gateway, "/draft/a", Some("key-1"), 2_300).expect("a plan");
     let slow = find(&gateway, "a-0");
-    let is_better =
-        |gateway: &Gateway| gateway.is_better_off_elsewhere(&plan, &slow, millis(2_310));
+    let is_better = |gateway: &Gateway| gateway.should_move(&plan, &slow, millis(2_310));
     expect_that!(is_better(&gateway), eq(true));
     back_off(&mut gateway, "a-1", 2_305);
     expect_that!(is_better(&gateway), eq(false));
--- a/crates/gateway/tests/all/fleet/world.rs
+++ b/crates/gateway/tests/all/fleet/world.rs
@@ -10,7 +10,7 @@
 use auburnline_core::time::Monotonic;
 use auburnline_gateway::Gateway;
 use auburnline_gateway::limit::Consent;
-use auburnline_gateway::neighbour::PERIOD;
+use auburnline_gateway::neighbour::HEARTBEAT_PERIOD;
 use auburnline_gateway::neighbour::Roster;
 use auburnline_gateway::upstream::State;
 use auburnline_gateway::upstream::Upstream;
@@ -88,7 +88,9 @@
         for upstream in &self.upstreams {
             gateway.pool.insert(Upstream::clone(upstream));
         }
-        let _ = gateway.knowledge.confirm(Monotonic::ZERO, Monotonic::ZERO);
+        let _ = gateway
+            .freshness
+            .record_success(Monotonic::ZERO, Monotonic::ZERO);
         let plan = ask(&mut gateway, "/desk/a", Some("key-1"), 0).expect("a plan");
         self.nodes[node] = Some(Node {
             gateway,
@@ -147,7 +149,7 @@
             match event {
                 Event::Tick => self.tick(node, at),
                 Event::Request => self.request(node, at),
-                Event::Deliver(from, message) => self.hear(node, from, message, at),
+                Event::Deliver(from, message) => self.receive(node, from, message, at),
                 Event::Answer(upstream, sent) => self.answer(node, upstream, sent, at),
                 Event::Fault(_) => {}
             }
@@ -207,12 +209,15 @@
         if let Some(written) = written {
             node.gateway.pool.insert(written);
         }
-        let beat = node.gateway.roster.beat(Vec::new(), local, &mut rng);
+        let heartbeat = node
+            .gateway
+            .roster
+            .next_heartbeat(Vec::new(), local, &mut rng);
         let targets = node.gateway.roster.targets(local, &mut rng);
-        let notices = node.gateway.beat_limits(local);
+        let notices = node.gateway.heartbeat_limits(local);
         let loans = node.gateway.loans(local);
         for target in targets {
-            self.send(number, target, Message::Beat(beat.clone()), now);
+            self.send(number, target, Message::Heartbeat(heartbeat.clone()), now);
             if !notices.is_empty() {
                 self.send(number, target, Message::Limits(notices.clone()), now);
             }
@@ -220,46 +225,46 @@
         for (home, loan) in loans {
             self.send(number, home, Message::Loan(loan), now);
         }
-        self.schedule(now + PERIOD, number, Event::Tick);
+        self.schedule(now + HEARTBEAT_PERIOD, number, Event::Tick);
     }
 
-    fn hear(&mut self, number: usize, from: usize, message: Message, now: Time) {
+    fn receive(&mut self, number: usize, from: usize, message: Message, now: Time) {
         let (node, local) = self.at(number, now);
         let gateway = &mut node.gateway;
         match message {
-            Message::Beat(beat) => {
-                let is_back = gateway.roster.is_back(&beat, local);
-                gateway.roster.hear(&beat, local);
-                if is_back {
+            Message::Heartbeat(heartbeat) => {
+                let needs_join_reply = gateway.roster.needs_join_reply(&heartbeat, local);
+                gateway.roster.receive(&heartbeat, local);
+                if needs_join_reply {
                     let mut rng = ChaCha8Rng::from_rng(&mut self.rng);
                     let (node, local) = self.at(number, now);
-                    let word = node.gateway.introduction(local, &mut rng);
-                    self.send(number, peers(from), Message::Introduction(word), now);
+                    let reply = node.gateway.join_reply(local, &mut rng);
+                    self.send(number, peers(from), Message::JoinReply(reply), now);
                 }
             }
-            Message::Introduction(beat) => {
-                gateway.roster.hear(&beat, local);
+            Message::JoinReply(heartbeat) => {
+                gateway.roster.receive(&heartbeat, local);
             }
             Message::Limits(notices) => {
-                gateway.hear_limits(&notices, peers(from), local);
+                gateway.receive_limits(&notices, peers(from), local);
             }
             Message::Loan(loan) => {
-                gateway.hear_loan(&loan, peers(from), local);
-                let word = gateway.roster.word(Vec::new(), local);
-                self.send(number, peers(from), Message::Beat(word), now);
+                gateway.receive_loan(&loan, peers(from), local);
+                let word = gateway.roster.own_heartbeat(Vec::new(), local);
+                self.send(number, peers(from), Message::Heartbeat(word), now);
             }
-            Message::Ask(ask) => {
-                let reply = gateway.reply(ask, local);
+            Message::Ask(request) => {
+                let reply = gateway.reply(request, local);
                 self.send(number, peers(from), Message::Reply(reply), now);
             }
             Message::Reply(reply) => {
-                let Some((ask, upstream)) = node.waiting.remove(&reply.number) else {
+                let Some((request, upstream)) = node.waiting.remove(&reply.number) else {
                     return;
                 };
-                let consent = gateway.take_reply(ask, Some(reply.permit), local);
+                let consent = gateway.apply_reply(request, Some(reply.permit), local);
                 let target = Arc::clone(&self.upstreams[upstream]);
                 let (node, local) = self.at(number, now);
-                if consent == Consent::Granted && node.gateway.wants_work(&target, local) {
+                if consent == Consent::Granted && node.gateway.accepts_requests(&target, local) {
                     self.forward(number, upstream, now);
                 }
             }
@@ -282,9 +287,9 @@
             match gateway.consent(&choice.upstream, local) {
                 Consent::Granted => return self.forward(number, upstream, now),
                 Consent::Denied => denied.push(choice.upstream.id.clone()),
-                Consent::Ask { home, ask } => {
-                    node.waiting.insert(ask.number, (ask, upstream));
-                    return self.send(number, home, Message::Ask(ask), now);
+                Consent::Ask { home, request } => {
+                    node.waiting.insert(request.number, (request, upstream));
+                    return self.send(number, home, Message::Ask(request), now);
                 }
             }
         }
@@ -313,13 +318,13 @@
         let target = Arc::clone(&self.upstreams[upstream]);
         let (node, local) = self.at(number, now);
         let sent = sent.saturating_sub(node.started);
-        node.gateway.take_limit(&target, rate, sent, local);
+        node.gateway.record_limit(&target, rate, sent, local);
         if let Some(backoff) = backoff {
             node.gateway.back_off(&target, backoff, local);
             node.backoff_at[upstream] = Some(now);
         }
         if is_leaving {
-            node.gateway.pool.leave(&target);
+            node.gateway.pool.mark_draining(&target);
             node.knows_leaving[upstream] = true;
         }
         if rate.is_some() {
--- a/crates/gateway/tests/all/gateway.rs
+++ b/crates/gateway/tests/all/gateway.rs
@@ -33,12 +33,12 @@
     let me = Entry {
         instance: "me".into(),
         incarnation: 1,
-        beat: 0,
+        heartbeats: 0,
         failure_domain: "north".into(),
         callers: "10.0.0.1:80".parse().expect("an address"),
         peers: "10.0.0.1:81".parse().expect("an address"),
         is_ready: true,
-        is_cut: false,
+        is_store_unreachable: false,
         version: None,
     };
     Gateway::new("north".into(), BOUNDS, Roster::new(me, Vec::new()), 7)
@@ -55,7 +55,9 @@
     for id in ["desk-0", "desk-1"] {
         gateway.pool.insert(upstream(id, "desk", State::Ready));
     }
-    let _ = gateway.knowledge.confirm(millis(1_000), millis(1_000));
+    let _ = gateway
+        .freshness
+        .record_success(millis(1_000), millis(1_000));
     gateway
 }
 
@@ -69,7 +71,7 @@
         host: "desk.example",
         path,
         key,
-        patience: Some(millis(8_000)),
+        timeout: Some(millis(8_000)),
     };
     gateway.plan(&request, millis(now))
 }
@@ -107,7 +109,7 @@
     );
     let late = ask(&mut gateway, "/draft/", Some("key-1"), 6_500);
     assert_that!(kind(late), some(eq(Kind::NotReady)));
-    assert_that!(gateway.is_able(millis(6_500)), eq(false));
+    assert_that!(gateway.can_serve(millis(6_500)), eq(false));
 }
 
 #[gtest]
@@ -126,7 +128,7 @@
     let mut gateway = gateway(12);
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 1_000).expect("a plan");
     let mut sent = 0;
-    while let Admission::Go(_) = gateway.admit(&plan, millis(1_000)) {
+    while let Admission::Admit(_) = gateway.admit(&plan, millis(1_000)) {
         gateway
             .assign(&plan, &[], millis(1_000))
             .expect("an upstream");
@@ -143,7 +145,7 @@
                 looks += 1;
             }
             Admission::Refuse(refusal) => break refusal,
-            Admission::Go(_) => panic!("the group is full"),
+            Admission::Admit(_) => panic!("the group is full"),
         }
     };
     assert_that!(looks, gt(0));
@@ -152,7 +154,7 @@
     gateway.end("rank-0", Outcome::Answered(millis(900)), now);
     assert_that!(
         gateway.admit(&plan, now),
-        matches_pattern!(Admission::Go(anything()))
+        matches_pattern!(Admission::Admit(anything()))
     );
 }
 
@@ -173,7 +175,7 @@
     // The group is tried again from time to time.
     assert_that!(
         gateway.admit(&plan, millis(1_300)),
-        matches_pattern!(Admission::Go(anything()))
+        matches_pattern!(Admission::Admit(anything()))
     );
     for tick in 0..10 {
         let now = millis(1_300 + tick * 200);
@@ -181,10 +183,10 @@
     }
     let refused = gateway.admit(&plan, millis(3_150));
     assert_that!(refused, matches_pattern!(Admission::Refuse(anything())));
-    gateway.groups.trust(&group);
+    gateway.groups.mark_available(&group);
     assert_that!(
         gateway.admit(&plan, millis(3_150)),
-        matches_pattern!(Admission::Go(anything()))
+        matches_pattern!(Admission::Admit(anything()))
     );
 }
 
@@ -198,15 +200,21 @@
         stall: millis(1_500),
         ..BOUNDS
     });
-    gateway.groups.suspect(&"model".into(), millis(1_000));
+    gateway
+        .groups
+        .mark_unavailable(&"model".into(), millis(1_000));
     let early = ask(&mut gateway, "/draft/", Some("key-1"), 1_050).expect("a plan");
-    gateway.groups.suspect(&"model".into(), millis(2_500));
+    gateway
+        .groups
+        .mark_unavailable(&"model".into(), millis(2_500));
     let waits = gateway.admit(&early, millis(2_540));
     assert_that!(waits, matches_pattern!(Admission::Wait(anything())));
     let leaves = gateway.admit(&early, millis(2_550));
     assert_that!(leaves, matches_pattern!(Admission::Refuse(anything())));
     let later = ask(&mut gateway, "/draft/", Some("key-1"), 2_000).expect("a plan");
-    gateway.groups.suspect(&"model".into(), millis(3_050));
+    gateway
+        .groups
+        .mark_unavailable(&"model".into(), millis(3_050));
     let waits = gateway.admit(&later, millis(3_090));
     assert_that!(waits, matches_pattern!(Admission::Wait(anything())));
     let refused = gateway.admit(&later, millis(3_100));
@@ -221,13 +229,13 @@
     let mut gateway = gateway(1);
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 1_000).expect("a plan");
     let group = "model".into();
-    gateway.groups.suspect(&group, millis(1_000));
+    gateway.groups.mark_unavailable(&group, millis(1_000));
     let shut = gateway.admit(&plan, millis(1_100));
     assert_that!(shut, matches_pattern!(Admission::Wait(anything())));
-    gateway.groups.trust(&group);
+    gateway.groups.mark_available(&group);
     // Other requests were sent first and fill the group.
     let other = ask(&mut gateway, "/draft/", Some("key-1"), 1_500).expect("a plan");
-    while let Admission::Go(_) = gateway.admit(&other, millis(1_500)) {
+    while let Admission::Admit(_) = gateway.admit(&other, millis(1_500)) {
         gateway
             .assign(&other, &[], millis(1_500))
             .expect("an upstream");
@@ -253,7 +261,7 @@
         .expect("an upstream");
     gateway.refused(&plan, &choice.upstream.id, &group, millis(1_010));
     let refusal = gateway.give_up(&plan, "no send succeeded", millis(1_010));
-    assert_that!(refusal.retry_after, some(ge(ENGINE.form * 2)));
+    assert_that!(refusal.retry_after, some(ge(ENGINE.form_time * 2)));
 }
 
 /// Guards against requests that wait for a group that has been closed for seconds because the group
@@ -261,9 +269,15 @@
 #[gtest]
 fn a_group_of_another_service_that_shuts_makes_nobody_wait() {
     let mut gateway = gateway(12);
-    gateway.groups.suspect(&"model".into(), millis(1_000));
-    gateway.groups.suspect(&"model".into(), millis(2_900));
-    gateway.groups.suspect(&"elsewhere".into(), millis(2_950));
+    gateway
+        .groups
+        .mark_unavailable(&"model".into(), millis(1_000));
+    gateway
+        .groups
+        .mark_unavailable(&"model".into(), millis(2_900));
+    gateway
+        .groups
+        .mark_unavailable(&"elsewhere".into(), millis(2_950));
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 3_000).expect("a plan");
     let refused = gateway.admit(&plan, millis(3_000));
     assert_that!(refused, matches_pattern!(Admission::Refuse(anything())));
@@ -276,7 +290,10 @@
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 1_000).expect("a plan");
     (0..13).for_each(|_| gateway.pool.begin("rank-0"));
     gateway.refused(&plan, "rank-0", &"model".into(), millis(1_010));
-    assert_that!(gateway.groups.is_shut("model", millis(1_010)), eq(false));
+    assert_that!(
+        gateway.groups.is_unavailable("model", millis(1_010)),
+        eq(false)
+    );
 }
 
 #[gtest]
@@ -300,7 +317,7 @@
         let now = millis(2_000 + tick * 10);
         let (choice, _) = gateway.assign(&plan, &[], now).expect("an upstream");
         gateway.end(&choice.upstream.id, Outcome::Refused, now);
-        retried += u32::from(gateway.may_repeat(&plan, now));
+        retried += u32::from(gateway.take_retry(&plan, now));
     }
     // 1,000 requests in the window of 10 s: 0.2 retries for each, and the slack of 20.
     assert_that!(retried, le(220));
@@ -312,5 +329,5 @@
     let mut gateway = gateway(1);
     let plan = ask(&mut gateway, "/desk/", Some("key-1"), 1_000).expect("a plan");
     gateway.tick(millis(1_000));
-    assert_that!(gateway.may_repeat(&plan, millis(1_000)), eq(false));
+    assert_that!(gateway.take_retry(&plan, millis(1_000)), eq(false));
 }
--- a/crates/gateway/tests/all/limit.rs
+++ b/crates/gateway/tests/all/limit.rs
@@ -18,17 +18,17 @@
 use auburnline_lockstep::message::Busy;
 use auburnline_lockstep::message::Digest;
 use auburnline_quota::Rate;
-use auburnline_quota::book::Teller;
 use auburnline_quota::home::Permit;
 use auburnline_quota::loan::LEASE;
+use auburnline_quota::registry::Teller;
 use googletest::prelude::*;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
 use crate::gateway::ask;
 use crate::gateway::blank;
-use crate::support::beat;
 use crate::support::entry;
+use crate::support::heartbeat;
 use crate::support::millis;
 use crate::support::table;
 use crate::support::upstream;
@@ -67,7 +67,7 @@
             is_open: true,
             engines: ranks.map(busy).to_vec(),
         };
-        gateway.hear(&digest, millis(2_100));
+        gateway.apply_digest(&digest, millis(2_100));
     }
     gateway
 }
@@ -76,9 +76,9 @@
 pub(crate) fn tick(gateway: &mut Gateway, now: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let now = millis(now);
-    let _ = gateway.knowledge.confirm(now, now);
-    gateway.roster.beat(Vec::new(), now, &mut rng);
-    gateway.beat_limits(now);
+    let _ = gateway.freshness.record_success(now, now);
+    gateway.roster.next_heartbeat(Vec::new(), now, &mut rng);
+    gateway.heartbeat_limits(now);
     gateway.loans(now);
 }
 
@@ -89,7 +89,7 @@
 
 fn name_limit(gateway: &mut Gateway, id: &str, rate: Rate, now: u64) {
     let upstream = find(gateway, id);
-    gateway.take_limit(&upstream, Some(rate), millis(now - 1), millis(now));
+    gateway.record_limit(&upstream, Some(rate), millis(now - 1), millis(now));
 }
 
 /// Sends one request every ten milliseconds for a time; returns when and where each was sent.
@@ -170,7 +170,7 @@
         panic!("the request was not refused");
     };
     expect_that!(refusal.kind, eq(Kind::Overloaded));
-    expect_that!(refusal.is_closed, eq(true));
+    expect_that!(refusal.is_throttled, eq(true));
     expect_that!(refusal.retry_after, some(gt(Duration::ZERO)));
     let limited = gateway.limited("desk", 9, millis(4_410));
     expect_that!(limited, len(eq(2)));
@@ -186,7 +186,7 @@
     press(&mut gateway, "/desk/a", 2_400, 4_400);
     for id in ["desk-0", "desk-1"] {
         let upstream = find(&gateway, id);
-        gateway.take_limit(&upstream, None, millis(4_400), millis(4_420));
+        gateway.record_limit(&upstream, None, millis(4_400), millis(4_420));
     }
     let sent = press(&mut gateway, "/desk/a", 4_430, 5_430);
     expect_that!(sent.len(), eq(100));
@@ -220,7 +220,7 @@
         is_open: true,
         engines: vec![busy(0, 1_200), busy(1, 100)],
     };
-    gateway.hear(&slowed, millis(now));
+    gateway.apply_digest(&slowed, millis(now));
 }
 
 /// Guards against a stream that leaves its slow rank and then breaks off because no other rank
@@ -232,12 +232,9 @@
     let plan = ask(&mut gateway, "/draft/a", Some("key-1"), 2_300).expect("a plan");
     let slow = find(&gateway, "a-0");
     let now = millis(2_310);
-    expect_that!(gateway.is_better_off_elsewhere(&plan, &slow, now), eq(true));
+    expect_that!(gateway.should_move(&plan, &slow, now), eq(true));
     name_limit(&mut gateway, "a-1", 5.0, 2_305);
-    expect_that!(
-        gateway.is_better_off_elsewhere(&plan, &slow, now),
-        eq(false)
-    );
+    expect_that!(gateway.should_move(&plan, &slow, now), eq(false));
 }
 
 /// Guards against a whole group that gets no work because one rank with a limit refused a stream.
@@ -248,9 +245,9 @@
     let plan = ask(&mut gateway, "/draft/a", Some("key-1"), 2_300).expect("a plan");
     let now = millis(2_300);
     gateway.refused(&plan, "a-0", &"a".into(), now);
-    expect_that!(gateway.groups.is_shut("a", now), eq(false));
+    expect_that!(gateway.groups.is_unavailable("a", now), eq(false));
     gateway.refused(&plan, "a-1", &"a".into(), now);
-    expect_that!(gateway.groups.is_shut("a", now), eq(true));
+    expect_that!(gateway.groups.is_unavailable("a", now), eq(true));
 }
 
 /// Adds gateways with these numbers until one is the home of the limit of `upstream`; returns its
@@ -278,8 +275,8 @@
         ..entry(number, 1, now)
     };
     let address = from.peers;
-    let beat = beat(from);
-    gateway.roster.hear(&beat, millis(now));
+    let heartbeat = heartbeat(from);
+    gateway.roster.receive(&heartbeat, millis(now));
     address
 }
 
@@ -289,7 +286,7 @@
     let now = millis(now);
     let mut homes = Vec::new();
     for _ in 0..2 {
-        gateway.roster.beat(Vec::new(), now, &mut rng);
+        gateway.roster.next_heartbeat(Vec::new(), now, &mut rng);
         let loans = gateway.loans(now).into_iter();
         homes.extend(loans.map(|(home, _)| home));
     }
@@ -303,19 +300,19 @@
     name_limit(&mut gateway, "desk-0", 2.0, 2_200);
     let upstream = find(&gateway, "desk-0");
     let address = with_home(&mut gateway, &upstream, 1..=99, 2_250);
-    let Consent::Ask { home, ask } = gateway.consent(&upstream, millis(2_300)) else {
+    let Consent::Ask { home, request } = gateway.consent(&upstream, millis(2_300)) else {
         panic!("the gateway did not ask the home");
     };
     expect_that!(home, eq(address));
-    let granted = gateway.take_reply(ask, Some(Permit::Granted), millis(2_302));
+    let granted = gateway.apply_reply(request, Some(Permit::Granted), millis(2_302));
     expect_that!(granted, eq(Consent::Granted));
     let denied = Permit::Denied { retry_ms: 400 };
-    let denied = gateway.take_reply(ask, Some(denied), millis(2_310));
+    let denied = gateway.apply_reply(request, Some(denied), millis(2_310));
     expect_that!(denied, eq(Consent::Denied));
     let sent = press(&mut gateway, "/desk/a", 2_320, 2_700);
     expect_that!(count(&sent, "desk-0"), eq(0));
     expect_that!(
-        gateway.take_reply(ask, None, millis(2_710)),
+        gateway.apply_reply(request, None, millis(2_710)),
         eq(Consent::Denied)
     );
 }
--- a/crates/gateway/tests/all/load.rs
+++ b/crates/gateway/tests/all/load.rs
@@ -46,12 +46,12 @@
 }
 
 /// Delivers a heartbeat of every other gateway and a confirmation of the store.
-fn deliver_heartbeats(gateway: &mut Gateway, beat: u64, now: u64) {
+fn deliver_heartbeats(gateway: &mut Gateway, heartbeats: u64, now: u64) {
     for number in 1..GATEWAYS {
-        let beat = support::beat(entry(number, 1, beat));
-        gateway.roster.hear(&beat, millis(now));
+        let heartbeat = support::heartbeat(entry(number, 1, heartbeats));
+        gateway.roster.receive(&heartbeat, millis(now));
     }
-    let _ = gateway.knowledge.confirm(millis(now), millis(now));
+    let _ = gateway.freshness.record_success(millis(now), millis(now));
 }
 
 /// Returns one gateway of many that knows the ranks of some groups.
@@ -77,7 +77,7 @@
     let mut sent = 0;
     loop {
         let plan = ask(gateway, "/draft/", Some("key-1"), now).expect("a plan");
-        let Admission::Go(_) = gateway.admit(&plan, millis(now)) else {
+        let Admission::Admit(_) = gateway.admit(&plan, millis(now)) else {
             return sent;
         };
         gateway
@@ -95,13 +95,13 @@
 #[gtest]
 fn a_wave_of_callers_fills_an_empty_group_once_and_not_once_for_each_gateway() {
     let mut gateway = gateway(1);
-    gateway.hear(&digest(0, 0), millis(1_000));
+    gateway.apply_digest(&digest(0, 0), millis(1_000));
     let sent = flood(&mut gateway, 1_000);
     let slots = u32::from(RANKS) * 12;
     assert_that!(sent, ge(1));
     assert_that!(sent * u32::from(GATEWAYS), le(slots + u32::from(GATEWAYS)));
     // The leader's next report gives new headroom.
-    gateway.hear(&digest(0, 1), millis(1_200));
+    gateway.apply_digest(&digest(0, 1), millis(1_200));
     assert_that!(flood(&mut gateway, 1_200), ge(1));
 }
 
@@ -133,13 +133,15 @@
             let counts = (0..4)
                 .map(|rank| (tag(&format!("rank-0-{rank}")), 1))
                 .collect();
-            gateway.pool.set_elsewhere(neighbour, counts, millis(now));
+            gateway
+                .pool
+                .set_neighbour_counts(neighbour, counts, millis(now));
         }
         let plan = ask(&mut gateway, "/draft/", Some("key-1"), now).expect("a plan");
         gateway.observe(&plan, &"model".into(), millis(90), millis(now));
     }
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 3_900).expect("a plan");
-    let Admission::Go(Some(basis)) = gateway.admit(&plan, millis(3_900)) else {
+    let Admission::Admit(Some(basis)) = gateway.admit(&plan, millis(3_900)) else {
         panic!("the group has headroom");
     };
     // 39 others with four streams each, of which ten were heard.
@@ -152,7 +154,7 @@
 #[gtest]
 fn a_group_that_its_lead_calls_full_takes_nothing() {
     let mut gateway = gateway(1);
-    gateway.hear(&digest(0, 12), millis(1_000));
+    gateway.apply_digest(&digest(0, 12), millis(1_000));
     assert_that!(flood(&mut gateway, 1_000), eq(0));
 }
 
@@ -160,9 +162,9 @@
 #[gtest]
 fn a_group_that_stands_still_gets_nothing_while_another_serves() {
     let mut gateway = gateway(2);
-    gateway.hear(&digest(0, 0), millis(1_000));
-    gateway.hear(&digest(1, 0), millis(1_000));
-    gateway.hear(&digest(1, 0), millis(1_900));
+    gateway.apply_digest(&digest(0, 0), millis(1_000));
+    gateway.apply_digest(&digest(1, 0), millis(1_000));
+    gateway.apply_digest(&digest(1, 0), millis(1_900));
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 2_000).expect("a plan");
     for _ in 0..8 {
         let (_, group) = gateway
@@ -177,16 +179,16 @@
     let mut reports = Reports::default();
     let engine = engine(0, 0);
     assert_that!(reports.load(engine, millis(0)), none());
-    reports.hear(&digest(0, 5), millis(0));
+    reports.apply(&digest(0, 5), millis(0));
     reports.sent(engine);
     reports.sent(engine);
     let requests =
         |reports: &Reports, now| reports.load(engine, millis(now)).map(|load| load.requests);
     assert_that!(requests(&reports, 100), some(eq(7)));
     // Half of them may have arrived after the rank's load was sampled.
-    reports.hear(&digest(0, 6), millis(200));
+    reports.apply(&digest(0, 6), millis(200));
     assert_that!(requests(&reports, 300), some(eq(7)));
-    reports.hear(&digest(0, 6), millis(400));
+    reports.apply(&digest(0, 6), millis(400));
     assert_that!(requests(&reports, 500), some(eq(6)));
     assert_that!(requests(&reports, 1_100), none());
 }
@@ -200,7 +202,7 @@
     for report in 0..10 {
         let now = 1_000 + report * 200;
         deliver_heartbeats(&mut gateway, report + 2, now);
-        gateway.hear(&digest(0, 10), millis(now));
+        gateway.apply_digest(&digest(0, 10), millis(now));
         let plan = ask(&mut gateway, "/draft/", Some("key-1"), now).expect("a plan");
         // It checks after each report, but sends nothing.
         let _ = gateway.admit(&plan, millis(now));
@@ -217,7 +219,7 @@
     for report in 0..40 {
         let now = 1_000 + report * 200;
         deliver_heartbeats(&mut gateway, report + 2, now);
-        gateway.hear(&digest(0, 10), millis(now));
+        gateway.apply_digest(&digest(0, 10), millis(now));
         let plan = ask(&mut gateway, "/draft/", Some("key-1"), now).expect("a plan");
         gateway.observe(&plan, &"g0".into(), millis(100), millis(now));
         // Before that the gateway learns the length of passes.
@@ -241,7 +243,7 @@
     for report in 0..20 {
         let now = 1_000 + report * 200;
         deliver_heartbeats(&mut gateway, report + 2, now);
-        gateway.hear(&digest(0, 6), millis(now));
+        gateway.apply_digest(&digest(0, 6), millis(now));
         let plan = ask(&mut gateway, "/draft/", Some("key-1"), now).expect("a plan");
         gateway.observe(&plan, &"g0".into(), millis(60), millis(now));
     }
@@ -250,9 +252,9 @@
         is_open: false,
         ..digest(0, 0)
     };
-    gateway.hear(&unavailable, millis(5_000));
+    gateway.apply_digest(&unavailable, millis(5_000));
     deliver_heartbeats(&mut gateway, 30, 6_000);
-    gateway.hear(&digest(0, 0), millis(6_000));
+    gateway.apply_digest(&digest(0, 0), millis(6_000));
     let load = Load {
         ranks: u32::from(RANKS),
         in_flight: 0,
@@ -270,7 +272,7 @@
     let mut digest = digest(0, 5);
     digest.engines[7].pace = pace;
     digest.engines[7].requests = requests;
-    gateway.hear(&digest, millis(now)).has_slowed
+    gateway.apply_digest(&digest, millis(now)).has_slowed
 }
 
 /// One rank of a group takes twelve times as long for some seconds. In each pass all other ranks
@@ -288,8 +290,7 @@
         address: engine(0, rank),
         ..upstream("any", "model", State::Ready)
     };
-    let leaves =
-        |gateway: &Gateway, rank| gateway.is_better_off_elsewhere(&plan, &at(rank), millis(1_400));
+    let leaves = |gateway: &Gateway, rank| gateway.should_move(&plan, &at(rank), millis(1_400));
     assert_that!(leaves(&gateway, 7), eq(true));
     assert_that!(leaves(&gateway, 8), eq(false));
     let group = "g0".into();
@@ -315,7 +316,7 @@
         address: engine(0, 7),
         ..upstream("any", "model", State::Ready)
     };
-    let leaves = gateway.is_better_off_elsewhere(&plan, &rank, millis(1_000));
+    let leaves = gateway.should_move(&plan, &rank, millis(1_000));
     assert_that!(leaves, eq(false));
 }
 
@@ -329,12 +330,12 @@
     for busy in &mut digest.engines {
         busy.pace = 400;
     }
-    gateway.hear(&digest, millis(1_000));
+    gateway.apply_digest(&digest, millis(1_000));
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 1_000).expect("a plan");
     let rank = Upstream {
         address: engine(0, 7),
         ..upstream("any", "model", State::Ready)
     };
-    let leaves = gateway.is_better_off_elsewhere(&plan, &rank, millis(1_000));
+    let leaves = gateway.should_move(&plan, &rank, millis(1_000));
     assert_that!(leaves, eq(false));
 }
--- a/crates/gateway/tests/all/restore/mod.rs
+++ b/crates/gateway/tests/all/restore/mod.rs
@@ -10,18 +10,18 @@
 use std::time::Duration;
 
 use auburnline_gateway::Gateway;
-use auburnline_gateway::message::Beat;
+use auburnline_gateway::message::Heartbeat;
 use auburnline_gateway::route::Table;
 use auburnline_gateway::route::Version;
 use auburnline_gateway::spread::Answer;
 use auburnline_gateway::spread::Question;
 use auburnline_gateway::spread::Revision;
-use auburnline_gateway::spread::Told;
+use auburnline_gateway::spread::Update;
 use googletest::prelude::*;
 use rand::Rng as _;
 use rand_chacha::ChaCha8Rng;
 
-use crate::support::content;
+use crate::support::configuration;
 use crate::support::millis;
 
 const STEP: Duration = Duration::from_millis(100);
@@ -88,12 +88,12 @@
 
 #[derive(Clone)]
 enum Message {
-    Beat(Beat),
-    Introduction(Beat),
+    Heartbeat(Heartbeat),
+    JoinReply(Heartbeat),
     Question(Question),
     Answer(Answer),
-    Behind(Option<Version>),
-    Configuration(Told),
+    ConfigurationQuery(Option<Version>),
+    Configuration(Update),
 }
 
 struct Node {
@@ -122,13 +122,13 @@
 }
 
 fn apply_configuration(gateway: &mut Gateway, version: Version, written: Revision) {
-    let content = content(version, Vec::new());
-    gateway.spread.keep(Told {
+    let configuration = configuration(version, Vec::new());
+    gateway.spread.keep_configuration(Update {
         revision: written,
-        content: content.clone(),
+        configuration: configuration.clone(),
     });
-    gateway.set_table(Table::new(content));
-    gateway.spread.read_configuration(written);
+    gateway.set_table(Table::new(configuration));
+    gateway.spread.record_configuration(written);
 }
 
 /// Guards against gateways that stay behind, for seconds or until the next change, because the
--- a/crates/gateway/tests/all/restore/world.rs
+++ b/crates/gateway/tests/all/restore/world.rs
@@ -7,8 +7,8 @@
 use auburnline_gateway::message::Entry;
 use auburnline_gateway::neighbour::Roster;
 use auburnline_gateway::route::Version;
+use auburnline_gateway::spread::Change;
 use auburnline_gateway::spread::Need;
-use auburnline_gateway::spread::Published;
 use rand::Rng as _;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
@@ -126,41 +126,41 @@
         let now = self.now.saturating_sub(node.started);
         let gateway = &mut node.gateway;
         let reply = match message {
-            Message::Beat(beat) => {
-                let is_back = gateway.roster.is_back(&beat, now);
-                gateway.roster.hear(&beat, now);
-                is_back.then(|| {
+            Message::Heartbeat(heartbeat) => {
+                let needs_join_reply = gateway.roster.needs_join_reply(&heartbeat, now);
+                gateway.roster.receive(&heartbeat, now);
+                needs_join_reply.then(|| {
                     let mut rng = ChaCha8Rng::from_rng(&mut self.rng);
-                    Message::Introduction(gateway.introduction(now, &mut rng))
+                    Message::JoinReply(gateway.join_reply(now, &mut rng))
                 })
             }
-            Message::Introduction(beat) => {
-                gateway.roster.hear(&beat, now);
+            Message::JoinReply(heartbeat) => {
+                gateway.roster.receive(&heartbeat, now);
                 None
             }
             Message::Question(question) => {
-                gateway.spread.hint(question.revision.generation);
-                let age = gateway.knowledge.age(now).unwrap_or_default();
+                gateway.spread.note_generation(question.revision.generation);
+                let age = gateway.freshness.age(now).unwrap_or_default();
                 let answer = gateway.spread.answer(question, age).map(Message::Answer);
-                if let Some(told) = gateway.spread.told(question).cloned() {
-                    self.send(number, peers(from), Message::Configuration(told));
+                if let Some(update) = gateway.spread.requested_configuration(question).cloned() {
+                    self.send(number, peers(from), Message::Configuration(update));
                 }
                 answer
             }
             Message::Answer(answer) => {
-                gateway.spread.hint(answer.until.generation);
-                let (_, known_at) = gateway.spread.hear(answer);
+                gateway.spread.note_generation(answer.until.generation);
+                let (_, known_at) = gateway.spread.apply_answer(answer);
                 if let Some(known_at) = known_at {
                     gateway.confirm(known_at, now);
                 }
                 None
             }
-            Message::Behind(version) => {
-                let told = gateway.spread.newer(version).cloned();
-                told.map(Message::Configuration)
+            Message::ConfigurationQuery(version) => {
+                let update = gateway.spread.configuration_newer_than(version).cloned();
+                update.map(Message::Configuration)
             }
-            Message::Configuration(told) => {
-                apply_configuration(gateway, told.content.version, told.revision);
+            Message::Configuration(update) => {
+                apply_configuration(gateway, update.configuration.version, update.revision);
                 None
             }
         };
@@ -174,45 +174,45 @@
         let node = &mut self.nodes[number];
         let now = self.now.saturating_sub(node.started);
         let gateway = &mut node.gateway;
-        gateway.settle(now);
-        let is_able = gateway.is_able(now);
-        gateway.roster.set_ready(is_able);
+        gateway.confirm_pending(now);
+        let can_serve = gateway.can_serve(now);
+        gateway.roster.set_ready(can_serve);
         let need = gateway.need(now);
         if need == Need::Nothing || self.now < node.next_read {
             return;
         }
         if self.store.is_down || self.now < node.disconnected_until.max(node.isolated_until) {
-            gateway.roster.set_cut(true);
-            node.next_read = self.now + gateway.spread.miss(false);
+            gateway.roster.set_store_unreachable(true);
+            node.next_read = self.now + gateway.spread.record_failure(false);
             return;
         }
-        gateway.roster.set_cut(false);
-        gateway.spread.reach();
+        gateway.roster.set_store_unreachable(false);
+        gateway.spread.record_success();
         node.next_read = self.now + STEP * 2;
         let (written, version) = self.store.configuration();
         match need {
             Need::All => {
                 apply_configuration(gateway, version, written);
-                gateway.read_all(Vec::new(), self.store.revision(), written, now);
+                gateway.apply_full_read(Vec::new(), self.store.revision(), written, now);
                 gateway.confirm(now, now);
             }
             Need::Configuration => {
-                gateway.spread.enter(self.store.generation);
+                gateway.spread.set_generation(self.store.generation);
                 apply_configuration(gateway, version, written);
             }
             Need::Changes(after) => {
-                if gateway.spread.enter(self.store.generation) {
+                if gateway.spread.set_generation(self.store.generation) {
                     return;
                 }
                 if after > self.store.revision() {
-                    gateway.spread.forget();
+                    gateway.spread.require_full_read();
                     return;
                 }
                 let is_new = written > after;
                 if is_new {
                     apply_configuration(gateway, version, written);
                 }
-                let changes = is_new.then_some((written, Published::Configuration));
+                let changes = is_new.then_some((written, Change::Configuration));
                 let changes = changes.into_iter().collect();
                 gateway.spread.take(changes, self.store.revision());
                 gateway.confirm(now, now);
@@ -229,15 +229,18 @@
         let now = self.now.saturating_sub(node.started);
         let mut messages = Vec::new();
         if steps.is_multiple_of(BEAT_STEPS) {
-            let beat = node.gateway.roster.beat(Vec::new(), now, &mut rng);
+            let heartbeat = node
+                .gateway
+                .roster
+                .next_heartbeat(Vec::new(), now, &mut rng);
             let targets = node.gateway.roster.targets(now, &mut rng);
             messages.extend(
                 targets
                     .into_iter()
-                    .map(|to| (to, Message::Beat(beat.clone()))),
+                    .map(|to| (to, Message::Heartbeat(heartbeat.clone()))),
             );
             if let Some(ahead) = node.gateway.catch_up(now) {
-                messages.push((ahead, Message::Behind(node.gateway.version())));
+                messages.push((ahead, Message::ConfigurationQuery(node.gateway.version())));
             }
         }
         let is_awaiting = node.gateway.spread.awaits_configuration();
@@ -266,14 +269,14 @@
                 >= last_fault.max(node.isolated_until).max(node.healthy_since) + RECOVERY_TIME;
             let now = self.now.saturating_sub(node.started);
             let version = node.gateway.version();
-            let is_able = node.gateway.is_able(now);
-            if is_healthy && !self.store.is_down && is_able && version < least {
+            let can_serve = node.gateway.can_serve(now);
+            if is_healthy && !self.store.is_down && can_serve && version < least {
                 self.violations.push(format!(
                     "gateway {number} serves with version {version:?}, not {least:?}"
                 ));
             }
             let runs = self.now >= node.suspended_until;
-            if runs && is_able && version < revoked {
+            if runs && can_serve && version < revoked {
                 self.violations.push(format!(
                     "gateway {number} trusts keys of version {version:?}, not {revoked:?}"
                 ));
@@ -286,7 +289,7 @@
         let nodes = self.nodes.iter();
         let able = nodes.filter(|node| {
             let now = self.now.saturating_sub(node.started);
-            node.gateway.is_able(now)
+            node.gateway.can_serve(now)
         });
         able.count()
     }
--- a/crates/gateway/tests/all/spread.rs
+++ b/crates/gateway/tests/all/spread.rs
@@ -1,27 +1,27 @@
 //! Readers of the store, and distribution of its changes to other gateways.
 
+use auburnline_gateway::spread::Change;
+use auburnline_gateway::spread::FullRead;
 use auburnline_gateway::spread::Need;
-use auburnline_gateway::spread::Published;
-use auburnline_gateway::spread::Reading;
 use auburnline_gateway::spread::Revision;
 use auburnline_gateway::spread::Spread;
-use auburnline_gateway::spread::Told;
+use auburnline_gateway::spread::Update;
 use auburnline_gateway::upstream::State;
 use googletest::prelude::*;
 
-use crate::support::content;
+use crate::support::configuration;
 use crate::support::millis;
 use crate::support::revision as at;
 use crate::support::upstream;
 
-fn change(id: &str) -> Published {
-    Published::Upstream(upstream(id, "desk", State::Ready))
+fn change(id: &str) -> Change {
+    Change::Upstream(upstream(id, "desk", State::Ready))
 }
 
 /// Returns the state of a gateway that made a full read as of revision 10.
 fn spread() -> Spread {
     let mut spread = Spread::default();
-    spread.read_all(at(10), at(3));
+    spread.record_full_read(at(10), at(3));
     spread
 }
 
@@ -29,10 +29,10 @@
 fn all_is_read_first_and_again_when_the_history_is_gone() {
     let mut spread = Spread::default();
     assert_that!(spread.need(false, millis(0)), eq(Need::All));
-    spread.read_all(at(10), at(3));
+    spread.record_full_read(at(10), at(3));
     assert_that!(spread.need(false, millis(0)), eq(Need::Nothing));
     assert_that!(spread.need(true, millis(0)), eq(Need::Changes(at(10))));
-    spread.forget();
+    spread.require_full_read();
     assert_that!(spread.need(false, millis(0)), eq(Need::All));
 }
 
@@ -42,7 +42,7 @@
     reader.take(vec![(at(11), change("a")), (at(12), change("b"))], at(12));
     let question = asker.question(millis(5_000)).expect("a question");
     let answer = reader.answer(question, millis(800)).expect("an answer");
-    let (new, known_at) = asker.hear(answer);
+    let (new, known_at) = asker.apply_answer(answer);
     assert_that!(new, len(eq(2)));
     assert_that!(known_at, some(eq(millis(4_200))));
     assert_that!(asker.revision(), some(eq(at(12))));
@@ -55,7 +55,7 @@
     let question = asker.question(millis(1_000)).expect("a question");
     let late = reader.answer(question, millis(0)).expect("an answer");
     asker.question(millis(9_000)).expect("a question");
-    let (_, known_at) = asker.hear(late);
+    let (_, known_at) = asker.apply_answer(late);
     assert_that!(known_at, none());
 }
 
@@ -63,8 +63,8 @@
 fn what_is_told_unasked_is_taken_but_confirms_nothing() {
     let (mut reader, mut asker) = (spread(), spread());
     reader.take(vec![(at(11), change("a"))], at(11));
-    let told = reader.since(at(10), millis(0)).expect("an answer");
-    let (new, known_at) = asker.hear(told);
+    let answer = reader.changes_since(at(10), millis(0)).expect("an answer");
+    let (new, known_at) = asker.apply_answer(answer);
     assert_that!(new, len(eq(1)));
     assert_that!(known_at, none());
 }
@@ -74,8 +74,8 @@
     let (mut reader, mut asker) = (spread(), spread());
     reader.take(vec![(at(11), change("a"))], at(11));
     reader.take(vec![(at(12), change("b"))], at(12));
-    let told = reader.since(at(11), millis(0)).expect("an answer");
-    let (new, _) = asker.hear(told);
+    let answer = reader.changes_since(at(11), millis(0)).expect("an answer");
+    let (new, _) = asker.apply_answer(answer);
     assert_that!(new, is_empty());
     assert_that!(asker.revision(), some(eq(at(10))));
 }
@@ -85,23 +85,23 @@
 #[gtest]
 fn nothing_is_confirmed_before_a_configuration_that_was_heard_of_is_read() {
     let (mut reader, mut asker) = (spread(), spread());
-    reader.take(vec![(at(11), Published::Configuration)], at(11));
+    reader.take(vec![(at(11), Change::Configuration)], at(11));
     let question = asker.question(millis(1_000)).expect("a question");
-    let (_, known_at) = asker.hear(reader.answer(question, millis(0)).expect("an answer"));
+    let (_, known_at) = asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
     assert_that!(known_at, none());
     assert_that!(asker.need(true, millis(1_000)), eq(Need::Configuration));
     assert_that!(asker.need(false, millis(1_899)), eq(Need::Nothing));
     assert_that!(asker.need(false, millis(1_900)), eq(Need::Configuration));
-    asker.read_configuration(at(11));
+    asker.record_configuration(at(11));
     let question = asker.question(millis(2_000)).expect("a question");
-    let (_, known_at) = asker.hear(reader.answer(question, millis(0)).expect("an answer"));
+    let (_, known_at) = asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
     assert_that!(known_at, some(eq(millis(2_000))));
 }
 
-fn told(revision: u64) -> Told {
-    Told {
+fn update(revision: u64) -> Update {
+    Update {
         revision: at(revision),
-        content: content(revision, Vec::new()),
+        configuration: configuration(revision, Vec::new()),
     }
 }
 
@@ -111,15 +111,18 @@
 #[gtest]
 fn a_configuration_is_told_by_a_gateway_that_has_it() {
     let (mut reader, mut asker) = (spread(), spread());
-    reader.take(vec![(at(11), Published::Configuration)], at(11));
-    reader.keep(told(11));
-    reader.read_configuration(at(11));
+    reader.take(vec![(at(11), Change::Configuration)], at(11));
+    reader.keep_configuration(update(11));
+    reader.record_configuration(at(11));
     let question = asker.question(millis(1_000)).expect("a question");
-    assert_that!(reader.told(question), none());
-    asker.hear(reader.answer(question, millis(0)).expect("an answer"));
+    assert_that!(reader.requested_configuration(question), none());
+    asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
     let question = asker.question(millis(1_300)).expect("a question");
-    assert_that!(reader.told(question), some(eq(&told(11))));
-    asker.read_configuration(at(11));
+    assert_that!(
+        reader.requested_configuration(question),
+        some(eq(&update(11)))
+    );
+    asker.record_configuration(at(11));
     assert_that!(asker.awaits_configuration(), eq(false));
     assert_that!(asker.need(false, millis(9_000)), eq(Need::Nothing));
 }
@@ -129,19 +132,22 @@
 #[gtest]
 fn of_several_configurations_the_newest_is_kept_and_waited_for() {
     let mut asker = spread();
-    asker.take(vec![(at(11), Published::Configuration)], at(11));
+    asker.take(vec![(at(11), Change::Configuration)], at(11));
     assert_that!(asker.need(false, millis(1_000)), eq(Need::Nothing));
-    asker.take(vec![(at(12), Published::Configuration)], at(12));
-    asker.read_configuration(at(11));
+    asker.take(vec![(at(12), Change::Configuration)], at(12));
+    asker.record_configuration(at(11));
     assert_that!(asker.need(false, millis(1_800)), eq(Need::Nothing));
     assert_that!(asker.need(false, millis(2_600)), eq(Need::Nothing));
     assert_that!(asker.need(false, millis(2_700)), eq(Need::Configuration));
-    asker.keep(told(12));
-    asker.keep(told(11));
+    asker.keep_configuration(update(12));
+    asker.keep_configuration(update(11));
     let mut late = spread();
-    late.take(vec![(at(12), Published::Configuration)], at(12));
+    late.take(vec![(at(12), Change::Configuration)], at(12));
     let question = late.question(millis(0)).expect("a question");
-    assert_that!(asker.told(question), some(eq(&told(12))));
+    assert_that!(
+        asker.requested_configuration(question),
+        some(eq(&update(12)))
+    );
 }
 
 #[gtest]
@@ -150,7 +156,7 @@
     asker.take(vec![(at(14), change("a"))], at(14));
     let question = asker.question(millis(1_000)).expect("a question");
     let answer = reader.answer(question, millis(0)).expect("an answer");
-    let (new, known_at) = asker.hear(answer);
+    let (new, known_at) = asker.apply_answer(answer);
     assert_that!(new, is_empty());
     assert_that!(known_at, none());
 }
@@ -166,7 +172,7 @@
     for _ in 0..10 {
         let question = asker.question(millis(1_000)).expect("a question");
         let answer = reader.answer(question, millis(0)).expect("an answer");
-        heard += asker.hear(answer).0.len();
+        heard += asker.apply_answer(answer).0.len();
     }
     assert_that!(heard, eq(200));
     assert_that!(asker.revision(), some(eq(at(210))));
@@ -177,13 +183,15 @@
 #[gtest]
 fn a_store_that_answers_nobody_is_asked_by_its_readers_and_hardly_by_others() {
     let mut reader = spread();
-    let pauses: Vec<_> = (0..4).map(|_| reader.miss(true)).collect();
+    let pauses: Vec<_> = (0..4).map(|_| reader.record_failure(true)).collect();
     assert_that!(pauses, each(eq(&millis(250))));
     let mut other = spread();
-    let pauses: Vec<_> = (0..6).map(|_| other.miss(false).as_millis()).collect();
+    let pauses: Vec<_> = (0..6)
+        .map(|_| other.record_failure(false).as_millis())
+        .collect();
     assert_that!(pauses, eq(&vec![250, 500, 1_000, 2_000, 2_000, 2_000]));
-    other.reach();
-    assert_that!(other.miss(false), eq(millis(250)));
+    other.record_success();
+    assert_that!(other.record_failure(false), eq(millis(250)));
 }
 
 /// Returns a revision of the store's second generation.
@@ -199,39 +207,39 @@
 #[gtest]
 fn a_configuration_of_a_restored_store_is_told_though_its_revision_is_lower() {
     let (mut reader, mut asker) = (spread(), spread());
-    reader.keep(told(9));
+    reader.keep_configuration(update(9));
     for one in [&mut reader, &mut asker] {
-        one.take(vec![(at(90), Published::Configuration)], at(90));
-        one.read_configuration(at(90));
-        expect_that!(one.hint(1), eq(true));
-        expect_that!(one.hint(1), eq(false));
+        one.take(vec![(at(90), Change::Configuration)], at(90));
+        one.record_configuration(at(90));
+        expect_that!(one.note_generation(1), eq(true));
+        expect_that!(one.note_generation(1), eq(false));
         expect_that!(one.need(false, millis(0)), eq(Need::All));
-        let reading = one.read_all(restored(10), restored(3));
-        expect_that!(reading, eq(Reading::Restored));
+        let reading = one.record_full_read(restored(10), restored(3));
+        expect_that!(reading, eq(FullRead::Restored));
     }
-    reader.take(vec![(restored(11), Published::Configuration)], restored(11));
-    let newer = Told {
+    reader.take(vec![(restored(11), Change::Configuration)], restored(11));
+    let newer = Update {
         revision: restored(11),
-        content: content(91, Vec::new()),
+        configuration: configuration(91, Vec::new()),
     };
-    reader.keep(newer.clone());
+    reader.keep_configuration(newer.clone());
     let question = asker.question(millis(1_000)).expect("a question");
-    let (_, known_at) = asker.hear(reader.answer(question, millis(0)).expect("an answer"));
+    let (_, known_at) = asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
     expect_that!(known_at, none());
     let question = asker.question(millis(1_300)).expect("a question");
-    expect_that!(reader.told(question), some(eq(&newer)));
+    expect_that!(reader.requested_configuration(question), some(eq(&newer)));
 }
 
 /// Guards against applying changes of one generation of the store to the state of another.
 #[gtest]
 fn what_is_told_of_another_generation_changes_nothing() {
     let (mut old, mut new) = (spread(), spread());
-    new.hint(1);
-    new.read_all(restored(8), restored(3));
+    new.note_generation(1);
+    new.record_full_read(restored(8), restored(3));
     old.take(vec![(at(11), change("a"))], at(11));
     // The reader only knows the earlier generation.
     let question = new.question(millis(1_000)).expect("a question");
-    let (changes, known_at) = new.hear(old.answer(question, millis(0)).expect("an answer"));
+    let (changes, known_at) = new.apply_answer(old.answer(question, millis(0)).expect("an answer"));
     expect_that!(changes, is_empty());
     expect_that!(known_at, none());
     expect_that!(new.take(vec![(at(12), change("b"))], at(12)), is_empty());
@@ -242,8 +250,8 @@
     let answer = new.answer(question, millis(0)).expect("an answer");
     expect_that!(answer.changes, is_empty());
     expect_that!(answer.until, eq(restored(12)));
-    expect_that!(old.hear(answer.clone()).1, none());
-    old.hint(answer.until.generation);
+    expect_that!(old.apply_answer(answer.clone()).1, none());
+    old.note_generation(answer.until.generation);
     expect_that!(old.need(false, millis(1_000)), eq(Need::All));
 }
 
@@ -252,17 +260,20 @@
 #[gtest]
 fn the_newest_version_is_kept_through_a_restore() {
     let mut spread = spread();
-    spread.keep(told(20));
-    spread.hint(1);
-    spread.keep(Told {
+    spread.keep_configuration(update(20));
+    spread.note_generation(1);
+    spread.keep_configuration(Update {
         revision: restored(5),
-        content: content(15, Vec::new()),
+        configuration: configuration(15, Vec::new()),
     });
     let mut late = Spread::default();
-    late.read_all(at(4), at(4));
-    late.take(vec![(at(5), Published::Configuration)], at(5));
+    late.record_full_read(at(4), at(4));
+    late.take(vec![(at(5), Change::Configuration)], at(5));
     let question = late.question(millis(0)).expect("a question");
-    expect_that!(spread.told(question), some(eq(&told(20))));
+    expect_that!(
+        spread.requested_configuration(question),
+        some(eq(&update(20)))
+    );
 }
 
 /// Guards against a wrong report of a generation by another gateway, which would block everything
@@ -270,20 +281,24 @@
 #[gtest]
 fn a_generation_that_the_store_does_not_confirm_costs_one_reading_and_keeps_nothing_out() {
     let (mut reader, mut asker) = (spread(), spread());
-    expect_that!(asker.hint(9), eq(true));
+    expect_that!(asker.note_generation(9), eq(true));
     expect_that!(asker.need(false, millis(0)), eq(Need::All));
-    expect_that!(asker.read_all(at(10), at(3)), eq(Reading::Whole));
-    expect_that!(asker.hint(9), eq(false));
+    expect_that!(
+        asker.record_full_read(at(10), at(3)),
+        eq(FullRead::Complete)
+    );
+    expect_that!(asker.note_generation(9), eq(false));
     expect_that!(asker.need(false, millis(0)), eq(Need::Nothing));
     reader.take(vec![(at(11), change("a"))], at(11));
     let question = asker.question(millis(1_000)).expect("a question");
-    let (new, known_at) = asker.hear(reader.answer(question, millis(0)).expect("an answer"));
+    let (new, known_at) =
+        asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
     expect_that!(new, len(eq(1)));
     expect_that!(known_at, some(eq(millis(1_000))));
     // The store itself reports the next generation.
-    expect_that!(asker.enter(1), eq(true));
+    expect_that!(asker.set_generation(1), eq(true));
     expect_that!(
-        asker.read_all(restored(4), restored(3)),
-        eq(Reading::Restored)
+        asker.record_full_read(restored(4), restored(3)),
+        eq(FullRead::Restored)
     );
 }
--- a/crates/gateway/tests/all/support.rs
+++ b/crates/gateway/tests/all/support.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use auburnline_gateway::message::Beat;
 use auburnline_gateway::message::Entry;
-use auburnline_gateway::route::Content;
+use auburnline_gateway::message::Heartbeat;
+use auburnline_gateway::route::Configuration;
 use auburnline_gateway::route::Engine;
 use auburnline_gateway::route::Kind;
 use auburnline_gateway::route::Limits;
@@ -26,11 +26,11 @@
     step: Duration::from_micros(5_850),
     per_request: Duration::from_micros(355),
     per_context: Duration::from_micros(36),
-    read_rate: 61_200.0,
+    prefill_rate: 61_200.0,
     expert_part: 0.85,
-    usual_prompt: 835.0,
-    usual_answer: 139.0,
-    form: Duration::from_millis(600),
+    mean_prompt_tokens: 835.0,
+    mean_answer_tokens: 139.0,
+    form_time: Duration::from_millis(600),
     shape: None,
 };
 
@@ -56,7 +56,7 @@
     }
 }
 
-pub(crate) fn content(version: u64, routes: Vec<Route>) -> Content {
+pub(crate) fn configuration(version: u64, routes: Vec<Route>) -> Configuration {
     let service = |name: &str, engine| Service {
         name: name.into(),
         engine,
@@ -64,7 +64,7 @@
     let workspace = Workspace {
         name: "valley".into(),
     };
-    Content {
+    Configuration {
         version,
         routes,
         services: vec![service("model", Some(ENGINE)), service("desk", None)],
@@ -84,7 +84,7 @@
         route("/desk/", "desk", Kind::Unsafe),
         route("/desk/cover/", "desk", Kind::Safe),
     ];
-    Table::new(content(version, routes))
+    Table::new(configuration(version, routes))
 }
 
 pub(crate) fn upstream(id: &str, service: &str, state: State) -> Upstream {
@@ -109,23 +109,23 @@
 }
 
 /// Returns the entry that a gateway announces of itself.
-pub(crate) fn entry(number: u16, incarnation: u64, beat: u64) -> Entry {
+pub(crate) fn entry(number: u16, incarnation: u64, heartbeats: u64) -> Entry {
     Entry {
         instance: format!("front-{number}").into(),
         incarnation,
-        beat,
+        heartbeats,
         failure_domain: "north".into(),
         callers: ([10, 0, 1, 1], number).into(),
         peers: ([10, 0, 2, 1], number).into(),
         is_ready: true,
-        is_cut: false,
+        is_store_unreachable: false,
         version: None,
     }
 }
 
 /// Returns a heartbeat that only announces its sender.
-pub(crate) fn beat(from: Entry) -> Beat {
-    Beat {
+pub(crate) fn heartbeat(from: Entry) -> Heartbeat {
+    Heartbeat {
         from,
         counts: Vec::new(),
         others: Vec::new(),
--- a/crates/gateway/tests/all/version.rs
+++ b/crates/gateway/tests/all/version.rs
@@ -31,13 +31,19 @@
     Gateway::new("north".into(), BOUNDS, roster, 7)
 }
 
-fn hear(gateway: &mut Gateway, number: u16, beat: u64, version: Option<Version>, now: u64) {
+fn receive(
+    gateway: &mut Gateway,
+    number: u16,
+    heartbeats: u64,
+    version: Option<Version>,
+    now: u64,
+) {
     let from = Entry {
-        beat,
+        heartbeats,
         ..serving(number, version)
     };
-    let beat = support::beat(from);
-    gateway.roster.hear(&beat, millis(now));
+    let heartbeat = support::heartbeat(from);
+    gateway.roster.receive(&heartbeat, millis(now));
 }
 
 /// Guards against a starting gateway that serves with a restored store's configuration while others
@@ -47,14 +53,14 @@
     let mut gateway = gateway(&[peers(2)]);
     gateway.set_table(table(15));
     gateway.confirm(millis(10), millis(20));
-    expect_that!(gateway.is_able(millis(20)), eq(false));
-    hear(&mut gateway, 2, 5, Some(20), 30);
-    gateway.settle(millis(30));
-    expect_that!(gateway.is_able(millis(30)), eq(false));
+    expect_that!(gateway.can_serve(millis(20)), eq(false));
+    receive(&mut gateway, 2, 5, Some(20), 30);
+    gateway.confirm_pending(millis(30));
+    expect_that!(gateway.can_serve(millis(30)), eq(false));
     expect_that!(gateway.catch_up(millis(30)), some(eq(peers(2))));
     gateway.set_table(table(20));
-    gateway.settle(millis(40));
-    expect_that!(gateway.is_able(millis(40)), eq(true));
+    gateway.confirm_pending(millis(40));
+    expect_that!(gateway.can_serve(millis(40)), eq(true));
     expect_that!(gateway.catch_up(millis(40)), none());
     // The older version that the store holds again does not replace the newer one.
     expect_that!(gateway.set_table(table(15)), eq(false));
@@ -66,18 +72,18 @@
 fn a_gateway_that_comes_back_serves_once_it_has_heard_another_one() {
     let mut gateway = gateway(&[peers(2)]);
     gateway.set_table(table(15));
-    hear(&mut gateway, 2, 5, Some(15), 10);
+    receive(&mut gateway, 2, 5, Some(15), 10);
     gateway.confirm(millis(10), millis(20));
-    expect_that!(gateway.is_able(millis(20)), eq(true));
+    expect_that!(gateway.can_serve(millis(20)), eq(true));
     gateway.confirm(millis(9_000), millis(9_010));
-    expect_that!(gateway.is_able(millis(9_010)), eq(false));
-    hear(&mut gateway, 2, 30, Some(20), 9_100);
-    gateway.settle(millis(9_100));
-    expect_that!(gateway.is_able(millis(9_100)), eq(false));
+    expect_that!(gateway.can_serve(millis(9_010)), eq(false));
+    receive(&mut gateway, 2, 30, Some(20), 9_100);
+    gateway.confirm_pending(millis(9_100));
+    expect_that!(gateway.can_serve(millis(9_100)), eq(false));
     expect_that!(gateway.catch_up(millis(9_100)), some(eq(peers(2))));
     gateway.set_table(table(20));
-    gateway.settle(millis(9_110));
-    expect_that!(gateway.is_able(millis(9_110)), eq(true));
+    gateway.confirm_pending(millis(9_110));
+    expect_that!(gateway.can_serve(millis(9_110)), eq(true));
 }
 
 /// Guards against a gateway that never serves again because all others are unreachable.
@@ -85,15 +91,15 @@
 fn a_gateway_that_comes_back_to_the_store_alone_serves_after_a_moment_and_goes_on() {
     let mut gateway = gateway(&[peers(2)]);
     gateway.set_table(table(15));
-    hear(&mut gateway, 2, 5, Some(15), 10);
+    receive(&mut gateway, 2, 5, Some(15), 10);
     gateway.confirm(millis(10), millis(20));
     gateway.confirm(millis(9_000), millis(9_010));
-    gateway.settle(millis(9_609));
-    expect_that!(gateway.is_able(millis(9_609)), eq(false));
-    gateway.settle(millis(9_610));
-    expect_that!(gateway.is_able(millis(9_610)), eq(true));
+    gateway.confirm_pending(millis(9_609));
+    expect_that!(gateway.can_serve(millis(9_609)), eq(false));
+    gateway.confirm_pending(millis(9_610));
+    expect_that!(gateway.can_serve(millis(9_610)), eq(true));
     gateway.confirm(millis(9_700), millis(9_710));
-    expect_that!(gateway.knowledge.age(millis(9_710)), some(eq(millis(10))));
+    expect_that!(gateway.freshness.age(millis(9_710)), some(eq(millis(10))));
 }
 
 /// Guards against a starting gateway that hears from one other starting gateway and takes its
@@ -108,16 +114,20 @@
         let mut gateway = gateway(&[peers(2), peers(3)]);
         gateway.set_table(table(15));
         gateway.confirm(millis(10), millis(20));
-        gateway.roster.hear(&support::beat(starting(2)), millis(30));
-        gateway.settle(millis(30));
-        expect_that!(gateway.is_able(millis(30)), eq(false));
+        gateway
+            .roster
+            .receive(&support::heartbeat(starting(2)), millis(30));
+        gateway.confirm_pending(millis(30));
+        expect_that!(gateway.can_serve(millis(30)), eq(false));
         if others_start {
-            gateway.roster.hear(&support::beat(starting(3)), millis(60));
+            gateway
+                .roster
+                .receive(&support::heartbeat(starting(3)), millis(60));
         } else {
-            hear(&mut gateway, 3, 9, Some(20), 60);
+            receive(&mut gateway, 3, 9, Some(20), 60);
         }
-        gateway.settle(millis(60));
-        expect_that!(gateway.is_able(millis(60)), eq(others_start));
+        gateway.confirm_pending(millis(60));
+        expect_that!(gateway.can_serve(millis(60)), eq(others_start));
         expect_that!(gateway.catch_up(millis(60)).is_some(), eq(!others_start));
     }
 }
@@ -128,13 +138,13 @@
     let mut first = gateway(&[peers(2)]);
     first.set_table(table(15));
     first.confirm(millis(10), millis(20));
-    hear(&mut first, 2, 1, None, 50);
-    first.settle(millis(50));
-    expect_that!(first.is_able(millis(50)), eq(true));
+    receive(&mut first, 2, 1, None, 50);
+    first.confirm_pending(millis(50));
+    expect_that!(first.can_serve(millis(50)), eq(true));
     let mut alone = gateway(&[peers(1)]);
     alone.set_table(table(15));
     alone.confirm(millis(10), millis(20));
-    expect_that!(alone.is_able(millis(20)), eq(true));
+    expect_that!(alone.can_serve(millis(20)), eq(true));
 }
 
 #[gtest]
@@ -142,10 +152,10 @@
     let mut gateway = gateway(&[peers(2)]);
     gateway.set_table(table(15));
     gateway.confirm(millis(10), millis(20));
-    gateway.settle(millis(599));
-    expect_that!(gateway.is_able(millis(599)), eq(false));
-    gateway.settle(millis(600));
-    expect_that!(gateway.is_able(millis(600)), eq(true));
+    gateway.confirm_pending(millis(599));
+    expect_that!(gateway.can_serve(millis(599)), eq(false));
+    gateway.confirm_pending(millis(600));
+    expect_that!(gateway.can_serve(millis(600)), eq(true));
 }
 
 /// A configuration changes in a fleet of hundreds, and the readers send it within some hundred
@@ -154,24 +164,24 @@
 fn a_gateway_that_serves_leaves_time_to_the_readers_and_then_asks() {
     let mut gateway = gateway(&[peers(2)]);
     gateway.set_table(table(15));
-    hear(&mut gateway, 2, 5, Some(15), 10);
+    receive(&mut gateway, 2, 5, Some(15), 10);
     gateway.confirm(millis(10), millis(20));
-    hear(&mut gateway, 2, 6, Some(20), 1_000);
+    receive(&mut gateway, 2, 6, Some(20), 1_000);
     expect_that!(gateway.catch_up(millis(1_000)), none());
-    hear(&mut gateway, 2, 7, Some(20), 1_800);
+    receive(&mut gateway, 2, 7, Some(20), 1_800);
     expect_that!(gateway.catch_up(millis(1_899)), none());
     expect_that!(gateway.catch_up(millis(1_900)), some(eq(peers(2))));
     // Confirmations by the store don't make the older version's knowledge younger meanwhile.
-    hear(&mut gateway, 2, 8, Some(20), 4_700);
+    receive(&mut gateway, 2, 8, Some(20), 4_700);
     gateway.confirm(millis(4_700), millis(4_710));
     expect_that!(
-        gateway.knowledge.age(millis(4_710)),
+        gateway.freshness.age(millis(4_710)),
         some(eq(millis(4_700)))
     );
     // A gateway that has failed is no longer waited for.
-    gateway.settle(millis(9_000));
+    gateway.confirm_pending(millis(9_000));
     expect_that!(
-        gateway.knowledge.age(millis(9_000)),
+        gateway.freshness.age(millis(9_000)),
         some(eq(millis(4_300)))
     );
 }
@@ -185,7 +195,7 @@
             let mut gateway = Gateway::new("north".into(), BOUNDS, roster, 7);
             gateway.confirm(millis(5), millis(8));
             for other in 20..40 {
-                hear(&mut gateway, other, 5, Some(20), 10);
+                receive(&mut gateway, other, 5, Some(20), 10);
             }
             gateway.catch_up(millis(20)).expect("one that is ahead")
         })
@@ -200,9 +210,9 @@
 #[gtest]
 fn a_gateway_that_starts_asks_no_other_one_before_the_store_has_answered_and_then_one_a_beat() {
     let mut gateway = gateway(&[peers(2)]);
-    for beat in 1..5 {
-        hear(&mut gateway, 2, beat, Some(20), beat);
-        expect_that!(gateway.catch_up(millis(beat)), none());
+    for heartbeat in 1..5 {
+        receive(&mut gateway, 2, heartbeat, Some(20), heartbeat);
+        expect_that!(gateway.catch_up(millis(heartbeat)), none());
     }
     gateway.set_table(table(15));
     gateway.confirm(millis(10), millis(20));
--- a/crates/quota/src/book.rs
+++ b/crates/quota/src/registry.rs
@@ -19,7 +19,7 @@
 /// Time for which an ended limit is kept: much longer than a notice takes to reach all gateways.
 pub const ENDED_RETENTION: Duration = Duration::from_mins(1);
 /// Maximum number of notices in one message, so that it fits into one packet.
-pub const MOST_NOTICES: usize = 56;
+pub const MAX_NOTICES: usize = 56;
 /// Maximum number of limits that are stored, including ended ones.
 const MAX_ENTRIES: usize = 4_096;
 /// Lower bound for a stored rate: without an occasional response, gateways would not learn that the limit has ended.
@@ -67,7 +67,7 @@
 
 /// A limit that was set, changed or ended, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct News {
+pub struct Update {
     /// Upstream that set the limit.
     pub upstream: UpstreamTag,
     /// New limit; `None` if it ended.
@@ -95,13 +95,13 @@
 
 /// Limits known to a gateway, including recently ended ones.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Registry {
     entries: BTreeMap<UpstreamTag, Entry>,
     /// First upstream of the next message, if the notices do not fit into one.
     next: UpstreamTag,
 }
 
-impl Book {
+impl Registry {
     /// Returns whether no limit is stored, not even an ended one.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -133,7 +133,7 @@
         rate: Option<Rate>,
         sent: Monotonic,
         now: Monotonic,
-    ) -> Option<News> {
+    ) -> Option<Update> {
         if rate.is_none() && !self.entries.contains_key(&upstream) {
             return None;
         }
@@ -142,7 +142,7 @@
     }
 
     /// Merges notices from another gateway; returns what changed.
-    pub fn hear(&mut self, notices: &[Notice], from: SocketAddr, now: Monotonic) -> Vec<News> {
+    pub fn merge(&mut self, notices: &[Notice], from: SocketAddr, now: Monotonic) -> Vec<Update> {
         let heard = notices.iter().filter_map(|notice| {
             let age = Duration::from_millis(notice.age_ms.into());
             let stated_at = since_epoch(now).saturating_sub(age);
@@ -161,11 +161,11 @@
         let now = since_epoch(now);
         let later = self.entries.range(self.next..);
         let earlier = self.entries.range(..self.next);
-        let selected: Vec<_> = later.chain(earlier).take(MOST_NOTICES + 1).collect();
+        let selected: Vec<_> = later.chain(earlier).take(MAX_NOTICES + 1).collect();
         let next = selected
-            .get(MOST_NOTICES)
+            .get(MAX_NOTICES)
             .map_or(0, |(upstream, _)| **upstream);
-        let notices = selected.into_iter().take(MOST_NOTICES);
+        let notices = selected.into_iter().take(MAX_NOTICES);
         let notices = notices.map(|(upstream, entry)| entry.notice(*upstream, now));
         let notices = notices.collect();
         self.next = next;
@@ -187,7 +187,7 @@
         rate: Option<Rate>,
         teller: Teller,
         stated_at: SinceEpoch,
-    ) -> Option<News> {
+    ) -> Option<Update> {
         let rate = rate.filter(|rate| rate.is_finite());
         let rate = rate.map(|rate| rate.max(MIN_RATE));
         let known = self.entries.get(&upstream);
@@ -207,7 +207,7 @@
             stated_at,
         };
         self.entries.insert(upstream, entry);
-        is_change.then_some(News {
+        is_change.then_some(Update {
             upstream,
             rate,
             teller,
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -31,8 +31,8 @@
 
 use crate::answer;
 use crate::dialect::Call;
-use crate::dialect::Onward;
-use crate::dialect::Verdict;
+use crate::dialect::Classification;
+use crate::dialect::Outbound;
 use crate::flight::Flight;
 use crate::head;
 use crate::head::Body;
@@ -92,7 +92,7 @@
     let (head, body) = request.into_parts();
     let call = match shared.dialect.call(&head.uri, &head.headers) {
         Ok(call) => call,
-        Err(kind) => return refuse(&shared, "", None, &Refusal::of(kind, "malformed head")),
+        Err(kind) => return refuse(&shared, "", None, &Refusal::new(kind, "malformed head")),
     };
     let body = match read_body(&shared, body).await {
         Ok(body) => body,
@@ -101,7 +101,7 @@
                 &shared,
                 &call.id,
                 None,
-                &Refusal::of(kind, "request body not received"),
+                &Refusal::new(kind, "request body not received"),
             );
         }
     };
@@ -147,7 +147,7 @@
         host: &call.host,
         path,
         key: call.key.as_deref(),
-        patience: call.patience,
+        timeout: call.timeout,
     };
     shared.gateway().plan(&request, now)
 }
@@ -159,7 +159,7 @@
         let capacity_freed = shared.capacity_freed(&plan.service);
         let admission = shared.gateway().admit(plan, now);
         match admission {
-            Admission::Go(basis) => {
+            Admission::Admit(basis) => {
                 let waited = now.saturating_sub(plan.arrived);
                 histogram!("auburnline_admission_wait_seconds").record(waited);
                 log::debug!(
@@ -207,7 +207,7 @@
 
     /// Returns the time left until the request's deadline.
     pub(crate) fn time_left(&self) -> Duration {
-        self.plan.due.saturating_sub(self.shared.now())
+        self.plan.deadline.saturating_sub(self.shared.now())
     }
 
     /// Makes one attempt at an upstream of any group, and waits at most `time_limit` for the head of the response. `after` is the
@@ -268,13 +268,13 @@
         let uri = uri.map_err(|report| *report.current_context())?;
         let mut headers = self.arrival.headers.clone();
         let workspace = self.plan.workspace.as_ref();
-        let onward = Onward {
+        let outbound = Outbound {
             upstream,
             left: self.time_left(),
             workspace: workspace.map(|workspace| &*workspace.name),
             after,
         };
-        self.shared.dialect.onward(&mut headers, &onward);
+        self.shared.dialect.outbound(&mut headers, &outbound);
         let mut request = Request::new(self.arrival.body.clone().into());
         *request.method_mut() = self.arrival.method.clone();
         *request.uri_mut() = uri;
@@ -285,14 +285,14 @@
     async fn began(&mut self, reply: Reply, mut flight: Flight) -> Sent {
         self.record_condition(&reply, &flight);
         let dialect = &self.shared.dialect;
-        match dialect.verdict(reply.status, &reply.headers, self.id()) {
-            Verdict::Answer => {
-                self.shared.gateway().groups.trust(flight.group());
+        match dialect.classify(reply.status, &reply.headers, self.id()) {
+            Classification::Answer => {
+                self.shared.gateway().groups.mark_available(flight.group());
                 self.sends += 1;
                 self.may_have_run = true;
                 Sent::Began(reply, flight)
             }
-            Verdict::NotRun => {
+            Classification::NotRun => {
                 self.sends += 1;
                 flight.refused();
                 self.log_failure("refused by the upstream without executing it", &flight);
@@ -304,7 +304,7 @@
                     may_retry: self.may_retry(self.sends),
                 }
             }
-            Verdict::Foreign => {
+            Classification::Unrelated => {
                 flight.failed();
                 self.failed(Failure::Malformed, &flight).await
             }
@@ -348,7 +348,7 @@
             return false;
         }
         let now = self.shared.now();
-        let is_allowed = self.shared.gateway().may_repeat(&self.plan, now);
+        let is_allowed = self.shared.gateway().take_retry(&self.plan, now);
         let outcome = if is_allowed { "repeat" } else { "no_budget" };
         counter!("auburnline_repetitions_total", "outcome" => outcome).increment(1);
         is_allowed
@@ -375,7 +375,7 @@
             let now = self.shared.now();
             self.shared.gateway().give_up(&self.plan, reason, now)
         } else {
-            Refusal::of(kind, reason)
+            Refusal::new(kind, reason)
         };
         refuse(&self.shared, self.id(), Some(&self.plan), &refusal)
     }
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -6,10 +6,10 @@
 
 use auburnline_core::hash::stable;
 use auburnline_core::time::Monotonic;
-use auburnline_gateway::message::Beat;
 use auburnline_gateway::message::Datagram;
+use auburnline_gateway::message::Heartbeat;
+use auburnline_gateway::neighbour::HEARTBEAT_PERIOD;
 use auburnline_gateway::neighbour::MAX_COUNTS;
-use auburnline_gateway::neighbour::PERIOD;
 use auburnline_gateway::route::ServiceId;
 use auburnline_gateway::spread::Question;
 use auburnline_lockstep::message::Digest;
@@ -33,12 +33,12 @@
 
 /// Heartbeats between two queries to the readers of the store: 0.6 s, so that the state known stays some seconds
 /// younger than the revocation bound, and removals are known well within the draining bound.
-const BEATS_PER_QUERY: u64 = 2;
+const HEARTBEATS_PER_QUERY: u64 = 2;
 
-/// Sends a heartbeat every [`PERIOD`] and handles messages as they arrive, for as long as the process runs.
+/// Sends a heartbeat every [`HEARTBEAT_PERIOD`] and handles messages as they arrive, for as long as the process runs.
 pub(crate) async fn run(shared: Rc<Shared>, socket: Rc<UdpSocket>) {
     let mut rng = SmallRng::from_os_rng();
-    let mut ticks = interval(PERIOD);
+    let mut ticks = interval(HEARTBEAT_PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     let mut last = shared.now();
@@ -61,7 +61,7 @@
 fn record_suspension(shared: &Shared, gap: Duration) {
     if gap > SUSPENSION_THRESHOLD {
         log::warn!(target: "neighbours", gap_ms = crate::telemetry::millis(gap); "process did not run for longer than expected");
-        shared.gateway().roster.pause(gap);
+        shared.gateway().roster.extend_timeouts(gap);
     }
 }
 
@@ -71,22 +71,22 @@
     let changes = shared.expire();
     shared.upstreams_changed(changes);
     let now = shared.now();
-    for change in shared.gateway().groups.look(now) {
+    for change in shared.gateway().groups.take_changes(now) {
         let silent_ms = crate::telemetry::millis(change.silent);
-        log::info!(target: "groups", group = &*change.group, is_still = change.is_still, silent_ms; "group stall state changed");
+        log::info!(target: "groups", group = &*change.group, is_still = change.is_stalled, silent_ms; "group stall state changed");
     }
-    let (beat, targets) = {
+    let (heartbeat, targets) = {
         let mut gateway = shared.gateway();
         gateway.tick(now);
         let counts = gateway.pool.counts(MAX_COUNTS);
-        let beat = gateway.roster.beat(counts, now, rng);
-        (beat, gateway.roster.targets(now, rng))
+        let heartbeat = gateway.roster.next_heartbeat(counts, now, rng);
+        (heartbeat, gateway.roster.targets(now, rng))
     };
-    let beats = beat.from.beat;
-    let message = Datagram::Beat(beat);
+    let heartbeats = heartbeat.from.heartbeats;
+    let message = Datagram::Heartbeat(heartbeat);
     let marks = shared.gateway().quarantine.marks(now);
     let crashes = (!marks.is_empty()).then_some(Datagram::Crashes(marks));
-    let notices = shared.gateway().beat_limits(now);
+    let notices = shared.gateway().heartbeat_limits(now);
     let limits = (!notices.is_empty()).then_some(Datagram::Limits(notices));
     let messages = [Some(message), crashes, limits];
     for target in targets {
@@ -96,7 +96,7 @@
     limit::lend(shared);
     request_newer_configuration(shared, now);
     let is_awaiting = shared.gateway().spread.awaits_configuration();
-    if is_awaiting || beats.is_multiple_of(BEATS_PER_QUERY) {
+    if is_awaiting || heartbeats.is_multiple_of(HEARTBEATS_PER_QUERY) {
         query_readers(shared, now);
     }
 }
@@ -112,7 +112,7 @@
     drop(gateway);
     log::info!(target: "store", version:?, ahead:?; "configuration is older than another gateway's; requesting it");
     metrics::counter!("auburnline_configurations_behind_total").increment(1);
-    shared.send(&Datagram::Behind(version), ahead);
+    shared.send(&Datagram::ConfigurationQuery(version), ahead);
 }
 
 /// Queries the readers of the store for changes, unless this gateway is one of them.
@@ -141,15 +141,18 @@
 
 fn handle_message(shared: &Rc<Shared>, bytes: &[u8], from: SocketAddr) {
     match postcard::from_bytes(bytes) {
-        Ok(Datagram::Beat(beat)) => {
-            let is_back = shared.gateway().roster.is_back(&beat, shared.now());
-            let is_back = is_back && beat.from.peers == from;
-            handle_beat(shared, beat);
-            if is_back {
-                introduce(shared, from);
+        Ok(Datagram::Heartbeat(heartbeat)) => {
+            let needs_join_reply = shared
+                .gateway()
+                .roster
+                .needs_join_reply(&heartbeat, shared.now());
+            let needs_join_reply = needs_join_reply && heartbeat.from.peers == from;
+            handle_heartbeat(shared, heartbeat);
+            if needs_join_reply {
+                send_join_reply(shared, from);
             }
         }
-        Ok(Datagram::Introduction(beat)) => handle_beat(shared, beat),
+        Ok(Datagram::JoinReply(heartbeat)) => handle_heartbeat(shared, heartbeat),
         Ok(Datagram::Ask(ask)) => {
             let members = shared.gateway().members(&ask, shared.now());
             shared.send(&Message::Members(members), from);
@@ -163,21 +166,25 @@
             }
         }
         Ok(Datagram::Question(question)) => {
-            Feed(Rc::clone(shared)).hint(question.revision.generation);
+            Feed(Rc::clone(shared)).note_generation(question.revision.generation);
             shared.answer(question, from);
         }
-        Ok(Datagram::Behind(version)) => {
-            let told = shared.gateway().spread.newer(version).cloned();
-            if let Some(told) = told {
-                shared.send(&Datagram::Configuration(Box::new(told)), from);
+        Ok(Datagram::ConfigurationQuery(version)) => {
+            let update = shared
+                .gateway()
+                .spread
+                .configuration_newer_than(version)
+                .cloned();
+            if let Some(update) = update {
+                shared.send(&Datagram::Configuration(Box::new(update)), from);
             }
         }
         Ok(Datagram::Answer(answer)) => Feed(Rc::clone(shared)).apply_answer(answer),
-        Ok(Datagram::Configuration(told)) => Feed(Rc::clone(shared)).apply_relayed(*told),
+        Ok(Datagram::Configuration(update)) => Feed(Rc::clone(shared)).apply_relayed(*update),
         Ok(Datagram::Crashes(marks)) => crash::merge_marks(shared, &marks),
         Ok(Datagram::Limits(notices)) => limit::merge_notices(shared, &notices, from),
         Ok(Datagram::Loan(loan)) => limit::accept_loan(shared, &loan, from),
-        Ok(Datagram::LimitAsk(ask)) => limit::answer(shared, ask, from),
+        Ok(Datagram::LimitAsk(request)) => limit::answer(shared, request, from),
         Ok(Datagram::LimitReply(reply)) => limit::deliver_reply(shared, reply),
         Err(error) => {
             let cause = error.to_string();
@@ -189,7 +196,7 @@
 
 fn handle_digest(shared: &Shared, digest: &Digest) {
     let now = shared.now();
-    let heard = shared.gateway().hear(digest, now);
+    let heard = shared.gateway().apply_digest(digest, now);
     if heard.has_slowed {
         shared.straggler_reported.notify_waiters();
     }
@@ -201,17 +208,19 @@
     }
 }
 
-fn handle_beat(shared: &Shared, beat: Beat) {
+fn handle_heartbeat(shared: &Shared, heartbeat: Heartbeat) {
     let now = shared.now();
     let mut gateway = shared.gateway();
-    for news in gateway.roster.hear(&beat, now) {
+    for news in gateway.roster.receive(&heartbeat, now) {
         log::info!(target: "neighbours", instance = &*news.instance, is_ready = news.is_ready; "heard");
     }
-    let neighbour = stable(0, beat.from.instance.as_bytes());
-    gateway.pool.set_elsewhere(neighbour, beat.counts, now);
-    let waits_to_serve = gateway.waits_to_serve(now);
+    let neighbour = stable(0, heartbeat.from.instance.as_bytes());
+    gateway
+        .pool
+        .set_neighbour_counts(neighbour, heartbeat.counts, now);
+    let awaits_peers = gateway.awaits_peers(now);
     drop(gateway);
-    if waits_to_serve {
+    if awaits_peers {
         request_newer_configuration(shared, now);
         shared.update_readiness();
     }
@@ -219,10 +228,10 @@
 
 /// Sends a gateway that has just started or reappeared the state of this one and of some others, so that it need not wait for
 /// their heartbeats.
-fn introduce(shared: &Shared, to: SocketAddr) {
+fn send_join_reply(shared: &Shared, to: SocketAddr) {
     let now = shared.now();
     let gateway = shared.gateway();
-    let beat = gateway.introduction(now, &mut SmallRng::from_os_rng());
+    let heartbeat = gateway.join_reply(now, &mut SmallRng::from_os_rng());
     drop(gateway);
-    shared.send(&Datagram::Introduction(beat), to);
+    shared.send(&Datagram::JoinReply(heartbeat), to);
 }
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -5,16 +5,15 @@
 use std::time::Duration;
 
 use auburnline_gateway::limit::Consent;
-use auburnline_gateway::limit::News;
+use auburnline_gateway::limit::Update;
 use auburnline_gateway::message::Datagram;
 use auburnline_gateway::neighbour::MAX_COUNTS;
 use auburnline_gateway::upstream::Upstream;
 use auburnline_http::Reply;
-use auburnline_quota::book::Notice;
 use auburnline_quota::home;
-use auburnline_quota::home::Ask;
 use auburnline_quota::home::Permit;
 use auburnline_quota::loan::Loan;
+use auburnline_quota::registry::Notice;
 use metrics::counter;
 use metrics::histogram;
 use tokio::time::timeout;
@@ -43,10 +42,10 @@
         };
         let now = self.shared.now();
         let mut gateway = self.shared.gateway();
-        let news = gateway.take_limit(flight.target(), rate, flight.began(), now);
+        let update = gateway.record_limit(flight.target(), rate, flight.began(), now);
         drop(gateway);
-        if let Some(news) = news {
-            log_limit_change(&news, self.id());
+        if let Some(update) = update {
+            log_limit_change(&update, self.id());
         }
     }
 
@@ -55,10 +54,10 @@
         let now = self.shared.now();
         let consent = self.shared.gateway().consent(upstream, now);
         let (consent, home) = match consent {
-            Consent::Ask { home, ask } => {
-                let permit = ask_home(&self.shared, home, ask).await;
+            Consent::Ask { home, request } => {
+                let permit = ask_home(&self.shared, home, request).await;
                 let now = self.shared.now();
-                let consent = self.shared.gateway().take_reply(ask, permit, now);
+                let consent = self.shared.gateway().apply_reply(request, permit, now);
                 let outcome = match permit {
                     Some(Permit::Granted) => "granted",
                     Some(Permit::Denied { .. }) => "denied",
@@ -92,10 +91,10 @@
 }
 
 /// Asks a limit's home for a permit; returns `None` if it does not reply in time.
-async fn ask_home(shared: &Shared, home: SocketAddr, ask: Ask) -> Option<Permit> {
+async fn ask_home(shared: &Shared, home: SocketAddr, request: home::Request) -> Option<Permit> {
     let asked = shared.now();
-    let reply = shared.register_permit(ask.number);
-    shared.send(&Datagram::LimitAsk(ask), home);
+    let reply = shared.register_permit(request.number);
+    shared.send(&Datagram::LimitAsk(request), home);
     let permit = timeout(REPLY_TIMEOUT, reply).await.ok()?.ok();
     let took = shared.now().saturating_sub(asked);
     histogram!("auburnline_limit_ask_seconds").record(took);
@@ -103,9 +102,9 @@
 }
 
 /// Replies to another gateway's request for a permit.
-pub(crate) fn answer(shared: &Shared, ask: Ask, from: SocketAddr) {
+pub(crate) fn answer(shared: &Shared, request: home::Request, from: SocketAddr) {
     let now = shared.now();
-    let reply = shared.gateway().reply(ask, now);
+    let reply = shared.gateway().reply(request, now);
     let outcome = match reply.permit {
         Permit::Granted => "granted",
         Permit::Denied { .. } => "denied",
@@ -122,9 +121,9 @@
 /// Merges limit notices from another gateway.
 pub(crate) fn merge_notices(shared: &Shared, notices: &[Notice], from: SocketAddr) {
     let now = shared.now();
-    let heard = shared.gateway().hear_limits(notices, from, now);
-    for news in &heard {
-        log_limit_change(news, "");
+    let updates = shared.gateway().receive_limits(notices, from, now);
+    for update in &updates {
+        log_limit_change(update, "");
     }
 }
 
@@ -132,13 +131,13 @@
 pub(crate) fn accept_loan(shared: &Shared, loan: &Loan, from: SocketAddr) {
     let now = shared.now();
     let mut gateway = shared.gateway();
-    let heard = gateway.hear_loan(loan, from, now);
+    let updates = gateway.receive_loan(loan, from, now);
     let counts = gateway.pool.counts(MAX_COUNTS);
-    let beat = gateway.roster.word(counts, now);
+    let heartbeat = gateway.roster.own_heartbeat(counts, now);
     drop(gateway);
-    shared.send(&Datagram::Beat(beat), from);
-    for news in &heard {
-        log_limit_change(news, "");
+    shared.send(&Datagram::Heartbeat(heartbeat), from);
+    for update in &updates {
+        log_limit_change(update, "");
     }
 }
 
@@ -147,7 +146,7 @@
     let now = shared.now();
     let mut gateway = shared.gateway();
     let loans = gateway.loans(now);
-    let moved = gateway.take_moved(now);
+    let moved = gateway.take_moved_loans(now);
     drop(gateway);
     for limited in moved {
         let (upstream, rate) = (&*limited.upstream.id, limited.limit.rate);
@@ -159,18 +158,18 @@
 }
 
 /// Logs that a limit was set, changed or ended; `request` is the id of the request that revealed it, or empty.
-fn log_limit_change(news: &News, request: &str) {
-    let outcome = if news.rate.is_some() {
+fn log_limit_change(update: &Update, request: &str) {
+    let outcome = if update.rate.is_some() {
         "named"
     } else {
         "ended"
     };
     log::info!(
         target: "limits",
-        upstream = &*news.upstream.id,
-        service = &*news.upstream.service,
-        rate:? = news.rate,
-        teller:? = news.teller,
+        upstream = &*update.upstream.id,
+        service = &*update.upstream.service,
+        rate:? = update.rate,
+        teller:? = update.teller,
         request;
         "{outcome}"
     );
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -69,12 +69,12 @@
     let entry = Entry {
         instance: settings.instance.as_str().into(),
         incarnation,
-        beat: 0,
+        heartbeats: 0,
         failure_domain: settings.failure_domain.as_str().into(),
         callers: settings.callers,
         peers: settings.peers,
         is_ready: false,
-        is_cut: false,
+        is_store_unreachable: false,
         version: None,
     };
     let roster = Roster::new(entry, settings.seeds.clone());
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -11,7 +11,7 @@
 
 use auburnline_core::time::Monotonic;
 use auburnline_gateway::Gateway;
-use auburnline_gateway::knowledge;
+use auburnline_gateway::freshness;
 use auburnline_gateway::message::Datagram;
 use auburnline_gateway::route::ServiceId;
 use auburnline_gateway::spread::Question;
@@ -60,7 +60,7 @@
     pub(crate) straggler_reported: Notify,
     /// Gateways that queried this one for changes, with the time of the latest query.
     subscribers: RefCell<HashMap<SocketAddr, Monotonic>>,
-    /// Requests that wait for a reply from a limit's home, by the number of the [`Ask`](auburnline_quota::home::Ask).
+    /// Requests that wait for a reply from a limit's home, by the number of the [`Request`](auburnline_quota::home::Request).
     permits: RefCell<HashMap<u64, oneshot::Sender<Permit>>>,
     socket: OnceCell<Rc<UdpSocket>>,
 }
@@ -114,18 +114,18 @@
         let now = self.now();
         self.subscribers.borrow_mut().insert(from, now);
         let gateway = self.gateway();
-        let Some(age) = gateway.knowledge.age(now) else {
+        let Some(age) = gateway.freshness.age(now) else {
             return;
         };
         let answer = gateway.spread.answer(question, age);
-        let told = gateway.spread.told(question).cloned();
+        let update = gateway.spread.requested_configuration(question).cloned();
         drop(gateway);
         // The changes go first: the configuration that is asked for is one of them.
         if let Some(answer) = answer {
             self.send(&Datagram::Answer(answer), from);
         }
-        if let Some(told) = told {
-            self.send(&Datagram::Configuration(Box::new(told)), from);
+        if let Some(update) = update {
+            self.send(&Datagram::Configuration(Box::new(update)), from);
         }
     }
 
@@ -135,8 +135,8 @@
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.retain(|_, asked| now.saturating_sub(*asked) < SUBSCRIPTION_AGE);
         let gateway = self.gateway();
-        let age = gateway.knowledge.age(now).unwrap_or_default();
-        let Some(answer) = gateway.spread.since(since, age) else {
+        let age = gateway.freshness.age(now).unwrap_or_default();
+        let Some(answer) = gateway.spread.changes_since(since, age) else {
             return;
         };
         drop(gateway);
@@ -213,9 +213,9 @@
     pub(crate) fn expire(&self) -> Vec<upstream::Change> {
         let now = self.now();
         let mut gateway = self.gateway();
-        let is_doubtful = gateway.knowledge.is_doubtful(now);
-        let mut changes = gateway.pool.expire(is_doubtful);
-        changes.extend(gateway.pool.admit(now));
+        let may_lack_entries = gateway.freshness.may_lack_entries(now);
+        let mut changes = gateway.pool.expire(may_lack_entries);
+        changes.extend(gateway.pool.take_trusted(now));
         changes
     }
 
@@ -223,13 +223,13 @@
     pub(crate) fn update_readiness(&self) {
         let now = self.now();
         let mut gateway = self.gateway();
-        let change = gateway.settle(now);
-        if change == knowledge::Change::Regained {
+        let change = gateway.confirm_pending(now);
+        if change == freshness::Change::Regained {
             log_regained(&gateway, now);
         }
-        let is_ready = gateway.is_able(now) && !self.is_leaving();
+        let is_ready = gateway.can_serve(now) && !self.is_leaving();
         if gateway.roster.set_ready(is_ready) {
-            let age = gateway.knowledge.age(now).unwrap_or_default();
+            let age = gateway.freshness.age(now).unwrap_or_default();
             let version = gateway.version();
             log::info!(target: "gateway", is_ready, version:?, age_ms = millis(age); "readiness");
         }
@@ -239,7 +239,7 @@
     pub(crate) fn export_revisions(&self) {
         let gateway = self.gateway();
         let known = gateway.spread.revision().unwrap_or_default();
-        let (heard, read) = gateway.spread.configurations();
+        let (heard, read) = gateway.spread.configuration_revisions();
         drop(gateway);
         for (of, revision) in [
             ("store", known),
@@ -294,7 +294,7 @@
 
 /// Logs that the store answers again after a failure.
 pub(crate) fn log_regained(gateway: &Gateway, now: Monotonic) {
-    let age_ms = millis(gateway.knowledge.age(now).unwrap_or_default());
+    let age_ms = millis(gateway.freshness.age(now).unwrap_or_default());
     log::info!(target: "store", age_ms; "regained");
 }
 
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -4,15 +4,15 @@
 use std::time::Duration;
 
 use auburnline_core::time::Monotonic;
-use auburnline_gateway::knowledge;
-use auburnline_gateway::route::Content;
+use auburnline_gateway::freshness;
+use auburnline_gateway::route::Configuration;
 use auburnline_gateway::route::Table;
+use auburnline_gateway::spread;
 use auburnline_gateway::spread::Answer;
 use auburnline_gateway::spread::Generation;
 use auburnline_gateway::spread::Need;
-use auburnline_gateway::spread::Published;
 use auburnline_gateway::spread::Revision;
-use auburnline_gateway::spread::Told;
+use auburnline_gateway::spread::Update;
 use auburnline_gateway::upstream;
 use auburnline_gateway::upstream::Upstream;
 use auburnline_gateway::upstream::UpstreamId;
@@ -43,18 +43,18 @@
     /// An upstream's entry was removed.
     Missing(UpstreamId),
     /// A configuration was written; `None` if it cannot be decoded.
-    Configuration(Option<Content>),
+    Configuration(Option<Configuration>),
 }
 
 /// Snapshot of the published state.
 #[derive(Debug)]
-pub struct All {
+pub struct Snapshot {
     /// Revision up to which the snapshot is complete.
     pub revision: Revision,
     /// All upstreams that could be decoded.
     pub upstreams: Vec<Upstream>,
     /// Configuration with the revision at which it was written; `None` if there is none or it cannot be decoded.
-    pub configuration: Option<(Revision, Content)>,
+    pub configuration: Option<(Revision, Configuration)>,
 }
 
 /// Interface through which a source delivers what it reads.
@@ -76,7 +76,7 @@
             if need != Need::Nothing {
                 return need;
             }
-            if waited >= PROBE_INTERVAL && self.0.gateway().roster.is_cut() {
+            if waited >= PROBE_INTERVAL && self.0.gateway().roster.is_store_unreachable() {
                 let revision = self.0.gateway().spread.revision();
                 return revision.map_or(Need::All, Need::Changes);
             }
@@ -86,18 +86,18 @@
     }
 
     /// Applies a snapshot that was requested at `asked`.
-    pub fn all(&self, all: All, asked: Monotonic) {
-        let written = all
+    pub fn apply_snapshot(&self, snapshot: Snapshot, asked: Monotonic) {
+        let written = snapshot
             .configuration
             .as_ref()
             .map_or_else(Revision::default, |(revision, _)| *revision);
-        if let Some((revision, content)) = all.configuration {
-            self.apply_configuration(revision, content);
+        if let Some((revision, configuration)) = snapshot.configuration {
+            self.apply_configuration(revision, configuration);
         }
-        self.enter(all.revision.generation);
+        self.set_generation(snapshot.revision.generation);
         let now = self.now();
         let mut gateway = self.0.gateway();
-        let changes = gateway.read_all(all.upstreams, all.revision, written, now);
+        let changes = gateway.apply_full_read(snapshot.upstreams, snapshot.revision, written, now);
         drop(gateway);
         self.0.upstreams_changed(changes);
         self.record_answer(asked);
@@ -107,31 +107,40 @@
     }
 
     /// Applies a configuration written at `revision`; `None` if it could not be decoded.
-    pub fn configuration(&self, revision: Revision, content: Option<Content>) {
-        if let Some(content) = content {
-            self.apply_configuration(revision, content);
+    pub fn apply_configuration_change(
+        &self,
+        revision: Revision,
+        configuration: Option<Configuration>,
+    ) {
+        if let Some(configuration) = configuration {
+            self.apply_configuration(revision, configuration);
         }
-        self.0.gateway().spread.read_configuration(revision);
+        self.0.gateway().spread.record_configuration(revision);
     }
 
     /// Applies a configuration received from another gateway.
-    pub(crate) fn apply_relayed(&self, told: Told) {
+    pub(crate) fn apply_relayed(&self, update: Update) {
         metrics::counter!("auburnline_configurations_told_total").increment(1);
-        self.configuration(told.revision, Some(told.content));
+        self.apply_configuration_change(update.revision, Some(update.configuration));
     }
 
     /// Applies all changes up to `until`, which were requested at `asked`, and sends them on to other gateways.
-    pub fn changes(&self, changes: Vec<(Revision, Change)>, until: Revision, asked: Monotonic) {
-        self.enter(until.generation);
+    pub fn apply_changes(
+        &self,
+        changes: Vec<(Revision, Change)>,
+        until: Revision,
+        asked: Monotonic,
+    ) {
+        self.set_generation(until.generation);
         let since = self.0.gateway().spread.revision().unwrap_or_default();
         let mut published = Vec::with_capacity(changes.len());
         for (revision, change) in changes {
             let change = match change {
-                Change::Upstream(upstream) => Published::Upstream(upstream),
-                Change::Missing(id) => Published::Missing(id),
-                Change::Configuration(content) => {
-                    self.configuration(revision, content);
-                    Published::Configuration
+                Change::Upstream(upstream) => spread::Change::Upstream(upstream),
+                Change::Missing(id) => spread::Change::Removed(id),
+                Change::Configuration(configuration) => {
+                    self.apply_configuration_change(revision, configuration);
+                    spread::Change::Configuration
                 }
             };
             published.push((revision, change));
@@ -146,10 +155,10 @@
     }
 
     /// Records the generation that the store reports for itself. After a change, the whole state is read again.
-    pub fn enter(&self, generation: Generation) {
+    pub fn set_generation(&self, generation: Generation) {
         let mut gateway = self.0.gateway();
         let before = gateway.spread.revision();
-        let is_other = gateway.spread.enter(generation);
+        let is_other = gateway.spread.set_generation(generation);
         let version = gateway.version();
         drop(gateway);
         if is_other && before.is_some() {
@@ -159,10 +168,10 @@
     }
 
     /// Records the generation of the store that another gateway knows. If it is newer, the whole state is read again.
-    pub(crate) fn hint(&self, generation: Generation) {
+    pub(crate) fn note_generation(&self, generation: Generation) {
         let mut gateway = self.0.gateway();
         let before = gateway.spread.revision();
-        let is_news = gateway.spread.hint(generation);
+        let is_news = gateway.spread.note_generation(generation);
         drop(gateway);
         if is_news {
             log::info!(target: "store", generation, before:?; "another gateway knows a newer generation of the store; reading the whole state again");
@@ -171,15 +180,15 @@
     }
 
     /// Records that the store no longer has the changes after the known revision, so that the whole state is read again.
-    pub fn forget(&self) {
+    pub fn require_full_read(&self) {
         log::info!(target: "store", "store no longer has the changes needed; reading the whole state again");
-        self.0.gateway().spread.forget();
+        self.0.gateway().spread.require_full_read();
     }
 
     /// Applies the answer of a gateway that reads the store.
     pub(crate) fn apply_answer(&self, answer: Answer) {
-        self.hint(answer.until.generation);
-        let (new, known_at) = self.0.gateway().spread.hear(answer);
+        self.note_generation(answer.until.generation);
+        let (new, known_at) = self.0.gateway().spread.apply_answer(answer);
         if let Some(known_at) = known_at {
             self.record_known(known_at);
         }
@@ -190,8 +199,8 @@
     /// Records that the store answered a request sent at `asked`.
     fn record_answer(&self, asked: Monotonic) {
         let mut gateway = self.0.gateway();
-        gateway.roster.set_cut(false);
-        gateway.spread.reach();
+        gateway.roster.set_store_unreachable(false);
+        gateway.spread.record_success();
         drop(gateway);
         self.record_known(asked);
     }
@@ -201,7 +210,7 @@
         let now = self.now();
         let mut gateway = self.0.gateway();
         let change = gateway.confirm(known_at, now);
-        if change == knowledge::Change::Regained {
+        if change == freshness::Change::Regained {
             log_regained(&gateway, now);
         }
         drop(gateway);
@@ -210,21 +219,21 @@
 
     /// Records that a request to the store failed; returns the delay before the next one.
     #[must_use]
-    pub fn miss(&self, cause: &str) -> Duration {
+    pub fn record_failure(&self, cause: &str) -> Duration {
         metrics::counter!("auburnline_store_failures_total").increment(1);
         let now = self.now();
         let mut gateway = self.0.gateway();
-        let was_cut = gateway.roster.is_cut();
-        gateway.roster.set_cut(true);
-        let age = gateway.knowledge.age(now);
+        let was_unreachable = gateway.roster.is_store_unreachable();
+        gateway.roster.set_store_unreachable(true);
+        let age = gateway.freshness.age(now);
         let is_told = age.is_some_and(|age| age < MAX_RELAYED_AGE);
         if !is_told {
-            gateway.knowledge.miss();
+            gateway.freshness.record_failure();
         }
         let (_, is_reader) = gateway.roster.readers(now);
-        let pause = gateway.spread.miss(is_reader);
+        let pause = gateway.spread.record_failure(is_reader);
         drop(gateway);
-        if !was_cut {
+        if !was_unreachable {
             let age_ms = millis(age.unwrap_or_default());
             log::warn!(target: "store", cause, age_ms, is_told; "lost");
         }
@@ -232,11 +241,14 @@
     }
 
     /// Puts a configuration in force if its version is newer, and keeps it for gateways that request it.
-    fn apply_configuration(&self, revision: Revision, content: Content) {
-        let table = Table::new(content.clone());
+    fn apply_configuration(&self, revision: Revision, configuration: Configuration) {
+        let table = Table::new(configuration.clone());
         let version = table.version();
         let mut gateway = self.0.gateway();
-        gateway.spread.keep(Told { revision, content });
+        gateway.spread.keep_configuration(Update {
+            revision,
+            configuration,
+        });
         let before = gateway.version();
         let is_newer = gateway.set_table(table);
         drop(gateway);
@@ -246,14 +258,16 @@
         self.0.update_readiness();
     }
 
-    fn apply(&self, changes: Vec<Published>) {
+    fn apply(&self, changes: Vec<spread::Change>) {
         let mut pool_changes = Vec::new();
         let mut gateway = self.0.gateway();
         for change in changes {
             match change {
-                Published::Upstream(upstream) => pool_changes.extend(gateway.pool.insert(upstream)),
-                Published::Missing(id) => gateway.pool.miss(&id),
-                Published::Configuration => {}
+                spread::Change::Upstream(upstream) => {
+                    pool_changes.extend(gateway.pool.insert(upstream));
+                }
+                spread::Change::Removed(id) => gateway.pool.mark_missing(&id),
+                spread::Change::Configuration => {}
             }
         }
         drop(gateway);
