--- a/crates/placement/src/turn.rs
+++ b/crates/placement/src/turn.rs
@@ -40,7 +40,7 @@
 
 /// What is seen of a group, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Sight {
+pub struct Observation {
     /// How far it is under the revision in force.
     pub progress: Progress,
     /// Time since it was seen.
@@ -49,7 +49,7 @@
     pub overdue: Duration,
 }
 
-impl Sight {
+impl Observation {
     fn is_fresh(&self) -> bool {
         self.age <= MAX_AGE
     }
@@ -113,12 +113,12 @@
     rule: Rule<'_>,
     own: &GroupId,
     published: &[GroupId],
-    sights: &BTreeMap<GroupId, Sight>,
+    sights: &BTreeMap<GroupId, Observation>,
 ) -> Decision {
     let mut ahead = order(rule, published);
     let own_place = ahead.iter().position(|group| group == own);
     ahead.truncate(own_place.unwrap_or(ahead.len()));
-    ahead.retain(|group| !sights.get(group).is_some_and(Sight::is_finished));
+    ahead.retain(|group| !sights.get(group).is_some_and(Observation::is_finished));
     let mut before = ahead.clone();
     before.retain(|group| {
         sights
@@ -162,7 +162,7 @@
     own: &GroupId,
     ahead: &[GroupId],
     room: usize,
-    sights: &BTreeMap<GroupId, Sight>,
+    sights: &BTreeMap<GroupId, Observation>,
 ) -> usize {
     let others = sights.iter().filter(|(group, _)| *group != own);
     let serving = others.filter(|(group, sight)| sight.serves() && !ahead.contains(group));
--- a/crates/placement/tests/all/fleet.rs
+++ b/crates/placement/tests/all/fleet.rs
@@ -13,9 +13,9 @@
 use auburnline_placement::reconcile::Event;
 use auburnline_placement::reconcile::Group;
 use auburnline_placement::turn;
+use auburnline_placement::turn::Observation;
 use auburnline_placement::turn::Progress;
 use auburnline_placement::turn::Rule;
-use auburnline_placement::turn::Sight;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
@@ -182,10 +182,10 @@
 
     fn turn(&self, index: usize) -> turn::Decision {
         let unit = &self.units[index];
-        let sights: BTreeMap<GroupId, Sight> = (unit.seen.iter())
+        let sights: BTreeMap<GroupId, Observation> = (unit.seen.iter())
             .filter(|(id, (revision, ..))| **id != unit.id && *revision == unit.revision)
             .map(|(id, (_, progress, at))| {
-                let sight = Sight {
+                let sight = Observation {
                     progress: *progress,
                     age: self.now.saturating_sub(*at),
                     overdue: Duration::ZERO,
--- a/crates/placement/tests/all/group.rs
+++ b/crates/placement/tests/all/group.rs
@@ -131,7 +131,7 @@
 fn groups_out_of_service_hold_up_no_other() {
     let pool = Arc::from("pool");
     let published: Vec<GroupId> = (0..4).map(|i| Arc::from(format!("g{i}"))).collect();
-    let sight = |progress| turn::Sight {
+    let sight = |progress| turn::Observation {
         progress,
         age: Duration::ZERO,
         overdue: Duration::ZERO,
@@ -143,7 +143,7 @@
         cap: 2,
     };
     let may_close = |own: &GroupId| {
-        let mut sights: BTreeMap<GroupId, turn::Sight> = published
+        let mut sights: BTreeMap<GroupId, turn::Observation> = published
             .iter()
             .map(|group| (Arc::clone(group), sight(turn::Progress::Waiting)))
             .collect();
