--- a/crates/placement/src/turn.rs
+++ b/crates/placement/src/turn.rs
@@ -109,7 +109,7 @@
 ///
 /// `sights` are of all published groups of the pool but `own`; one that is not seen is left out.
 #[must_use]
-pub fn judge(
+pub fn decide(
     rule: Rule<'_>,
     own: &GroupId,
     published: &[GroupId],
--- a/crates/placement/tests/all/fleet.rs
+++ b/crates/placement/tests/all/fleet.rs
@@ -203,7 +203,7 @@
             minimum,
             cap,
         };
-        turn::judge(rule, &unit.id, &self.published, &sights)
+        turn::decide(rule, &unit.id, &self.published, &sights)
     }
 
     fn tell(&mut self, index: usize, event: Event, rng: &mut ChaCha8Rng) {
--- a/crates/placement/tests/all/group.rs
+++ b/crates/placement/tests/all/group.rs
@@ -149,7 +149,7 @@
             .collect();
         sights.insert(Arc::clone(&published[0]), sight(turn::Progress::Out));
         sights.remove(own);
-        turn::judge(rule, own, &published, &sights).may_close
+        turn::decide(rule, own, &published, &sights).may_close
     };
     let allowed = published[1..].iter().filter(|own| may_close(own)).count();
     assert_that!(allowed, eq(1));
