--- a/crates/placement/src/reconcile.rs
+++ b/crates/placement/src/reconcile.rs
@@ -181,7 +181,7 @@
     pub fn progress(&self) -> Progress {
         match self.phase {
             Phase::Serving if self.held == self.target => Progress::Ready,
-            Phase::OutOfService if self.target.is_none() => Progress::Out,
+            Phase::OutOfService if self.target.is_none() => Progress::OutOfService,
             Phase::Serving | Phase::Waiting => Progress::Waiting,
             Phase::Loading | Phase::Unloading if self.held.is_some() => Progress::Loading,
             _ => Progress::Closed,
--- a/crates/placement/src/turn.rs
+++ b/crates/placement/src/turn.rs
@@ -29,7 +29,7 @@
     /// Serves what the preset in force asks of it.
     Ready,
     /// Serves nothing, as the preset in force asks.
-    Out,
+    OutOfService,
     /// Serves something else and has not begun to change.
     Waiting,
     /// Loads while it serves.
@@ -55,12 +55,12 @@
     }
 
     fn serves(&self) -> bool {
-        self.is_fresh() && !matches!(self.progress, Progress::Closed | Progress::Out)
+        self.is_fresh() && !matches!(self.progress, Progress::Closed | Progress::OutOfService)
     }
 
     /// Whether it is what the preset asks, and won't change any more.
     fn is_finished(&self) -> bool {
-        self.is_fresh() && matches!(self.progress, Progress::Ready | Progress::Out)
+        self.is_fresh() && matches!(self.progress, Progress::Ready | Progress::OutOfService)
     }
 
     fn is_ready(&self) -> bool {
@@ -127,7 +127,7 @@
     });
     let out = sights
         .values()
-        .filter(|sight| sight.progress == Progress::Out);
+        .filter(|sight| sight.progress == Progress::OutOfService);
     let able = published.len().saturating_sub(out.count());
     let spare = able.saturating_sub(rule.minimum);
     let cap = rule.cap.min(spare).max(1);
--- a/crates/placement/tests/all/group.rs
+++ b/crates/placement/tests/all/group.rs
@@ -147,7 +147,10 @@
             .iter()
             .map(|group| (Arc::clone(group), sight(turn::Progress::Waiting)))
             .collect();
-        sights.insert(Arc::clone(&published[0]), sight(turn::Progress::Out));
+        sights.insert(
+            Arc::clone(&published[0]),
+            sight(turn::Progress::OutOfService),
+        );
         sights.remove(own);
         turn::decide(rule, own, &published, &sights).may_close
     };
