--- a/crates/placement/examples/converge.rs
+++ b/crates/placement/examples/converge.rs
@@ -8,8 +8,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::fleet::Fleet;
+use crate::fleet::Limit;
 use crate::fleet::STEP;
-use crate::fleet::Turns;
 
 #[path = "../tests/all/fleet.rs"]
 mod fleet;
@@ -26,7 +26,7 @@
     cut: usize,
 }
 
-fn run(seed: u32, groups: usize, turns: Turns) -> Outcome {
+fn run(seed: u32, groups: usize, turns: Limit) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(u64::from(seed));
     let mut fleet = Fleet::new(groups, groups / 2, turns);
     fleet.publish();
@@ -66,10 +66,10 @@
     }
     for groups in SIZES {
         let ways = [
-            ("one by one", Turns::Capped(1)),
-            ("cap 2", Turns::Capped(2)),
-            ("cap 4", Turns::Capped(4)),
-            ("all at once", Turns::All),
+            ("one by one", Limit::Capped(1)),
+            ("cap 2", Limit::Capped(2)),
+            ("cap 4", Limit::Capped(4)),
+            ("all at once", Limit::Unlimited),
         ];
         for (name, turns) in ways {
             let outcomes: Vec<Outcome> =
--- a/crates/placement/tests/all/fleet.rs
+++ b/crates/placement/tests/all/fleet.rs
@@ -29,11 +29,11 @@
 
 /// How groups take their turns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Turns {
+pub(crate) enum Limit {
     /// At most this many at once.
     Capped(usize),
     /// None waits for another.
-    All,
+    Unlimited,
 }
 
 struct Job {
@@ -57,7 +57,7 @@
     published: Vec<GroupId>,
     pub(crate) revision: Revision,
     minimum: usize,
-    turns: Turns,
+    turns: Limit,
     pub(crate) now: Duration,
     steps: u64,
     pub(crate) cut: usize,
@@ -72,7 +72,7 @@
 }
 
 impl Fleet {
-    pub(crate) fn new(groups: usize, minimum: usize, turns: Turns) -> Fleet {
+    pub(crate) fn new(groups: usize, minimum: usize, turns: Limit) -> Fleet {
         let published: Vec<GroupId> = (0..groups).map(|i| Arc::from(format!("g{i}"))).collect();
         let unit = |id: &GroupId| Unit {
             id: Arc::clone(id),
@@ -194,8 +194,8 @@
             })
             .collect();
         let (minimum, cap) = match self.turns {
-            Turns::Capped(cap) => (self.minimum, cap),
-            Turns::All => (0, usize::MAX),
+            Limit::Capped(cap) => (self.minimum, cap),
+            Limit::Unlimited => (0, usize::MAX),
         };
         let rule = Rule {
             pool: &self.pool,
--- a/crates/placement/tests/all/random.rs
+++ b/crates/placement/tests/all/random.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::fleet::Fleet;
-use crate::fleet::Turns;
+use crate::fleet::Limit;
 
 const RUNS: u64 = 30;
 const STEPS: usize = 6_000;
@@ -18,7 +18,7 @@
         let groups = rng.random_range(2..10);
         let cap = rng.random_range(1..4);
         let minimum = rng.random_range(0..groups);
-        let mut fleet = Fleet::new(groups, minimum, Turns::Capped(cap));
+        let mut fleet = Fleet::new(groups, minimum, Limit::Capped(cap));
         for step in 0..STEPS {
             if step < STEPS / 3 && rng.random_ratio(1, 400) {
                 fleet.publish();
@@ -36,7 +36,7 @@
     for seed in 1..=RUNS {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let cap = rng.random_range(1..4);
-        let mut fleet = Fleet::new(8, 0, Turns::Capped(cap));
+        let mut fleet = Fleet::new(8, 0, Limit::Capped(cap));
         fleet.publish();
         for _ in 0..STEPS {
             fleet.step(&mut rng, 20);
@@ -49,7 +49,7 @@
 #[gtest]
 fn all_at_once_breaks_the_minimum() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let mut fleet = Fleet::new(8, 6, Turns::All);
+    let mut fleet = Fleet::new(8, 6, Limit::Unlimited);
     fleet.publish();
     let mut fewest = 8;
     for _ in 0..STEPS {
