--- a/crates/placement/examples/converge.rs
+++ b/crates/placement/examples/converge.rs
@@ -44,7 +44,7 @@
         }
     }
     outcome.seconds = fleet.now.as_secs_f64();
-    outcome.cut = fleet.cut;
+    outcome.cut = fleet.cut_streams;
     outcome
 }
 
--- a/crates/placement/tests/all/fleet.rs
+++ b/crates/placement/tests/all/fleet.rs
@@ -60,7 +60,7 @@
     turns: Limit,
     pub(crate) now: Duration,
     steps: u64,
-    pub(crate) cut: usize,
+    pub(crate) cut_streams: usize,
 }
 
 pub(crate) fn placement(version: u64) -> Placement {
@@ -91,7 +91,7 @@
             turns,
             now: Duration::ZERO,
             steps: 0,
-            cut: 0,
+            cut_streams: 0,
         }
     }
 
@@ -216,7 +216,7 @@
             let left = match order.command {
                 Command::Load(_) => rng.random_range(100..200),
                 Command::Switch(_) => {
-                    self.cut += unit.streams.len();
+                    self.cut_streams += unit.streams.len();
                     unit.streams.clear();
                     rng.random_range(5..15)
                 }
--- a/crates/placement/tests/all/random.rs
+++ b/crates/placement/tests/all/random.rs
@@ -25,7 +25,7 @@
             }
             fleet.step(&mut rng, 20);
             assert!(fleet.open() >= minimum, "seed {seed} step {step}");
-            assert_eq!(fleet.cut, 0, "seed {seed} step {step}");
+            assert_eq!(fleet.cut_streams, 0, "seed {seed} step {step}");
         }
         assert_that!(fleet.is_converged(), eq(true), "seed {seed}");
     }
