--- a/crates/placement/src/turn.rs
+++ b/crates/placement/src/turn.rs
@@ -1,14 +1,15 @@
-//! Which groups of a pool may change now, without a leader.
+//! Decides without a leader which groups of a pool may change now.
 //!
-//! Every slot beside a rank 0 judges for its own group from the published pool and from what it sees
-//! of the others. Groups go in rendezvous order of pool and revision, so all slots use one order. A
-//! group may start when fewer than the cap of those before it are unfinished. One that has been
-//! waited for longer than a bound is passed over, yet still counts as not ready: the pool's
-//! published minimum is kept by those that are seen ready, however long that takes.
+//! Every slot beside a rank 0 decides for its own group, from the published pool and its observations
+//! of the other groups. Groups change in the rendezvous order of pool and revision, so that all slots
+//! use the same order. A group may start when the number of unfinished groups before it is below the
+//! cap. A group that has been overdue for [`SKIP_AFTER`] is skipped, but does not count towards the
+//! pool's published minimum until it is observed to be ready, however long that takes.
 //!
-//! Views may differ, so two groups may start at once that should not have. The minimum therefore
-//! reserves a place for every group before this one that could still start, not only for those seen
-//! changing; the last group to start counts all others as gone.
+//! The slots' views may differ, so that two groups may start at once that should not. The check
+//! against the minimum therefore reserves capacity for every group before this one that could still
+//! start, not only for those observed to be changing; the last group in the order counts all
+//! unfinished groups as not serving.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,34 +19,34 @@
 use auburnline_core::id::PoolId;
 use auburnline_core::id::Revision;
 
-/// Time after which a group that does not get ready is passed over.
-pub const PATIENCE: Duration = Duration::from_mins(10);
-/// Age after which what was seen of a group counts for nothing.
+/// Time after which an overdue group is skipped in the order.
+pub const SKIP_AFTER: Duration = Duration::from_mins(10);
+/// Age beyond which an observation no longer shows that a group serves or has finished.
 pub const MAX_AGE: Duration = Duration::from_secs(10);
 
-/// What is seen of a group.
+/// State of a group as other slots observe it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Progress {
     /// Serves what the preset in force asks of it.
     Ready,
     /// Serves nothing, as the preset in force asks.
     OutOfService,
-    /// Serves something else and has not begun to change.
+    /// Serves another placement and waits for its turn.
     Waiting,
-    /// Loads while it serves.
+    /// Loads or unloads weights while it serves.
     Loading,
-    /// Takes no new work: drains or switches.
+    /// Accepts no new work.
     Closed,
 }
 
-/// What is seen of a group, and when.
+/// Observed state of a group and its age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Observation {
-    /// How far it is under the revision in force.
+    /// State under the revision in force.
     pub progress: Progress,
-    /// Time since it was seen.
+    /// Time since the state was observed.
     pub age: Duration,
-    /// Time for which it has been the turn of this group without an end.
+    /// Time for which it has been this group's turn while the group is unfinished.
     pub overdue: Duration,
 }
 
@@ -58,7 +59,7 @@
         self.is_fresh() && !matches!(self.progress, Progress::Closed | Progress::OutOfService)
     }
 
-    /// Whether it is what the preset asks, and won't change any more.
+    /// Returns whether the group has reached its target and will not change under this revision.
     fn is_finished(&self) -> bool {
         self.is_fresh() && matches!(self.progress, Progress::Ready | Progress::OutOfService)
     }
@@ -68,16 +69,16 @@
     }
 }
 
-/// Pool and bounds that a turn is judged by.
+/// Pool and limits for a decision.
 #[derive(Clone, Copy, Debug)]
 pub struct Rule<'a> {
-    /// Pool of the groups.
+    /// Pool that the groups belong to.
     pub pool: &'a PoolId,
-    /// Revision in force.
+    /// Revision in force; it determines the order together with the pool.
     pub revision: Revision,
-    /// Fewest groups that must serve.
+    /// Published minimum of groups that must serve.
     pub minimum: usize,
-    /// Most groups that change at once.
+    /// Largest number of groups that may change at once.
     pub cap: usize,
 }
 
@@ -88,51 +89,56 @@
     Turn,
     /// This many groups before it are unfinished.
     Behind(usize),
-    /// Only this many groups would be sure to serve.
+    /// Only this many groups are certain to keep serving, fewer than the minimum.
     Minimum(usize),
 }
 
-/// Judgement on one group.
+/// Decision on one group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// Whether the group may stop taking work.
+    /// Whether the group may stop accepting work.
     pub may_close: bool,
-    /// Why.
+    /// Reason for `may_close`.
     pub reason: Reason,
-    /// Unfinished groups before it, in order.
+    /// Unfinished groups before it that are not skipped, in order.
     pub before: Vec<GroupId>,
-    /// Age of the oldest sight that it rests on.
+    /// Age of the oldest observation; zero without any.
     pub age: Duration,
 }
 
-/// Judges whether `own` may stop taking work.
+/// Decides whether `own` may stop accepting work.
 ///
-/// `sights` are of all published groups of the pool but `own`; one that is not seen is left out.
+/// `observations` covers the published groups of the pool other than `own`; groups that were not
+/// observed are absent.
 #[must_use]
 pub fn decide(
     rule: Rule<'_>,
     own: &GroupId,
     published: &[GroupId],
-    sights: &BTreeMap<GroupId, Observation>,
+    observations: &BTreeMap<GroupId, Observation>,
 ) -> Decision {
     let mut ahead = order(rule, published);
-    let own_place = ahead.iter().position(|group| group == own);
-    ahead.truncate(own_place.unwrap_or(ahead.len()));
-    ahead.retain(|group| !sights.get(group).is_some_and(Observation::is_finished));
+    let own_index = ahead.iter().position(|group| group == own);
+    ahead.truncate(own_index.unwrap_or(ahead.len()));
+    ahead.retain(|group| {
+        !observations
+            .get(group)
+            .is_some_and(Observation::is_finished)
+    });
     let mut before = ahead.clone();
     before.retain(|group| {
-        sights
+        observations
             .get(group)
-            .is_none_or(|sight| sight.overdue < PATIENCE)
+            .is_none_or(|observation| observation.overdue < SKIP_AFTER)
     });
-    let out = sights
+    let out = observations
         .values()
-        .filter(|sight| sight.progress == Progress::OutOfService);
+        .filter(|observation| observation.progress == Progress::OutOfService);
     let able = published.len().saturating_sub(out.count());
     let spare = able.saturating_sub(rule.minimum);
     let cap = rule.cap.min(spare).max(1);
     let room = (cap - 1).saturating_sub(before.len());
-    let serving = sure_to_serve(own, &ahead, room, sights);
+    let serving = certain_to_serve(own, &ahead, room, observations);
     let reason = if before.len() >= cap {
         Reason::Behind(before.len())
     } else if serving < rule.minimum {
@@ -144,11 +150,15 @@
         may_close: reason == Reason::Turn,
         reason,
         before,
-        age: sights.values().map(|s| s.age).max().unwrap_or_default(),
+        age: observations
+            .values()
+            .map(|s| s.age)
+            .max()
+            .unwrap_or_default(),
     }
 }
 
-/// Returns the order in which the groups of a pool change.
+/// Returns the groups of a pool in the order in which they change.
 fn order(rule: Rule<'_>, published: &[GroupId]) -> Vec<GroupId> {
     let key = format!("{}/{}", rule.pool, rule.revision);
     let mut order = published.to_vec();
@@ -156,16 +166,20 @@
     order
 }
 
-/// Counts the groups that serve and will not close before `own` is done: not those `ahead`, and not
-/// those for which there is `room` beside `own` and the unfinished ones before it.
-fn sure_to_serve(
+/// Counts the groups that serve and cannot close before `own` has finished.
+///
+/// This excludes the groups in `ahead` and as many others as may still start: `room` is what the cap
+/// leaves besides `own` and the unfinished groups before it.
+fn certain_to_serve(
     own: &GroupId,
     ahead: &[GroupId],
     room: usize,
-    sights: &BTreeMap<GroupId, Observation>,
+    observations: &BTreeMap<GroupId, Observation>,
 ) -> usize {
-    let others = sights.iter().filter(|(group, _)| *group != own);
-    let serving = others.filter(|(group, sight)| sight.serves() && !ahead.contains(group));
-    let (ready, later): (Vec<_>, Vec<_>) = serving.partition(|(_, sight)| sight.is_ready());
+    let others = observations.iter().filter(|(group, _)| *group != own);
+    let serving =
+        others.filter(|(group, observation)| observation.serves() && !ahead.contains(group));
+    let (ready, later): (Vec<_>, Vec<_>) =
+        serving.partition(|(_, observation)| observation.is_ready());
     ready.len() + later.len() - later.len().min(room)
 }
