--- a/crates/placement/src/reconcile.rs
+++ b/crates/placement/src/reconcile.rs
@@ -1,9 +1,10 @@
-//! Drives one group from what it holds to what the preset in force asks.
+//! State machine that takes one group from its current placement to its target.
 //!
-//! Load before drain: the new weights are loaded beside the old ones while the group serves. Then
-//! the group waits for its turn, stops taking new work, lets its streams end, and switches. A
-//! preset that changes in the middle leads to the new target, or back to serving what the group
-//! still holds. Orders carry a fencing number; a confirmation of an older one has no effect.
+//! Weights are loaded before the drain: the new ones are staged beside the old ones while the group
+//! serves. Then the group waits for its turn, stops accepting work, lets its streams end, and
+//! switches. When the preset changes in the meantime, the group goes on to the new target, or back to
+//! serving its current placement. Orders carry a fencing number; a confirmation of an older order has
+//! no effect.
 
 use std::time::Duration;
 
@@ -14,101 +15,101 @@
 use crate::turn;
 use crate::turn::Progress;
 
-/// Time between repetitions of an order.
+/// Interval at which an unconfirmed order is sent again.
 pub const RETRY: Duration = Duration::from_secs(1);
 
-/// What a group is told to do by its slot.
+/// Command of a slot to its group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Load beside what is in use.
+    /// Stage these weights beside those in use.
     Load(Placement),
-    /// Drop what was loaded beside.
+    /// Drop the staged weights.
     Unload,
-    /// Stop taking new work; streams go on until the deadline.
+    /// Stop accepting new work; running streams continue until the deadline.
     Close {
-        /// Time left for streams.
+        /// Time that running streams have to end.
         deadline: Duration,
     },
-    /// Use what was loaded; no stream is left.
+    /// Use the staged weights; sent once no stream runs or the drain deadline has passed.
     Switch(Placement),
-    /// Take new work.
+    /// Accept new work.
     Open,
 }
 
 /// A command with its fencing number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Grows with each choice of the group's slot.
+    /// Grows by one with each order to the group.
     pub fence: Fence,
-    /// What to do.
+    /// Command to carry out.
     pub command: Command,
 }
 
-/// What the slot is told.
+/// Input of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Time has passed.
+    /// Time has passed; sent periodically.
     Tick,
-    /// The preset in force asks this of the group; `None` takes it out of service.
+    /// Placement that the preset in force assigns to the group; `None` takes it out of service.
     Target(Option<Placement>),
-    /// The group has carried out the order of this fencing number.
+    /// The group has carried out the order with this fencing number.
     Done(Fence),
-    /// This many streams run.
+    /// Number of streams that run.
     Streams(usize),
-    /// Whether the group may stop taking work now.
+    /// Decision whether the group may stop accepting work now.
     Turn(turn::Decision),
 }
 
-/// What was chosen.
+/// Step that was decided on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
     /// Load the target's weights.
     Load,
-    /// Wait for the turn.
+    /// Wait for the turn, or for streams to end after closing.
     Wait,
-    /// Stop taking work.
+    /// Stop accepting work.
     Close,
-    /// Use the target.
+    /// Switch to the target.
     Switch,
-    /// Take work.
+    /// Accept work.
     Open,
-    /// Give up what was begun and go back to what is held.
-    GoBack,
+    /// Abandon the change and return to the current placement.
+    Revert,
 }
 
-/// Why it was chosen.
+/// Reason for a [`Choice`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The preset asks for something else than the group holds.
+    /// The preset assigns a new target to the group.
     NewTarget,
-    /// The preset asks for what the group holds.
+    /// The target is the current placement.
     TargetHeld,
-    /// The order before it is carried out.
+    /// The previous order was carried out.
     Done,
     /// It is the group's turn.
     Turn,
-    /// No stream runs any more.
+    /// All streams have ended.
     StreamsEnded,
-    /// The drain's deadline has passed.
+    /// The drain deadline has passed.
     Deadline,
 }
 
-/// One decision, for one log line.
+/// One decision, to be written as one log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// What was chosen.
+    /// Step that was decided on.
     pub choice: Choice,
-    /// Why.
+    /// Reason for the choice.
     pub reason: Reason,
-    /// Fencing number of the order that follows, if any.
+    /// Fencing number of the order sent with it, or of the last one if none is sent.
     pub fence: Fence,
-    /// Streams that still run.
+    /// Number of streams that still run.
     pub streams: usize,
-    /// Time since the phase before began.
+    /// Time that the previous phase took.
     pub age: Duration,
 }
 
-/// What the slot does.
+/// Output of the state machine, for the slot to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send an order to the group.
@@ -117,7 +118,7 @@
     Log(Decision),
 }
 
-/// How far the group is.
+/// Phase of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Serving,
@@ -131,11 +132,11 @@
     OutOfService,
 }
 
-/// State of one group.
+/// State machine of one group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group {
     held: Option<Placement>,
-    beside: Option<Placement>,
+    staged: Option<Placement>,
     target: Option<Placement>,
     phase: Phase,
     since: Monotonic,
@@ -147,9 +148,9 @@
 }
 
 impl Group {
-    /// Returns a group that serves `held`.
+    /// Creates a group that serves `held`, or is out of service without it.
     ///
-    /// `fence` is above every fencing number that the group has seen.
+    /// `fence` must be above every fencing number that the group has seen.
     #[must_use]
     pub fn new(held: Option<Placement>, fence: Fence, drain_deadline: Duration) -> Group {
         let phase = match held {
@@ -159,7 +160,7 @@
         Group {
             target: held.clone(),
             held,
-            beside: None,
+            staged: None,
             phase,
             since: Duration::ZERO,
             sent_at: Duration::ZERO,
@@ -170,13 +171,13 @@
         }
     }
 
-    /// Returns what the group uses.
+    /// Returns the placement in use; `None` when out of service.
     #[must_use]
     pub const fn held(&self) -> Option<&Placement> {
         self.held.as_ref()
     }
 
-    /// Returns what other groups see of this one.
+    /// Returns the state that other slots observe.
     #[must_use]
     pub fn progress(&self) -> Progress {
         match self.phase {
@@ -188,37 +189,37 @@
         }
     }
 
-    /// Whether the group takes new work.
+    /// Returns whether the group accepts new work.
     #[must_use]
     pub const fn is_open(&self) -> bool {
-        let takes_work = matches!(
+        let accepts_work = matches!(
             self.phase,
             Phase::Serving | Phase::Unloading | Phase::Loading | Phase::Waiting
         );
-        takes_work && self.held.is_some()
+        accepts_work && self.held.is_some()
     }
 
-    /// Takes an event and returns what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
-            Event::Tick => self.repeat(now, &mut actions),
+            Event::Tick => self.resend(now, &mut actions),
             Event::Target(target) => self.retarget(target, now, &mut actions),
             Event::Done(fence) if fence == self.fence && self.order.is_some() => {
                 let loaded = self.loading().cloned();
-                self.beside = loaded.or(self.beside.take());
+                self.staged = loaded.or(self.staged.take());
                 self.order = None;
-                self.done(now, &mut actions);
+                self.handle_done(now, &mut actions);
             }
             Event::Done(_) => {}
             Event::Streams(streams) => self.streams = streams,
-            Event::Turn(turn) => self.turn(&turn, now, &mut actions),
+            Event::Turn(turn) => self.handle_turn(&turn, now, &mut actions),
         }
         self.check_drain(now, &mut actions);
         actions
     }
 
-    fn repeat(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
+    fn resend(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
         if let Some(order) = &self.order
             && now >= self.sent_at + RETRY
         {
@@ -227,7 +228,7 @@
         }
     }
 
-    fn go(
+    fn enter(
         &mut self,
         phase: Phase,
         command: Option<Command>,
@@ -261,25 +262,25 @@
             return;
         }
         self.target = target;
-        // A switch or close under way is finished first; what follows it looks at the target.
+        // A close, switch or open in progress is finished first; the next step then uses the new target.
         match self.phase {
             Phase::Switching | Phase::Closing | Phase::Opening => {}
             Phase::Draining => self.leave_drain(now, actions),
-            _ => self.approach(Reason::NewTarget, now, actions),
+            _ => self.advance(Reason::NewTarget, now, actions),
         }
     }
 
     fn leave_drain(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
-        if self.target.is_none() || self.target == self.beside {
+        if self.target.is_none() || self.target == self.staged {
             return;
         }
         if self.held.is_some() {
-            let why = (Choice::GoBack, Reason::NewTarget);
-            self.go(Phase::Opening, Some(Command::Open), why, now, actions);
+            let why = (Choice::Revert, Reason::NewTarget);
+            self.enter(Phase::Opening, Some(Command::Open), why, now, actions);
         }
     }
 
-    /// Returns what the group was told to load and has not confirmed.
+    /// Returns the placement of an unconfirmed load order.
     fn loading(&self) -> Option<&Placement> {
         match &self.order.as_ref()?.command {
             Command::Load(placement) => Some(placement),
@@ -287,20 +288,20 @@
         }
     }
 
-    /// Takes the next step from an open or empty group towards the target.
-    fn approach(&mut self, reason: Reason, now: Monotonic, actions: &mut Vec<Action>) {
+    /// Takes the next step towards the target, for a group that is open or has no weights in use.
+    fn advance(&mut self, reason: Reason, now: Monotonic, actions: &mut Vec<Action>) {
         let target = self.target.clone();
         if target == self.held {
-            if self.beside.is_some() || self.loading().is_some() {
-                let why = (Choice::GoBack, Reason::TargetHeld);
-                return self.go(Phase::Unloading, Some(Command::Unload), why, now, actions);
+            if self.staged.is_some() || self.loading().is_some() {
+                let why = (Choice::Revert, Reason::TargetHeld);
+                return self.enter(Phase::Unloading, Some(Command::Unload), why, now, actions);
             }
             let phase = if target.is_some() {
                 Phase::Serving
             } else {
                 Phase::OutOfService
             };
-            return self.go(
+            return self.enter(
                 phase,
                 None,
                 (Choice::Open, Reason::TargetHeld),
@@ -309,13 +310,13 @@
             );
         }
         match target {
-            Some(placement) if self.beside.as_ref() != Some(&placement) => {
+            Some(placement) if self.staged.as_ref() != Some(&placement) => {
                 if self.loading() == Some(&placement) {
                     return;
                 }
-                self.beside = None;
+                self.staged = None;
                 let command = Some(Command::Load(placement));
-                self.go(
+                self.enter(
                     Phase::Loading,
                     command,
                     (Choice::Load, reason),
@@ -325,38 +326,38 @@
             }
             Some(_) if self.phase == Phase::Unloading => {}
             Some(_) if self.held.is_none() => self.switch(reason, now, actions),
-            _ => self.go(Phase::Waiting, None, (Choice::Wait, reason), now, actions),
+            _ => self.enter(Phase::Waiting, None, (Choice::Wait, reason), now, actions),
         }
     }
 
     fn switch(&mut self, reason: Reason, now: Monotonic, actions: &mut Vec<Action>) {
         let why = (Choice::Switch, reason);
-        let beside = self.beside.clone();
-        if let Some(placement) = beside.filter(|beside| Some(beside) == self.target.as_ref()) {
+        let staged = self.staged.clone();
+        if let Some(placement) = staged.filter(|staged| Some(staged) == self.target.as_ref()) {
             let command = Some(Command::Switch(placement));
-            self.go(Phase::Switching, command, why, now, actions);
+            self.enter(Phase::Switching, command, why, now, actions);
         } else {
             self.held = None;
-            self.go(Phase::OutOfService, None, why, now, actions);
+            self.enter(Phase::OutOfService, None, why, now, actions);
         }
     }
 
-    fn done(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
+    fn handle_done(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
         match self.phase {
             Phase::Unloading => {
-                self.beside = None;
-                self.approach(Reason::Done, now, actions);
+                self.staged = None;
+                self.advance(Reason::Done, now, actions);
             }
-            Phase::Loading => self.approach(Reason::Done, now, actions),
+            Phase::Loading => self.advance(Reason::Done, now, actions),
             Phase::Closing => {
                 let why = (Choice::Wait, Reason::Done);
-                self.go(Phase::Draining, None, why, now, actions);
+                self.enter(Phase::Draining, None, why, now, actions);
                 self.leave_drain(now, actions);
             }
             Phase::Switching => {
-                self.held = self.beside.take();
+                self.held = self.staged.take();
                 let command = Some(Command::Open);
-                self.go(
+                self.enter(
                     Phase::Opening,
                     command,
                     (Choice::Open, Reason::Done),
@@ -366,18 +367,18 @@
             }
             Phase::Opening => {
                 self.phase = Phase::Serving;
-                self.approach(Reason::Done, now, actions);
+                self.advance(Reason::Done, now, actions);
             }
             Phase::Serving | Phase::Waiting | Phase::Draining | Phase::OutOfService => {}
         }
     }
 
-    fn turn(&mut self, turn: &turn::Decision, now: Monotonic, actions: &mut Vec<Action>) {
+    fn handle_turn(&mut self, turn: &turn::Decision, now: Monotonic, actions: &mut Vec<Action>) {
         if self.phase == Phase::Waiting && turn.may_close {
             let deadline = self.drain_deadline;
             let command = Some(Command::Close { deadline });
             let why = (Choice::Close, Reason::Turn);
-            self.go(Phase::Closing, command, why, now, actions);
+            self.enter(Phase::Closing, command, why, now, actions);
         }
     }
 
