--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,7 +1,8 @@
-//! Reconciling groups with the preset in force.
+//! Reconciliation of groups with the preset in force.
 //!
-//! Decision code only: no I/O, no clock, no thread. [`turn`] says which groups of a pool may change
-//! now, without a leader; [`reconcile`] drives one group from what it holds to what the preset asks.
+//! This crate only makes decisions: it does no I/O, reads no clock and starts no thread. [`turn`]
+//! decides without a leader which groups of a pool may change now. [`reconcile`] is the state machine
+//! that takes one group from its current placement to its target.
 
 pub mod reconcile;
 pub mod turn;
