--- a/crates/placement/tests/all/fleet.rs
+++ b/crates/placement/tests/all/fleet.rs
@@ -1,4 +1,4 @@
-//! A pool of groups that change their placement, in steps of time; for tests and examples.
+//! Simulation of a pool whose groups change their placement, for tests and examples.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,20 +19,22 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Length of one step of time.
+/// Simulated time per step.
 pub(crate) const STEP: Duration = Duration::from_millis(200);
-/// Steps between two sights of a group by another.
-const SIGHT_STEPS: u64 = 5;
+/// Steps between two observations of the other groups by a group.
+const OBSERVATION_STEPS: u64 = 5;
 const DRAIN_DEADLINE: Duration = Duration::from_mins(1);
-const LONGEST_STREAM: u32 = 150;
+/// Upper bound of a stream's length, in steps.
+const MAX_STREAM_STEPS: u32 = 150;
+/// Streams that run in an open group at once.
 const STREAMS: usize = 4;
 
-/// How groups take their turns.
+/// Limit on groups that change at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Limit {
-    /// At most this many at once.
+    /// At most this many, with the pool's minimum in force.
     Capped(usize),
-    /// None waits for another.
+    /// No limit and no minimum.
     Unlimited,
 }
 
@@ -41,23 +43,23 @@
     left: u32,
 }
 
-struct Unit {
+struct SimulatedGroup {
     id: GroupId,
     group: Group,
     revision: Revision,
     jobs: Vec<Job>,
     streams: Vec<u32>,
-    seen: BTreeMap<GroupId, (Revision, Progress, Duration)>,
+    observed: BTreeMap<GroupId, (Revision, Progress, Duration)>,
 }
 
-/// The pool and its groups.
+/// Simulated pool.
 pub(crate) struct Fleet {
     pool: PoolId,
-    units: Vec<Unit>,
+    groups: Vec<SimulatedGroup>,
     published: Vec<GroupId>,
     pub(crate) revision: Revision,
     minimum: usize,
-    turns: Limit,
+    limit: Limit,
     pub(crate) now: Duration,
     steps: u64,
     pub(crate) cut_streams: usize,
@@ -72,23 +74,23 @@
 }
 
 impl Fleet {
-    pub(crate) fn new(groups: usize, minimum: usize, turns: Limit) -> Fleet {
+    pub(crate) fn new(groups: usize, minimum: usize, limit: Limit) -> Fleet {
         let published: Vec<GroupId> = (0..groups).map(|i| Arc::from(format!("g{i}"))).collect();
-        let unit = |id: &GroupId| Unit {
+        let member = |id: &GroupId| SimulatedGroup {
             id: Arc::clone(id),
             group: Group::new(Some(placement(1)), 0, DRAIN_DEADLINE),
             revision: 1,
             jobs: Vec::new(),
             streams: Vec::new(),
-            seen: BTreeMap::new(),
+            observed: BTreeMap::new(),
         };
         Fleet {
             pool: Arc::from("pool"),
-            units: published.iter().map(unit).collect(),
+            groups: published.iter().map(member).collect(),
             published,
             revision: 1,
             minimum,
-            turns,
+            limit,
             now: Duration::ZERO,
             steps: 0,
             cut_streams: 0,
@@ -96,135 +98,135 @@
     }
 
     pub(crate) fn closed(&self) -> usize {
-        self.units
+        self.groups
             .iter()
-            .filter(|unit| !unit.group.is_open())
+            .filter(|member| !member.group.is_open())
             .count()
     }
 
     pub(crate) fn open(&self) -> usize {
-        self.units.len() - self.closed()
+        self.groups.len() - self.closed()
     }
 
     pub(crate) fn is_converged(&self) -> bool {
         let wanted = placement(self.revision);
-        self.units
+        self.groups
             .iter()
-            .all(|unit| unit.group.is_open() && unit.group.held() == Some(&wanted))
+            .all(|member| member.group.is_open() && member.group.held() == Some(&wanted))
     }
 
     pub(crate) fn publish(&mut self) {
         self.revision += 1;
     }
 
-    /// Passes one step of time; a group learns a new revision with odds of one in `lag`.
+    /// Advances the simulation by one step; a group learns of a new revision with probability 1 in `lag`.
     pub(crate) fn step(&mut self, rng: &mut ChaCha8Rng, lag: u32) {
         self.now += STEP;
         self.steps += 1;
-        for index in 0..self.units.len() {
-            self.learn(index, rng, lag);
-            self.work(index, rng);
-            self.look(index);
-            if self.units[index].group.progress() == Progress::Waiting {
+        for index in 0..self.groups.len() {
+            self.update_target(index, rng, lag);
+            self.run_streams_and_jobs(index, rng);
+            self.observe_others(index);
+            if self.groups[index].group.progress() == Progress::Waiting {
                 let turn = self.turn(index);
-                self.tell(index, Event::Turn(turn), rng);
+                self.send_event(index, Event::Turn(turn), rng);
             }
-            self.tell(index, Event::Tick, rng);
+            self.send_event(index, Event::Tick, rng);
         }
     }
 
-    fn learn(&mut self, index: usize, rng: &mut ChaCha8Rng, lag: u32) {
-        if self.units[index].revision < self.revision && rng.random_ratio(1, lag) {
-            self.units[index].revision = self.revision;
-            self.tell(index, Event::Target(Some(placement(self.revision))), rng);
+    fn update_target(&mut self, index: usize, rng: &mut ChaCha8Rng, lag: u32) {
+        if self.groups[index].revision < self.revision && rng.random_ratio(1, lag) {
+            self.groups[index].revision = self.revision;
+            self.send_event(index, Event::Target(Some(placement(self.revision))), rng);
         }
     }
 
-    fn work(&mut self, index: usize, rng: &mut ChaCha8Rng) {
-        let unit = &mut self.units[index];
-        for left in &mut unit.streams {
+    fn run_streams_and_jobs(&mut self, index: usize, rng: &mut ChaCha8Rng) {
+        let member = &mut self.groups[index];
+        for left in &mut member.streams {
             *left -= 1;
         }
-        unit.streams.retain(|left| *left > 0);
-        while unit.group.is_open() && unit.streams.len() < STREAMS {
-            unit.streams.push(rng.random_range(1..LONGEST_STREAM));
+        member.streams.retain(|left| *left > 0);
+        while member.group.is_open() && member.streams.len() < STREAMS {
+            member.streams.push(rng.random_range(1..MAX_STREAM_STEPS));
         }
-        let streams = unit.streams.len();
+        let streams = member.streams.len();
         let mut done = Vec::new();
-        for job in &mut unit.jobs {
+        for job in &mut member.jobs {
             job.left = job.left.saturating_sub(1);
             if job.left == 0 {
                 done.push(job.fence);
             }
         }
-        unit.jobs.retain(|job| job.left > 0);
-        self.tell(index, Event::Streams(streams), rng);
+        member.jobs.retain(|job| job.left > 0);
+        self.send_event(index, Event::Streams(streams), rng);
         for fence in done {
-            self.tell(index, Event::Done(fence), rng);
+            self.send_event(index, Event::Done(fence), rng);
         }
     }
 
-    fn look(&mut self, index: usize) {
-        if !(self.steps + index as u64).is_multiple_of(SIGHT_STEPS) {
+    fn observe_others(&mut self, index: usize) {
+        if !(self.steps + index as u64).is_multiple_of(OBSERVATION_STEPS) {
             return;
         }
         let now = self.now;
-        let seen: Vec<_> = (self.units.iter())
-            .map(|unit| {
+        let observed: Vec<_> = (self.groups.iter())
+            .map(|member| {
                 (
-                    Arc::clone(&unit.id),
-                    (unit.revision, unit.group.progress(), now),
+                    Arc::clone(&member.id),
+                    (member.revision, member.group.progress(), now),
                 )
             })
             .collect();
-        self.units[index].seen.extend(seen);
+        self.groups[index].observed.extend(observed);
     }
 
     fn turn(&self, index: usize) -> turn::Decision {
-        let unit = &self.units[index];
-        let sights: BTreeMap<GroupId, Observation> = (unit.seen.iter())
-            .filter(|(id, (revision, ..))| **id != unit.id && *revision == unit.revision)
+        let member = &self.groups[index];
+        let observations: BTreeMap<GroupId, Observation> = (member.observed.iter())
+            .filter(|(id, (revision, ..))| **id != member.id && *revision == member.revision)
             .map(|(id, (_, progress, at))| {
-                let sight = Observation {
+                let observation = Observation {
                     progress: *progress,
                     age: self.now.saturating_sub(*at),
                     overdue: Duration::ZERO,
                 };
-                (Arc::clone(id), sight)
+                (Arc::clone(id), observation)
             })
             .collect();
-        let (minimum, cap) = match self.turns {
+        let (minimum, cap) = match self.limit {
             Limit::Capped(cap) => (self.minimum, cap),
             Limit::Unlimited => (0, usize::MAX),
         };
         let rule = Rule {
             pool: &self.pool,
-            revision: unit.revision,
+            revision: member.revision,
             minimum,
             cap,
         };
-        turn::decide(rule, &unit.id, &self.published, &sights)
+        turn::decide(rule, &member.id, &self.published, &observations)
     }
 
-    fn tell(&mut self, index: usize, event: Event, rng: &mut ChaCha8Rng) {
+    fn send_event(&mut self, index: usize, event: Event, rng: &mut ChaCha8Rng) {
         let now = self.now;
-        let unit = &mut self.units[index];
-        for action in unit.group.handle(event, now) {
+        let member = &mut self.groups[index];
+        for action in member.group.handle(event, now) {
             let Action::Send(order) = action else {
                 continue;
             };
             let left = match order.command {
                 Command::Load(_) => rng.random_range(100..200),
                 Command::Switch(_) => {
-                    self.cut_streams += unit.streams.len();
-                    unit.streams.clear();
+                    self.cut_streams += member.streams.len();
+                    member.streams.clear();
                     rng.random_range(5..15)
                 }
                 _ => 1,
             };
-            // Some orders are lost and some are given twice.
-            if rng.random_ratio(9, 10) && !unit.jobs.iter().any(|job| job.fence == order.fence) {
-                unit.jobs.push(Job {
+            // One in ten orders is lost; a repeated order that is already in progress is ignored.
+            if rng.random_ratio(9, 10) && !member.jobs.iter().any(|job| job.fence == order.fence) {
+                member.jobs.push(Job {
                     fence: order.fence,
                     left,
                 });
