--- a/crates/placement/tests/all/random.rs
+++ b/crates/placement/tests/all/random.rs
@@ -1,4 +1,4 @@
-//! Random runs: lost orders, lagging sights, presets that change in the middle.
+//! Random runs with lost orders, delayed observations, and presets that change during a rollout.
 
 use googletest::prelude::*;
 use rand::Rng;
