--- a/crates/placement/tests/all/main.rs
+++ b/crates/placement/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of placement, in one binary.
+//! Tests of the placement crate, in one binary.
 
 mod fleet;
 mod group;
