--- a/crates/placement/examples/converge.rs
+++ b/crates/placement/examples/converge.rs
@@ -1,4 +1,4 @@
-//! Measures how long a pool takes to a new preset, and the capacity it lacks meanwhile.
+//! Measures how long a pool takes to converge to a new preset, and the capacity it lacks meanwhile.
 //!
 //! `cargo run --release -p auburnline-placement --example converge [-- --csv]`
 
@@ -21,14 +21,15 @@
 #[derive(Default)]
 struct Outcome {
     seconds: f64,
+    /// Seconds that groups did not accept work, summed over the groups.
     lost_group_seconds: f64,
     fewest_open: usize,
-    cut: usize,
+    cut_streams: usize,
 }
 
-fn run(seed: u32, groups: usize, turns: Limit) -> Outcome {
+fn run(seed: u32, groups: usize, limit: Limit) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(u64::from(seed));
-    let mut fleet = Fleet::new(groups, groups / 2, turns);
+    let mut fleet = Fleet::new(groups, groups / 2, limit);
     fleet.publish();
     let mut outcome = Outcome {
         fewest_open: groups,
@@ -44,7 +45,7 @@
         }
     }
     outcome.seconds = fleet.now.as_secs_f64();
-    outcome.cut = fleet.cut_streams;
+    outcome.cut_streams = fleet.cut_streams;
     outcome
 }
 
@@ -65,20 +66,20 @@
         println!("{}", titles.map(|title| format!("{title:>14}")).concat());
     }
     for groups in SIZES {
-        let ways = [
+        let limits = [
             ("one by one", Limit::Capped(1)),
             ("cap 2", Limit::Capped(2)),
             ("cap 4", Limit::Capped(4)),
             ("all at once", Limit::Unlimited),
         ];
-        for (name, turns) in ways {
+        for (name, limit) in limits {
             let outcomes: Vec<Outcome> =
-                (1..=TRIALS).map(|seed| run(seed, groups, turns)).collect();
+                (1..=TRIALS).map(|seed| run(seed, groups, limit)).collect();
             let count = f64::from(TRIALS);
             let seconds = outcomes.iter().map(|o| o.seconds).sum::<f64>() / count;
             let lost = outcomes.iter().map(|o| o.lost_group_seconds).sum::<f64>() / count;
             let fewest = outcomes.iter().map(|o| o.fewest_open).min().unwrap_or(0);
-            let cut: usize = outcomes.iter().map(|o| o.cut).sum();
+            let cut: usize = outcomes.iter().map(|o| o.cut_streams).sum();
             if csv {
                 println!("{groups},{name},{seconds:.1},{lost:.1},{fewest},{cut}");
             } else {
