--- a/crates/rebalance/src/lib.rs
+++ b/crates/rebalance/src/lib.rs
@@ -28,6 +28,6 @@
 pub use planner::Planner;
 
 /// Turns a small count into a number to calculate with.
-pub(crate) fn real(count: usize) -> f64 {
+pub(crate) fn to_f64(count: usize) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
--- a/crates/rebalance/src/pack.rs
+++ b/crates/rebalance/src/pack.rs
@@ -7,9 +7,9 @@
 use auburnline_core::expert::Layer;
 use auburnline_core::id::Expert;
 
-use crate::real;
 use crate::search;
 use crate::search::Outlook;
+use crate::to_f64;
 
 /// Most changes that mend a layer once it is laid out.
 const MENDS: usize = 64;
@@ -35,7 +35,7 @@
     let mut parts: Vec<(f64, Expert)> = Vec::with_capacity(total);
     for (expert, &count) in copies.iter().enumerate() {
         let id = Expert::try_from(expert).ok()?;
-        parts.extend((0..count).map(|_| (shares[expert] / real(count), id)));
+        parts.extend((0..count).map(|_| (shares[expert] / to_f64(count), id)));
     }
     parts.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
     Some(assign(&parts, slowness, places))
@@ -48,7 +48,7 @@
         let mut largest = f64::MIN;
         for (expert, &count) in copies.iter().enumerate() {
             let part = if count < ranks {
-                shares[expert] / real(count)
+                shares[expert] / to_f64(count)
             } else {
                 -1.0
             };
--- a/crates/rebalance/src/plan.rs
+++ b/crates/rebalance/src/plan.rs
@@ -16,13 +16,13 @@
 use crate::decision::Plan;
 use crate::pack;
 use crate::popularity::Shares;
-use crate::real;
 use crate::search;
 use crate::search::Outlook;
 use crate::search::Path;
 use crate::skew;
 use crate::skew::Ranks;
 use crate::skew::Skew;
+use crate::to_f64;
 
 /// Bytes in a gibibyte.
 const GIBIBYTE: f64 = 1_073_741_824.0;
@@ -146,9 +146,9 @@
     let after = predict(&layers, popularity, &even);
     let gained = slowest(&before) - slowest(&after);
     let (loads, most) = loads(map, &layers);
-    let steps = config.steps_per_change + config.steps_per_load * real(most);
+    let steps = config.steps_per_change + config.steps_per_load * to_f64(most);
     let gain = gained * prices.saved * prices.second;
-    let cost = real(loads) * prices.load + steps * prices.step;
+    let cost = to_f64(loads) * prices.load + steps * prices.step;
     let forecast = Forecast {
         plan,
         skew: after.overall(),
@@ -213,7 +213,7 @@
     for (count, point) in path.points.iter().enumerate().skip(1) {
         let gained = start - point.slowest;
         let gain = gained * prices.saved * prices.second;
-        let score = gain - config.margin * real(point.loads) * prices.load;
+        let score = gain - config.margin * to_f64(point.loads) * prices.load;
         if gained >= floor && score > best.1 {
             best = (count, score);
         }
--- a/crates/rebalance/src/popularity.rs
+++ b/crates/rebalance/src/popularity.rs
@@ -17,7 +17,7 @@
 use crate::counts::Counts;
 use crate::counts::Shape;
 use crate::popularity::cell::Cell;
-use crate::real;
+use crate::to_f64;
 
 /// Most reports by which an estimate is carried forward over a gap.
 const LONGEST_GAP: f64 = 20.0;
@@ -76,7 +76,7 @@
             }
         }
         self.reports = self.reports.saturating_add(1);
-        let rate = all / real(self.layers.len().max(1)) / counts.span.as_secs_f64();
+        let rate = all / to_f64(self.layers.len().max(1)) / counts.span.as_secs_f64();
         let weight = f64::from(self.reports).min(self.memory);
         self.rate += (rate - self.rate) / weight;
     }
@@ -125,7 +125,7 @@
     #[must_use]
     pub fn drift(&self, layer: usize) -> f64 {
         let cells = &self.layers[layer];
-        cells.iter().map(Cell::drift).sum::<f64>() / real(cells.len().max(1))
+        cells.iter().map(Cell::drift).sum::<f64>() / to_f64(cells.len().max(1))
     }
 
     /// Returns the time from the newest report to `at` in reports.
--- a/crates/rebalance/src/search.rs
+++ b/crates/rebalance/src/search.rs
@@ -15,8 +15,8 @@
 use auburnline_core::expert::Layer;
 use auburnline_core::id::Expert;
 
-use crate::real;
 use crate::search::load::Load;
+use crate::to_f64;
 
 pub use crate::search::load::Outlook;
 
@@ -166,7 +166,7 @@
         if lasting.is_some() {
             return lasting;
         }
-        let mean = self.loads.iter().map(|load| load.now).sum::<f64>() / real(self.loads.len());
+        let mean = self.loads.iter().map(|load| load.now).sum::<f64>() / to_f64(self.loads.len());
         let urgent = self.slowest().1.now > URGENT * mean;
         if urgent { self.best_with(0.0) } else { None }
     }
--- a/crates/rebalance/src/search/load.rs
+++ b/crates/rebalance/src/search/load.rs
@@ -1,6 +1,6 @@
 //! Loads now and later.
 
-use crate::real;
+use crate::to_f64;
 
 /// Popularity of a layer's experts that a search works for.
 #[derive(Clone, Copy, Debug)]
@@ -77,7 +77,7 @@
     }
 
     pub(super) fn over(self, count: usize) -> Load {
-        let count = real(count);
+        let count = to_f64(count);
         Load {
             now: self.now / count,
             later: self.later / count,
--- a/crates/rebalance/src/skew.rs
+++ b/crates/rebalance/src/skew.rs
@@ -7,7 +7,7 @@
 use auburnline_core::expert::Layer;
 use auburnline_core::expert::Map;
 
-use crate::real;
+use crate::to_f64;
 
 /// What is known of each rank.
 #[derive(Clone, Debug, PartialEq)]
@@ -118,6 +118,6 @@
 pub fn span(times: &[f64]) -> Span {
     Span {
         slowest: times.iter().copied().fold(0.0, f64::max),
-        mean: times.iter().sum::<f64>() / real(times.len().max(1)),
+        mean: times.iter().sum::<f64>() / to_f64(times.len().max(1)),
     }
 }
