--- a/crates/rebalance/examples/table/policy.rs
+++ b/crates/rebalance/examples/table/policy.rs
@@ -95,7 +95,7 @@
                 *next = now + *period;
                 let layers = (0..map.layers.len()).map(|layer| {
                     let shares = estimate.shares(layer, now, now).mean;
-                    pack::mended(&shares, usize::from(map.ranks), map.places())
+                    pack::refined(&shares, usize::from(map.ranks), map.places())
                 });
                 wish(
                     map,
--- a/crates/rebalance/examples/table/world.rs
+++ b/crates/rebalance/examples/table/world.rs
@@ -270,7 +270,7 @@
             let path = search::improve(layer, count, Outlook::steady(shares), BOUND_CHANGES);
             let mut others = vec![path.apply(layer, path.changes.len())];
             if fresh {
-                others.extend(pack::mended(shares, count, PLACES));
+                others.extend(pack::refined(shares, count, PLACES));
             }
             if slow {
                 others.extend(pack::layer(shares, &ranks.slowness, PLACES));
@@ -327,7 +327,7 @@
 /// Best packing for the popularity at the start.
 fn first(truth: &Truth, shape: Shape) -> Map {
     let layers = truth.shares.iter().map(|shares| {
-        pack::mended(shares, usize::from(shape.ranks), PLACES).expect("enough places")
+        pack::refined(shares, usize::from(shape.ranks), PLACES).expect("enough places")
     });
     Map {
         generation: 1,
--- a/crates/rebalance/src/pack.rs
+++ b/crates/rebalance/src/pack.rs
@@ -17,7 +17,7 @@
 /// Lays out `shares` over ranks in order as [`layer`] does, then mends the slowest ranks by small
 /// changes.
 #[must_use]
-pub fn mended(shares: &[f64], ranks: usize, places: usize) -> Option<Layer> {
+pub fn refined(shares: &[f64], ranks: usize, places: usize) -> Option<Layer> {
     let layer = layer(shares, &vec![1.0; ranks], places)?;
     let path = search::improve(&layer, ranks, Outlook::steady(shares), MENDS);
     Some(path.apply(&layer, path.changes.len()))
--- a/crates/rebalance/tests/support/mod.rs
+++ b/crates/rebalance/tests/support/mod.rs
@@ -72,7 +72,7 @@
     let ranks = usize::from(SHAPE.ranks);
     let layers: Vec<Layer> = shares
         .iter()
-        .map(|shares| pack::mended(shares, ranks, PLACES).expect("enough places"))
+        .map(|shares| pack::refined(shares, ranks, PLACES).expect("enough places"))
         .collect();
     Map {
         generation: 1,
