--- a/crates/rebalance/examples/table/policy.rs
+++ b/crates/rebalance/examples/table/policy.rs
@@ -160,7 +160,7 @@
     for (layer, tokens) in layers.iter_mut().zip(&counts.layers) {
         let tokens: Vec<f64> = tokens.iter().map(|&count| f64::from(count)).collect();
         let times = skew::times(layer, &tokens, &ranks);
-        if skew::span(&times).ratio() > THRESHOLD {
+        if skew::summarize(&times).ratio() > THRESHOLD {
             swap(layer, &tokens, &times);
             changed = true;
         }
--- a/crates/rebalance/examples/table/world.rs
+++ b/crates/rebalance/examples/table/world.rs
@@ -286,7 +286,7 @@
 }
 
 fn slowest(layer: &Layer, shares: &[f64], ranks: &Ranks) -> f64 {
-    skew::span(&skew::times(layer, shares, ranks)).slowest
+    skew::summarize(&skew::times(layer, shares, ranks)).slowest
 }
 
 /// Runs all policies over the trace of `kind`.
--- a/crates/rebalance/src/plan.rs
+++ b/crates/rebalance/src/plan.rs
@@ -77,7 +77,7 @@
     let mut layers = map.layers.clone();
     let mut changed = false;
     for (layer, shares) in layers.iter_mut().zip(popularity) {
-        let span = skew::span(&skew::times(layer, &shares.mean, &even));
+        let span = skew::summarize(&skew::times(layer, &shares.mean, &even));
         let floor = least_gain(layer, ranks, shares, config, span.mean);
         if span.slowest - span.mean < floor {
             continue;
@@ -127,7 +127,7 @@
     let spans = layers
         .iter()
         .zip(popularity)
-        .map(|(layer, shares)| skew::span(&skew::times(layer, &shares.mean, ranks)));
+        .map(|(layer, shares)| skew::summarize(&skew::times(layer, &shares.mean, ranks)));
     Skew {
         layers: spans.collect(),
     }
--- a/crates/rebalance/src/skew.rs
+++ b/crates/rebalance/src/skew.rs
@@ -31,14 +31,14 @@
 
 /// Slowest and mean time of the ranks in one layer, in units of the layer's whole work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Span {
+pub struct Summary {
     /// Time of the slowest rank.
     pub slowest: f64,
     /// Mean time of the ranks.
     pub mean: f64,
 }
 
-impl Span {
+impl Summary {
     /// Returns the slowest over the mean time, 1.0 when there is no work.
     #[must_use]
     pub fn ratio(&self) -> f64 {
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Skew {
     /// Times in each layer.
-    pub layers: Vec<Span>,
+    pub layers: Vec<Summary>,
 }
 
 impl Skew {
@@ -63,13 +63,13 @@
     pub fn overall(&self) -> f64 {
         let slowest = self.layers.iter().map(|span| span.slowest).sum();
         let mean = self.layers.iter().map(|span| span.mean).sum();
-        Span { slowest, mean }.ratio()
+        Summary { slowest, mean }.ratio()
     }
 
     /// Returns the largest ratio of any layer.
     #[must_use]
     pub fn worst_layer(&self) -> f64 {
-        self.layers.iter().map(Span::ratio).fold(1.0, f64::max)
+        self.layers.iter().map(Summary::ratio).fold(1.0, f64::max)
     }
 }
 
@@ -80,7 +80,7 @@
         .layers
         .iter()
         .zip(shares)
-        .map(|(layer, shares)| span(&times(layer, shares, ranks)))
+        .map(|(layer, shares)| summarize(&times(layer, shares, ranks)))
         .collect();
     Skew { layers }
 }
@@ -115,8 +115,8 @@
 
 /// Returns the slowest and the mean of `times`.
 #[must_use]
-pub fn span(times: &[f64]) -> Span {
-    Span {
+pub fn summarize(times: &[f64]) -> Summary {
+    Summary {
         slowest: times.iter().copied().fold(0.0, f64::max),
         mean: times.iter().sum::<f64>() / to_f64(times.len().max(1)),
     }
--- a/crates/rebalance/tests/search.rs
+++ b/crates/rebalance/tests/search.rs
@@ -20,7 +20,7 @@
 }
 
 fn slowest(layer: &Layer, shares: &[f64]) -> f64 {
-    skew::span(&skew::times(layer, shares, &Ranks::even(RANKS))).slowest
+    skew::summarize(&skew::times(layer, shares, &Ranks::even(RANKS))).slowest
 }
 
 #[gtest]
