--- a/crates/rebalance/src/plan.rs
+++ b/crates/rebalance/src/plan.rs
@@ -29,7 +29,7 @@
 
 /// What gains and costs are worth.
 #[derive(Clone, Copy, Debug)]
-pub struct Prices {
+pub struct CostModel {
     /// Time saved over the horizon for each unit by which a layer's slowest rank gets faster.
     pub saved: f64,
     /// Gain for each second saved.
@@ -40,8 +40,8 @@
     pub step: f64,
 }
 
-impl Prices {
-    /// Prices of a group whose layers handle `rate` tokens a second, each in `token_time` seconds.
+impl CostModel {
+    /// CostModel of a group whose layers handle `rate` tokens a second, each in `token_time` seconds.
     #[must_use]
     pub fn new(config: &Config, weights: &Rebalance, rate: f64, token_time: f64) -> Self {
         Self {
@@ -70,7 +70,7 @@
     map: &Map,
     popularity: &[Shares],
     config: &Config,
-    prices: &Prices,
+    prices: &CostModel,
 ) -> Option<Proposal> {
     let ranks = usize::from(map.ranks);
     let even = Ranks::even(ranks);
@@ -104,7 +104,7 @@
     map: &Map,
     popularity: &[Shares],
     config: &Config,
-    prices: &Prices,
+    prices: &CostModel,
 ) -> Option<Proposal> {
     let even = vec![1.0; usize::from(map.ranks)];
     let layers: Option<Vec<Layer>> = popularity
@@ -139,7 +139,7 @@
     popularity: &[Shares],
     plan: Plan,
     config: &Config,
-    prices: &Prices,
+    prices: &CostModel,
 ) -> Proposal {
     let even = Ranks::even(usize::from(map.ranks));
     let before = predict(&map.layers, popularity, &even);
@@ -207,7 +207,7 @@
 }
 
 /// First part of the path with the best gain less costs, of those that gain at least `floor`.
-fn best_prefix(path: &Path, floor: f64, config: &Config, prices: &Prices) -> usize {
+fn best_prefix(path: &Path, floor: f64, config: &Config, prices: &CostModel) -> usize {
     let start = path.points[0].slowest;
     let mut best = (0, 0.0);
     for (count, point) in path.points.iter().enumerate().skip(1) {
--- a/crates/rebalance/src/planner.rs
+++ b/crates/rebalance/src/planner.rs
@@ -20,7 +20,7 @@
 use crate::decision::Forecast;
 use crate::decision::Reason;
 use crate::plan;
-use crate::plan::Prices;
+use crate::plan::CostModel;
 use crate::plan::Proposal;
 use crate::popularity::Estimate;
 use crate::popularity::Shares;
@@ -113,9 +113,9 @@
         self.detector.slow()
     }
 
-    fn prices(&self, weights: &Rebalance) -> Prices {
+    fn prices(&self, weights: &Rebalance) -> CostModel {
         let token_time = self.detector.token_seconds();
-        Prices::new(&self.config, weights, self.estimate.rate(), token_time)
+        CostModel::new(&self.config, weights, self.estimate.rate(), token_time)
     }
 
     /// Reason not to weigh any plan.
