--- a/crates/rebalance/src/plan.rs
+++ b/crates/rebalance/src/plan.rs
@@ -61,7 +61,7 @@
     /// What is predicted of it.
     pub forecast: Forecast,
     /// Whether it pays for the disruption with the margin asked.
-    pub pays: bool,
+    pub is_worthwhile: bool,
 }
 
 /// Proposes the smallest changes that pay, `None` when no layer's do.
@@ -161,7 +161,7 @@
     Proposal {
         layers,
         forecast,
-        pays: gain > cost * config.margin,
+        is_worthwhile: gain > cost * config.margin,
     }
 }
 
--- a/crates/rebalance/src/planner.rs
+++ b/crates/rebalance/src/planner.rs
@@ -174,7 +174,7 @@
             Some(Reason::Draining)
         } else if cooling {
             Some(Reason::Cooldown)
-        } else if !proposal.pays {
+        } else if !proposal.is_worthwhile {
             Some(Reason::Disruption)
         } else {
             None
@@ -273,7 +273,8 @@
     repack: Option<Proposal>,
     skew: f64,
 ) -> (Option<Proposal>, Option<Proposal>) {
-    let helps = |repack: &Proposal| repack.pays && skew - repack.forecast.skew > STUCK_SKEW;
+    let helps =
+        |repack: &Proposal| repack.is_worthwhile && skew - repack.forecast.skew > STUCK_SKEW;
     if proposal.is_none() && repack.as_ref().is_some_and(helps) {
         (repack, None)
     } else {
