--- a/crates/rebalance/src/planner.rs
+++ b/crates/rebalance/src/planner.rs
@@ -27,7 +27,7 @@
 use crate::skew::Ranks;
 use crate::straggler::Answer;
 use crate::straggler::Detector;
-use crate::straggler::RELIEFS;
+use crate::straggler::RELIEF_FACTORS;
 use crate::straggler::Relief;
 use crate::straggler::Slow;
 
@@ -219,7 +219,7 @@
             return Answer::None;
         };
         let mut best = (f64::MAX, Vec::new());
-        for relief in RELIEFS {
+        for relief in RELIEF_FACTORS {
             let reliefs = reliefs(&slow, relief);
             let ranks = relieved(usize::from(map.ranks), &slow, &reliefs);
             let skew = plan::predict(&map.layers, popularity, &ranks).overall();
--- a/crates/rebalance/src/straggler.rs
+++ b/crates/rebalance/src/straggler.rs
@@ -218,4 +218,4 @@
 }
 
 /// Parts that are tried for a slow rank, as multiples of `1 / slowness`.
-pub(crate) const RELIEFS: [f64; 5] = [1.0, 0.75, 0.5, 0.25, 0.0];
+pub(crate) const RELIEF_FACTORS: [f64; 5] = [1.0, 0.75, 0.5, 0.25, 0.0];
