--- a/crates/rebalance/src/config.rs
+++ b/crates/rebalance/src/config.rs
@@ -8,7 +8,7 @@
     pub(crate) expert_bytes: u64,
     pub(crate) horizon: Duration,
     pub(crate) lead: Duration,
-    pub(crate) outlook: Duration,
+    pub(crate) long_lead: Duration,
     pub(crate) max_age: Duration,
     pub(crate) warm_up: u32,
     pub(crate) cooldown: Duration,
@@ -31,7 +31,7 @@
             expert_bytes: 44_040_192,
             horizon: Duration::from_hours(1),
             lead: Duration::from_mins(10),
-            outlook: Duration::from_hours(2),
+            long_lead: Duration::from_hours(2),
             max_age: Duration::from_mins(5),
             warm_up: 8,
             cooldown: Duration::from_mins(2),
@@ -82,7 +82,7 @@
         /// Time ahead of now for which popularity is expected.
         lead: Duration,
         /// Time ahead of now at which a change should still help.
-        outlook: Duration,
+        long_lead: Duration,
         /// Age beyond which reports are not used.
         max_age: Duration,
         /// Reports that are needed before the first change.
--- a/crates/rebalance/src/planner.rs
+++ b/crates/rebalance/src/planner.rs
@@ -86,7 +86,7 @@
             return self.stay(reason, Forecast::stay(1.0), Vec::new(), age);
         }
         let expected = now.saturating_add(self.config.lead);
-        let later = now.saturating_add(self.config.outlook);
+        let later = now.saturating_add(self.config.long_lead);
         let popularity: Vec<Shares> = (0..self.shape.layers)
             .map(|layer| self.estimate.shares(layer, expected, later))
             .collect();
