--- a/crates/rebalance/src/config.rs
+++ b/crates/rebalance/src/config.rs
@@ -18,7 +18,7 @@
     pub(crate) max_changes: usize,
     pub(crate) steps_per_change: f64,
     pub(crate) steps_per_load: f64,
-    pub(crate) memory: f64,
+    pub(crate) averaging_reports: f64,
     pub(crate) slow: f64,
     pub(crate) recovered: f64,
     pub(crate) drain_skew: f64,
@@ -41,7 +41,7 @@
             max_changes: 16,
             steps_per_change: 2.0,
             steps_per_load: 0.5,
-            memory: 24.0,
+            averaging_reports: 24.0,
             slow: 1.2,
             recovered: 1.1,
             drain_skew: 1.25,
@@ -102,7 +102,7 @@
         /// Steps disrupted by each load on the rank that loads most.
         steps_per_load: f64,
         /// Reports that an estimate averages over.
-        memory: f64,
+        averaging_reports: f64,
         /// Time per token over the other ranks' from which a rank is slow.
         slow: f64,
         /// Time per token over the other ranks' below which a slow rank is well again.
--- a/crates/rebalance/src/planner.rs
+++ b/crates/rebalance/src/planner.rs
@@ -52,7 +52,7 @@
     pub fn new(config: Config, shape: Shape) -> Self {
         Self {
             window: Window::default(),
-            estimate: Estimate::new(shape, config.memory),
+            estimate: Estimate::new(shape, config.averaging_reports),
             detector: Detector::new(shape.ranks, &config),
             measured: None,
             changed: None,
