--- a/crates/rebalance/src/config.rs
+++ b/crates/rebalance/src/config.rs
@@ -19,8 +19,8 @@
     pub(crate) steps_per_change: f64,
     pub(crate) steps_per_load: f64,
     pub(crate) averaging_reports: f64,
-    pub(crate) slow: f64,
-    pub(crate) recovered: f64,
+    pub(crate) slow_threshold: f64,
+    pub(crate) recovery_threshold: f64,
     pub(crate) drain_skew: f64,
     pub(crate) drain_after: Duration,
 }
@@ -42,8 +42,8 @@
             steps_per_change: 2.0,
             steps_per_load: 0.5,
             averaging_reports: 24.0,
-            slow: 1.2,
-            recovered: 1.1,
+            slow_threshold: 1.2,
+            recovery_threshold: 1.1,
             drain_skew: 1.25,
             drain_after: Duration::from_mins(10),
         }
@@ -104,9 +104,9 @@
         /// Reports that an estimate averages over.
         averaging_reports: f64,
         /// Time per token over the other ranks' from which a rank is slow.
-        slow: f64,
+        slow_threshold: f64,
         /// Time per token over the other ranks' below which a slow rank is well again.
-        recovered: f64,
+        recovery_threshold: f64,
         /// Predicted skew from which a slow rank is a reason to drain the group.
         drain_skew: f64,
         /// Time that a rank must be slow before the group drains.
--- a/crates/rebalance/src/straggler.rs
+++ b/crates/rebalance/src/straggler.rs
@@ -89,8 +89,8 @@
         };
         Self {
             ranks: vec![watch; usize::from(ranks)],
-            slow: config.slow,
-            recovered: config.recovered,
+            slow: config.slow_threshold,
+            recovered: config.recovery_threshold,
             token_time: 0.0,
         }
     }
