--- a/crates/rebalance/src/counts.rs
+++ b/crates/rebalance/src/counts.rs
@@ -81,7 +81,7 @@
 
 impl Window {
     /// Notes `sequence`; tells whether it is new.
-    pub fn note(&mut self, sequence: u64) -> bool {
+    pub fn insert(&mut self, sequence: u64) -> bool {
         if self.seen == 0 || sequence > self.highest {
             self.advance(sequence);
             return true;
--- a/crates/rebalance/src/planner.rs
+++ b/crates/rebalance/src/planner.rs
@@ -69,7 +69,7 @@
         if counts.age > self.config.max_age {
             return Intake::Stale;
         }
-        if !self.window.note(counts.sequence) {
+        if !self.window.insert(counts.sequence) {
             return Intake::Repeated;
         }
         let at = now.saturating_sub(counts.age);
