--- a/crates/rebalance/src/popularity.rs
+++ b/crates/rebalance/src/popularity.rs
@@ -8,7 +8,7 @@
 //! successive reports, which a drift that is slow beside the reports hardly moves. State is one
 //! small cell for each expert of each layer.
 
-mod cell;
+mod filter;
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 use crate::counts::Counts;
 use crate::counts::Shape;
-use crate::popularity::cell::Cell;
+use crate::popularity::filter::Filter;
 use crate::to_f64;
 
 /// Most reports by which an estimate is carried forward over a gap.
@@ -27,7 +27,7 @@
 /// Estimate for all experts of a group.
 #[derive(Clone, Debug)]
 pub struct Estimate {
-    layers: Vec<Vec<Cell>>,
+    layers: Vec<Vec<Filter>>,
     memory: f64,
     reports: u32,
     rate: f64,
@@ -51,7 +51,7 @@
     /// Starts an estimate that averages over `memory` reports.
     #[must_use]
     pub fn new(shape: Shape, memory: f64) -> Self {
-        let layer = vec![Cell::default(); usize::from(shape.experts)];
+        let layer = vec![Filter::default(); usize::from(shape.experts)];
         Self {
             layers: vec![layer; shape.layers],
             memory,
@@ -112,7 +112,7 @@
         let ahead = trust * self.ahead(soon);
         let (mean, scale) = expected(cells, ahead);
         let (next, _) = expected(cells, trust * self.ahead(future));
-        let variance = |cell: &Cell| cell.variance(ahead) * scale * scale;
+        let variance = |cell: &Filter| cell.variance(ahead) * scale * scale;
         Shares {
             mean,
             later: next,
@@ -125,7 +125,7 @@
     #[must_use]
     pub fn drift(&self, layer: usize) -> f64 {
         let cells = &self.layers[layer];
-        cells.iter().map(Cell::drift).sum::<f64>() / to_f64(cells.len().max(1))
+        cells.iter().map(Filter::drift).sum::<f64>() / to_f64(cells.len().max(1))
     }
 
     /// Returns the time from the newest report to `at` in reports.
@@ -156,7 +156,7 @@
 }
 
 fn observe_layer(
-    cells: &mut [Cell],
+    cells: &mut [Filter],
     tokens: &[u32],
     (total, offset): (f64, f64),
     memory: f64,
@@ -169,7 +169,7 @@
 }
 
 /// Shares expected `ahead` reports after the newest, and the scale that makes them sum to one.
-fn expected(cells: &[Cell], ahead: f64) -> (Vec<f64>, f64) {
+fn expected(cells: &[Filter], ahead: f64) -> (Vec<f64>, f64) {
     let means: Vec<f64> = cells.iter().map(|cell| cell.at(ahead)).collect();
     let scale = means.iter().sum::<f64>().recip();
     (means.iter().map(|mean| mean * scale).collect(), scale)
--- a/crates/rebalance/src/popularity/cell.rs
+++ b/crates/rebalance/src/popularity/filter.rs
@@ -21,7 +21,7 @@
 
 /// Estimate for one expert of one layer.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Cell {
+pub(super) struct Filter {
     mean: f64,
     slope: f64,
     noise: f64,
@@ -32,7 +32,7 @@
     run: i8,
 }
 
-impl Cell {
+impl Filter {
     /// Carries the estimate forward by `reports`.
     pub(super) fn advance(&mut self, reports: f64) {
         self.mean = self.at(reports);
@@ -47,7 +47,7 @@
     pub(super) fn observe(&mut self, share: f64, offset: f64, memory: f64) -> bool {
         let share = share.max(LEAST_SHARE);
         if self.seen == 0.0 {
-            *self = Cell::first(share);
+            *self = Filter::first(share);
             return false;
         }
         let spread = (self.noise * (1.0 + self.weight.recip())).sqrt();
@@ -70,7 +70,7 @@
     }
 
     fn first(share: f64) -> Self {
-        Cell {
+        Filter {
             mean: share,
             slope: 0.0,
             noise: (FIRST_NOISE * share).powi(2),
@@ -115,7 +115,7 @@
     }
 }
 
-impl Cell {
+impl Filter {
     /// Variance of the share expected `ahead` reports after the newest, in steady state.
     pub(super) fn variance(&self, ahead: f64) -> f64 {
         if self.weight < SLOPE_AFTER {
