--- a/crates/rebalance/examples/table/main.rs
+++ b/crates/rebalance/examples/table/main.rs
@@ -4,14 +4,14 @@
 //! [--layers N] [--hours N] [--seed N]`
 
 mod policy;
+mod simulation;
 mod trace;
-mod world;
 
 use auburnline_core::published::Rebalance;
 use auburnline_rebalance::counts::Shape;
 
+use crate::simulation::Row;
 use crate::trace::Kind;
-use crate::world::Row;
 
 /// Weights of a preset that minds skew.
 pub(crate) const DIALLO: Rebalance = Rebalance {
@@ -78,7 +78,7 @@
         {
             continue;
         }
-        for row in world::run(kind, shape, options.hours, options.seed) {
+        for row in simulation::run(kind, shape, options.hours, options.seed) {
             println!("{}", row.line(options.csv));
         }
     }
