--- a/crates/rebalance/examples/table/main.rs
+++ b/crates/rebalance/examples/table/main.rs
@@ -69,7 +69,7 @@
         experts: 256,
         ranks: 64,
     };
-    println!("{}", Row::head(options.csv));
+    println!("{}", Row::header(options.csv));
     for kind in Kind::ALL {
         if options
             .trace
@@ -79,7 +79,7 @@
             continue;
         }
         for row in simulation::run(kind, shape, options.hours, options.seed) {
-            println!("{}", row.line(options.csv));
+            println!("{}", row.format(options.csv));
         }
     }
     Ok(())
--- a/crates/rebalance/examples/table/simulation.rs
+++ b/crates/rebalance/examples/table/simulation.rs
@@ -78,7 +78,7 @@
 
 impl Row {
     /// Names of the columns.
-    pub(crate) fn head(csv: bool) -> String {
+    pub(crate) fn header(csv: bool) -> String {
         if csv {
             return "trace,policy,skew_mean,skew_p95,changes,moves,gib,steps,drained_h,diallo,nairobi"
                 .to_owned();
@@ -100,7 +100,7 @@
     }
 
     /// The line as text or CSV.
-    pub(crate) fn line(&self, csv: bool) -> String {
+    pub(crate) fn format(&self, csv: bool) -> String {
         if csv {
             return format!(
                 "{},{},{:.4},{:.4},{},{:.0},{:.2},{:.1},{:.2},{:.1},{:.1}",
