--- a/crates/rebalance/examples/table/simulation.rs
+++ b/crates/rebalance/examples/table/simulation.rs
@@ -17,8 +17,8 @@
 use crate::NAIROBI;
 use crate::policy::Policy;
 use crate::trace;
-use crate::trace::Draw;
 use crate::trace::Kind;
+use crate::trace::Sample;
 use crate::trace::TICK;
 use crate::trace::TOKEN_SECONDS;
 use crate::trace::Trace;
@@ -201,7 +201,7 @@
         }
     }
 
-    fn step(&mut self, now: Duration, truth: &Truth, draw: &Draw, sequence: u64) {
+    fn step(&mut self, now: Duration, truth: &Truth, draw: &Sample, sequence: u64) {
         self.ledger.count_step(&self.map, truth, &self.share);
         if let Some(lag) = draw.lag {
             let counts = trace::report(draw, sequence, &self.map, &truth.slowness, &self.share);
@@ -310,7 +310,7 @@
     for tick in 1..=hours * 120 {
         let now = TICK * tick;
         let truth = trace.truth(now.as_secs_f64() / 3_600.0);
-        let draw = trace.draw(&truth);
+        let draw = trace.sample(&truth);
         for run in &mut runs {
             run.step(now, &truth, &draw, u64::from(tick));
         }
--- a/crates/rebalance/examples/table/trace.rs
+++ b/crates/rebalance/examples/table/trace.rs
@@ -124,7 +124,7 @@
 }
 
 /// Counts of a span with the way the report goes.
-pub(crate) struct Draw {
+pub(crate) struct Sample {
     /// Tokens of each expert by layer.
     pub(crate) layers: Vec<Vec<u32>>,
     /// Noise of each rank's time.
@@ -183,7 +183,7 @@
     }
 
     /// Draws what is reported of a span under `truth`.
-    pub(crate) fn draw(&mut self, truth: &Truth) -> Draw {
+    pub(crate) fn sample(&mut self, truth: &Truth) -> Sample {
         let volume = truth.rate * TICK.as_secs_f64() * self.rng.random_range(0.8..1.2);
         let burst = self.rng.random_ratio(1, BURST_EVERY);
         let mut layers = Vec::with_capacity(truth.shares.len());
@@ -205,7 +205,7 @@
             .collect();
         let lost = self.rng.random_ratio(1, 20);
         let lag = Duration::from_millis(self.rng.random_range(2_000..70_000));
-        Draw {
+        Sample {
             layers,
             timing,
             lag: (!lost).then_some(lag),
@@ -255,7 +255,7 @@
 
 /// Report of a draw under the map and reliefs of one policy.
 pub(crate) fn report(
-    draw: &Draw,
+    draw: &Sample,
     sequence: u64,
     map: &Map,
     slowness: &[f64],
