--- a/crates/rebalance/src/lib.rs
+++ b/crates/rebalance/src/lib.rs
@@ -1,15 +1,16 @@
-//! Choice of expert maps from popularity.
+//! Planning of expert maps from measured popularity.
 //!
-//! A [`planner::Planner`] takes reports of token counts and busy times of one group's ranks and
-//! says, when asked, whether the group's expert map should change. It reads no clock, does no I/O
-//! and draws no random number: the same reports and questions give the same decisions.
+//! A [`planner::Planner`] observes reports of token counts and busy times of one group's ranks and
+//! decides on request whether the group's expert map should change. It reads no clock, does no I/O
+//! and draws no random numbers: the same calls give the same decisions.
 //!
-//! - [`counts`] is what a group reports;
-//! - [`popularity`] estimates shares of the experts from late, gappy and noisy counts;
+//! - [`counts`] defines what a group reports;
+//! - [`popularity`] estimates the experts' shares of tokens from late, missing and noisy counts;
 //! - [`skew`] predicts the step time of a map under an estimate;
-//! - [`straggler`] recognises slow ranks, which never lead to a change of map;
-//! - [`search`] finds small changes of one layer, and [`pack`] lays a layer out anew;
-//! - [`decision`] is the answer with its reason, and [`planner`] joins all of it.
+//! - [`straggler`] detects slow ranks, which never lead to a change of map;
+//! - [`search`] finds small changes of one layer, and [`pack`] builds a layer from scratch;
+//! - [`plan`] weighs the gain of a change against its costs;
+//! - [`decision`] defines the result with its reason, and [`planner`] combines the other modules.
 
 pub mod config;
 pub mod counts;
@@ -27,7 +28,7 @@
 pub use decision::Decision;
 pub use planner::Planner;
 
-/// Turns a small count into a number to calculate with.
+/// Converts a count, saturating at `u32::MAX`.
 pub(crate) fn to_f64(count: usize) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
