--- a/crates/rebalance/src/config.rs
+++ b/crates/rebalance/src/config.rs
@@ -1,8 +1,8 @@
-//! Settings of the choice of maps, with defaults for groups of 64 ranks.
+//! Settings of a planner, with defaults for groups of 64 ranks.
 
 use std::time::Duration;
 
-/// Settings of a planner.
+/// Settings of a planner; [`Builder`] describes each of them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     pub(crate) expert_bytes: u64,
@@ -51,7 +51,7 @@
 }
 
 impl Config {
-    /// Starts from the defaults.
+    /// Returns a builder that starts from the defaults.
     #[must_use]
     pub fn builder() -> Builder {
         Builder(Config::default())
@@ -75,41 +75,41 @@
 
 impl Builder {
     setters! {
-        /// Weights of one expert of one layer, in bytes.
+        /// Size of the weights of one expert of one layer, in bytes.
         expert_bytes: u64,
         /// Time over which a change of map must pay for itself.
         horizon: Duration,
-        /// Time ahead of now for which popularity is expected.
+        /// Time ahead of now for which popularity is forecast to weigh a change.
         lead: Duration,
-        /// Time ahead of now at which a change should still help.
+        /// Time ahead of now at which a change should still help; the search prefers such changes.
         long_lead: Duration,
-        /// Age beyond which reports are not used.
+        /// Maximum age of a report on arrival, and of the newest report when a change is planned.
         max_age: Duration,
-        /// Reports that are needed before the first change.
+        /// Number of reports needed before the first change.
         warm_up: u32,
-        /// Shortest time between two changes.
+        /// Minimum time between two changes.
         cooldown: Duration,
         /// Factor by which the predicted gain must exceed the costs.
         margin: f64,
-        /// Standard errors that a layer's gain must exceed.
+        /// Number of standard errors of the estimate that a layer's gain must reach.
         significance: f64,
-        /// Least gain of a layer, as a share of its mean time.
+        /// Minimum gain of a layer, as a fraction of its mean time.
         min_gain: f64,
-        /// Most moves, swaps and replica changes of one layer in one plan.
+        /// Maximum number of swaps and replica changes of one layer in one plan.
         max_changes: usize,
-        /// Steps that any change of map disrupts.
+        /// Number of steps that any change of map disrupts.
         steps_per_change: f64,
-        /// Steps disrupted by each load on the rank that loads most.
+        /// Number of further steps disrupted for each load on the rank with the most loads.
         steps_per_load: f64,
-        /// Reports that an estimate averages over.
+        /// Maximum number of reports that an estimate averages over.
         averaging_reports: f64,
-        /// Time per token over the other ranks' from which a rank is slow.
+        /// Slowness (busy time over the usual one) above which a rank is slow.
         slow_threshold: f64,
-        /// Time per token over the other ranks' below which a slow rank is well again.
+        /// Slowness below which a slow rank has recovered; below `slow_threshold`.
         recovery_threshold: f64,
-        /// Predicted skew from which a slow rank is a reason to drain the group.
+        /// Predicted skew with the best relief, above which a slow rank is a reason to drain the group.
         drain_skew: f64,
-        /// Time that a rank must be slow before the group drains.
+        /// Time for which a rank must be slow before the group is drained.
         drain_after: Duration,
     }
 
