--- a/crates/rebalance/src/counts.rs
+++ b/crates/rebalance/src/counts.rs
@@ -1,7 +1,7 @@
-//! What a group reports about a span of steps.
+//! Reports of a group about a span of steps.
 //!
-//! Reports arrive late, in any order, twice or not at all. Times are durations, never readings of
-//! another process's clock.
+//! Reports arrive late, in any order, twice or not at all. All times are durations, never
+//! readings of another process's clock.
 
 use std::time::Duration;
 
@@ -13,53 +13,53 @@
 /// Token counts and busy times of a group over one span.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Number of the report, growing by one with each span.
+    /// Number of the report; increases by one with each span.
     pub sequence: u64,
-    /// Time since the span ended.
+    /// Time between the end of the span and the arrival of the report.
     pub age: Duration,
     /// Length of the span.
     pub span: Duration,
-    /// Tokens routed to each expert, by layer.
+    /// Number of tokens routed to each expert, by layer.
     pub layers: Vec<Vec<u32>>,
-    /// Work of each rank over all layers.
+    /// Work of each rank, summed over the layers.
     pub ranks: Vec<Work>,
 }
 
 /// Work of one rank over a span.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
-    /// Tokens that its experts handled, over all layers.
+    /// Number of tokens that its experts processed, summed over the layers.
     pub tokens: u64,
-    /// Time that its experts were busy.
+    /// Time for which its experts were busy.
     pub busy: Duration,
 }
 
-/// Sizes of a group.
+/// Dimensions of a group's expert maps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shape {
-    /// Layers.
+    /// Number of layers with experts.
     pub layers: usize,
-    /// Experts in each layer.
+    /// Number of experts in each layer, without replicas.
     pub experts: Expert,
-    /// Ranks.
+    /// Number of ranks that the experts are spread over.
     pub ranks: Rank,
 }
 
-/// What became of a report.
+/// Result of passing a report to the planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Intake {
-    /// It was taken in.
+    /// It is part of the estimates now.
     Taken,
-    /// Its sequence number was seen before.
+    /// A report with its sequence number was taken before.
     Repeated,
-    /// It is too old.
+    /// Its age exceeds the limit.
     Stale,
-    /// Its sizes are not the group's, or it covers no time.
+    /// Its dimensions differ from the group's, or its span is zero.
     Malformed,
 }
 
 impl Counts {
-    /// Tells whether the report has the sizes of the group and covers some time.
+    /// Returns whether the report has the dimensions of the group and a span above zero.
     #[must_use]
     pub fn fits(&self, shape: Shape) -> bool {
         let experts = usize::from(shape.experts);
@@ -70,9 +70,9 @@
     }
 }
 
-/// Sequence numbers seen of late.
+/// Sliding window over the last 64 sequence numbers, to recognise duplicates.
 ///
-/// A number from before all those kept starts a new series: the reporting process has restarted.
+/// A number older than the window starts a new series: the reporting process has restarted.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
     highest: u64,
@@ -80,7 +80,7 @@
 }
 
 impl Window {
-    /// Notes `sequence`; tells whether it is new.
+    /// Records `sequence` and returns whether it is new.
     pub fn insert(&mut self, sequence: u64) -> bool {
         if self.seen == 0 || sequence > self.highest {
             self.advance(sequence);
