--- a/crates/rebalance/src/decision.rs
+++ b/crates/rebalance/src/decision.rs
@@ -1,4 +1,4 @@
-//! What the planner decides, with all that a log line needs.
+//! Decisions of the planner, with all that a log line needs.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,91 +9,91 @@
 use crate::straggler::Answer;
 use crate::straggler::Slow;
 
-/// Answer to one question whether to change a map.
+/// Decision whether to change a map.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
-    /// What to do with the map.
+    /// Whether the map stays or changes.
     pub choice: Choice,
-    /// Why.
+    /// Reason for the choice.
     pub reason: Reason,
-    /// Prediction for what was chosen.
+    /// Prediction for the chosen plan.
     pub chosen: Forecast,
-    /// Predictions for what was not chosen, best first.
+    /// Predictions for the other plans, highest score first.
     pub runners_up: Vec<Forecast>,
-    /// Slow ranks.
+    /// Ranks that are slow at present.
     pub slow: Vec<Slow>,
-    /// What to do about them.
+    /// Response to the slow ranks.
     pub answer: Answer,
-    /// Age of the newest report.
+    /// Age of the newest report; `None` before the first.
     pub age: Option<Duration>,
-    /// Reports that the estimate rests on.
+    /// Number of reports that the estimate is based on.
     pub reports: u32,
 }
 
-/// What to do with a map.
+/// Whether a map stays or changes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// Keep it.
+    /// Keep the map in force.
     Stay,
-    /// Change to this one.
+    /// Change to this map.
     Change(Box<Map>),
 }
 
-/// Why a choice was made.
+/// Reason for a choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// The predicted gain exceeds the costs.
     Gain,
-    /// No change is predicted to gain more than noise and costs.
+    /// No change has a predicted gain above noise and costs.
     NoGain,
-    /// The gain does not pay for the steps disrupted.
+    /// The gain does not outweigh the costs, which include the disrupted steps.
     Disruption,
-    /// Too few reports have come in.
+    /// Too few reports have arrived.
     FewReports,
     /// The newest report is too old.
     StaleReports,
-    /// The last change is too recent.
+    /// The cooldown since the last change has not passed.
     Cooldown,
     /// The group should drain because a rank is slow.
     Draining,
-    /// The map is no map of this group.
+    /// The dimensions of the map differ from the group's.
     WrongShape,
-    /// The map can't be used.
+    /// The map has a defect.
     Unusable(Defect),
 }
 
-/// Kind of a plan.
+/// Kind of plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plan {
     /// Keep the map.
     Stay,
-    /// Moves, swaps and replica changes.
+    /// Swap places and change replicas.
     Changes,
-    /// Lay out every layer anew.
+    /// Rebuild every layer from scratch.
     Repack,
 }
 
 /// Predicted gain and costs of one plan over the horizon.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Forecast {
-    /// Which plan.
+    /// Kind of the plan.
     pub plan: Plan,
-    /// Predicted skew.
+    /// Predicted step time over the mean rank's time.
     pub skew: f64,
-    /// Time of the group saved over the horizon.
+    /// Time that the group saves over the horizon.
     pub saved: Duration,
-    /// Places that take another expert's weights.
+    /// Number of places that load another expert's weights.
     pub loads: usize,
-    /// Bytes of weights moved.
+    /// Size of the weights moved, in bytes.
     pub bytes: u64,
-    /// Steps disrupted.
+    /// Predicted number of disrupted steps.
     pub steps: f64,
-    /// Gain less costs under the preset's weights.
+    /// Gain minus costs under the preset's weights.
     pub score: f64,
 }
 
 impl Forecast {
-    /// Returns the forecast of keeping a map of this skew.
+    /// Returns the forecast for keeping a map with this skew, without gain or cost.
     #[must_use]
     pub const fn stay(skew: f64) -> Self {
         Forecast {
@@ -129,8 +129,8 @@
         write!(f, "chosen={} reason={:?}", self.chosen, self.reason)?;
         write!(f, " runners_up=[")?;
         for (index, forecast) in self.runners_up.iter().enumerate() {
-            let gap = if index == 0 { "" } else { " " };
-            write!(f, "{gap}{forecast}")?;
+            let separator = if index == 0 { "" } else { " " };
+            write!(f, "{separator}{forecast}")?;
         }
         write!(f, "] slow={} answer={:?}", self.slow.len(), self.answer)?;
         match self.age {
