--- a/crates/rebalance/src/pack.rs
+++ b/crates/rebalance/src/pack.rs
@@ -1,8 +1,8 @@
-//! A layer laid out anew for a given popularity.
+//! Builds a layer from scratch for a given popularity.
 //!
-//! Spare places go one by one to the expert with the largest part for each replica; then replicas,
-//! largest part first, go to the rank that would end soonest and still has a place. It is used for a
-//! group's first map and as the yardstick that small changes are compared with.
+//! Spare places go one by one to the expert with the largest load per replica. Then the replicas, the
+//! largest load first, go to the rank with a free place that would finish earliest (longest processing
+//! time first). The result serves as a group's first map and as the baseline for small changes.
 
 use auburnline_core::expert::Layer;
 use auburnline_core::id::Expert;
@@ -11,29 +11,29 @@
 use crate::search::Outlook;
 use crate::to_f64;
 
-/// Most changes that mend a layer once it is laid out.
-const MENDS: usize = 64;
+/// Maximum number of changes that refine a packed layer.
+const MAX_REFINEMENTS: usize = 64;
 
-/// Lays out `shares` over ranks in order as [`layer`] does, then mends the slowest ranks by small
-/// changes.
+/// Packs `shares` onto ranks of equal speed as [`layer`] does, then shortens the slowest ranks' times
+/// by small changes.
 #[must_use]
 pub fn refined(shares: &[f64], ranks: usize, places: usize) -> Option<Layer> {
     let layer = layer(shares, &vec![1.0; ranks], places)?;
-    let path = search::improve(&layer, ranks, Outlook::steady(shares), MENDS);
+    let path = search::improve(&layer, ranks, Outlook::steady(shares), MAX_REFINEMENTS);
     Some(path.apply(&layer, path.changes.len()))
 }
 
-/// Lays out `shares` over ranks of `slowness` with `places` each; `None` when the places do not
-/// suffice for one replica of each expert.
+/// Packs `shares` onto ranks of the given `slowness` with `places` each; returns `None` if the places
+/// do not suffice for one replica of each expert.
 #[must_use]
 pub fn layer(shares: &[f64], slowness: &[f64], places: usize) -> Option<Layer> {
     let total = slowness.len() * places;
     if shares.is_empty() || total < shares.len() {
         return None;
     }
-    let copies = replicas(shares, total, slowness.len());
+    let replicas = replicas(shares, total, slowness.len());
     let mut parts: Vec<(f64, Expert)> = Vec::with_capacity(total);
-    for (expert, &count) in copies.iter().enumerate() {
+    for (expert, &count) in replicas.iter().enumerate() {
         let id = Expert::try_from(expert).ok()?;
         parts.extend((0..count).map(|_| (shares[expert] / to_f64(count), id)));
     }
@@ -42,11 +42,11 @@
 }
 
 fn replicas(shares: &[f64], total: usize, ranks: usize) -> Vec<usize> {
-    let mut copies = vec![1; shares.len()];
+    let mut replicas = vec![1; shares.len()];
     for _ in shares.len()..total {
         let mut best = 0;
         let mut largest = f64::MIN;
-        for (expert, &count) in copies.iter().enumerate() {
+        for (expert, &count) in replicas.iter().enumerate() {
             let part = if count < ranks {
                 shares[expert] / to_f64(count)
             } else {
@@ -57,24 +57,24 @@
                 best = expert;
             }
         }
-        copies[best] += 1;
+        replicas[best] += 1;
     }
-    copies
+    replicas
 }
 
 fn assign(parts: &[(f64, Expert)], slowness: &[f64], places: usize) -> Layer {
     let mut ranks: Vec<Vec<Expert>> = vec![Vec::with_capacity(places); slowness.len()];
     let mut loads = vec![0.0; slowness.len()];
     for &(part, expert) in parts {
-        let rank = soonest(&ranks, &loads, slowness, places, (part, expert));
+        let rank = earliest_finish(&ranks, &loads, slowness, places, (part, expert));
         loads[rank] += part;
         ranks[rank].push(expert);
     }
     Layer(ranks.concat())
 }
 
-/// Rank with a place left that would end soonest, of those without the expert if there are any.
-fn soonest(
+/// Returns the rank with a free place that would finish earliest, preferring ranks without the expert.
+fn earliest_finish(
     ranks: &[Vec<Expert>],
     loads: &[f64],
     slowness: &[f64],
