--- a/crates/rebalance/src/plan.rs
+++ b/crates/rebalance/src/plan.rs
@@ -1,9 +1,9 @@
-//! Weighing of changes: predicted gain against loads and disruption.
+//! Plans for a map: predicted gain against the costs of loads and disruption.
 //!
-//! A step takes the sum of its layers' slowest ranks, so gains add up over layers and each layer
-//! is weighed alone; only the cost of disrupting steps is shared by all. In a layer the first part
-//! of the searched path with the best gain less costs is taken, if its gain exceeds what noise in
-//! the estimate may feign.
+//! A step takes the sum of its layers' slowest ranks, so gains add up over layers and each layer is
+//! planned on its own; only the cost of disrupted steps is shared by all. Of a layer's search path, the
+//! prefix with the best gain minus costs is taken, if its gain is larger than noise in the estimate
+//! could explain.
 
 use std::time::Duration;
 
@@ -27,59 +27,60 @@
 /// Bytes in a gibibyte.
 const GIBIBYTE: f64 = 1_073_741_824.0;
 
-/// What gains and costs are worth.
+/// Value of gains and costs, in the common unit of a preset's weights.
 #[derive(Clone, Copy, Debug)]
 pub struct CostModel {
-    /// Time saved over the horizon for each unit by which a layer's slowest rank gets faster.
-    pub saved: f64,
-    /// Gain for each second saved.
-    pub second: f64,
-    /// Cost of one load.
-    pub load: f64,
-    /// Cost of a step disrupted.
-    pub step: f64,
+    /// Seconds saved over the horizon per unit of a layer's whole work taken off its slowest rank.
+    pub seconds_saved: f64,
+    /// Gain per second saved.
+    pub per_second: f64,
+    /// Cost of loading one expert into a place.
+    pub per_load: f64,
+    /// Cost per disrupted step.
+    pub per_step: f64,
 }
 
 impl CostModel {
-    /// CostModel of a group whose layers handle `rate` tokens a second, each in `token_time` seconds.
+    /// Returns the model of a group whose layers each process `rate` tokens per second, and whose ranks
+    /// take `token_time` seconds per token.
     #[must_use]
     pub fn new(config: &Config, weights: &Rebalance, rate: f64, token_time: f64) -> Self {
         Self {
-            saved: rate * token_time * config.horizon.as_secs_f64(),
-            second: weights.skew_weight,
-            load: weights.move_weight * bytes(config, 1) / GIBIBYTE,
-            step: weights.disruption_weight,
+            seconds_saved: rate * token_time * config.horizon.as_secs_f64(),
+            per_second: weights.skew_weight,
+            per_load: weights.move_weight * bytes(config, 1) / GIBIBYTE,
+            per_step: weights.disruption_weight,
         }
     }
 }
 
-/// A new map with its forecast.
+/// Layers of a new map, with the forecast for it.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// Layers of the new map.
+    /// Layers of the new map, in order.
     pub layers: Vec<Layer>,
-    /// What is predicted of it.
+    /// Predicted gain and costs.
     pub forecast: Forecast,
-    /// Whether it pays for the disruption with the margin asked.
+    /// Whether the gain exceeds the costs by the configured margin.
     pub is_worthwhile: bool,
 }
 
-/// Proposes the smallest changes that pay, `None` when no layer's do.
+/// Proposes small changes of the layers; `None` if no layer gains more than noise and costs.
 #[must_use]
 pub fn changes(
     map: &Map,
     popularity: &[Shares],
     config: &Config,
-    prices: &CostModel,
+    cost_model: &CostModel,
 ) -> Option<Proposal> {
     let ranks = usize::from(map.ranks);
     let even = Ranks::even(ranks);
     let mut layers = map.layers.clone();
     let mut changed = false;
     for (layer, shares) in layers.iter_mut().zip(popularity) {
-        let span = skew::summarize(&skew::times(layer, &shares.mean, &even));
-        let floor = least_gain(layer, ranks, shares, config, span.mean);
-        if span.slowest - span.mean < floor {
+        let summary = skew::summarize(&skew::times(layer, &shares.mean, &even));
+        let floor = required_gain(layer, ranks, shares, config, summary.mean);
+        if summary.slowest - summary.mean < floor {
             continue;
         }
         let outlook = Outlook {
@@ -89,22 +90,22 @@
             may_empty: false,
         };
         let path = search::improve(layer, ranks, outlook, config.max_changes);
-        let count = best_prefix(&path, floor, config, prices);
+        let count = best_prefix(&path, floor, config, cost_model);
         if count > 0 {
             *layer = path.apply(layer, count);
             changed = true;
         }
     }
-    changed.then(|| propose(map, layers, popularity, Plan::Changes, config, prices))
+    changed.then(|| propose(map, layers, popularity, Plan::Changes, config, cost_model))
 }
 
-/// Proposes a map laid out anew; `None` when the places do not suffice.
+/// Proposes a map built from scratch; `None` if the places do not suffice.
 #[must_use]
 pub fn repack(
     map: &Map,
     popularity: &[Shares],
     config: &Config,
-    prices: &CostModel,
+    cost_model: &CostModel,
 ) -> Option<Proposal> {
     let even = vec![1.0; usize::from(map.ranks)];
     let layers: Option<Vec<Layer>> = popularity
@@ -117,19 +118,19 @@
         popularity,
         Plan::Repack,
         config,
-        prices,
+        cost_model,
     ))
 }
 
-/// Returns the skew of `layers` under `popularity` with every rank in order.
+/// Returns the skew of `layers` under `popularity` for the given `ranks`.
 #[must_use]
 pub fn predict(layers: &[Layer], popularity: &[Shares], ranks: &Ranks) -> Skew {
-    let spans = layers
+    let summaries = layers
         .iter()
         .zip(popularity)
         .map(|(layer, shares)| skew::summarize(&skew::times(layer, &shares.mean, ranks)));
     Skew {
-        layers: spans.collect(),
+        layers: summaries.collect(),
     }
 }
 
@@ -139,20 +140,21 @@
     popularity: &[Shares],
     plan: Plan,
     config: &Config,
-    prices: &CostModel,
+    cost_model: &CostModel,
 ) -> Proposal {
     let even = Ranks::even(usize::from(map.ranks));
     let before = predict(&map.layers, popularity, &even);
     let after = predict(&layers, popularity, &even);
     let gained = slowest(&before) - slowest(&after);
-    let (loads, most) = loads(map, &layers);
-    let steps = config.steps_per_change + config.steps_per_load * to_f64(most);
-    let gain = gained * prices.saved * prices.second;
-    let cost = to_f64(loads) * prices.load + steps * prices.step;
+    let (loads, most_of_a_rank) = loads(map, &layers);
+    let steps = config.steps_per_change + config.steps_per_load * to_f64(most_of_a_rank);
+    let gain = gained * cost_model.seconds_saved * cost_model.per_second;
+    let cost = to_f64(loads) * cost_model.per_load + steps * cost_model.per_step;
     let forecast = Forecast {
         plan,
         skew: after.overall(),
-        saved: Duration::try_from_secs_f64(gained * prices.saved).unwrap_or(Duration::ZERO),
+        saved: Duration::try_from_secs_f64(gained * cost_model.seconds_saved)
+            .unwrap_or(Duration::ZERO),
         loads,
         bytes: config.expert_bytes.saturating_mul(loads as u64),
         steps,
@@ -166,10 +168,10 @@
 }
 
 fn slowest(skew: &Skew) -> f64 {
-    skew.layers.iter().map(|span| span.slowest).sum()
+    skew.layers.iter().map(|summary| summary.slowest).sum()
 }
 
-/// Places that change: of all ranks, and of the rank with most.
+/// Returns the number of places that change: on all ranks, and on the rank with the most.
 fn loads(map: &Map, layers: &[Layer]) -> (usize, usize) {
     let places = map.places();
     let mut ranks = vec![0; usize::from(map.ranks)];
@@ -181,22 +183,22 @@
     (ranks.iter().sum(), ranks.iter().copied().max().unwrap_or(0))
 }
 
-/// Gain of a layer that noise in the estimate does not feign.
-fn least_gain(layer: &Layer, ranks: usize, shares: &Shares, config: &Config, mean: f64) -> f64 {
+/// Returns the gain that a layer must reach: above noise in the estimate, and at least the minimum.
+fn required_gain(layer: &Layer, ranks: usize, shares: &Shares, config: &Config, mean: f64) -> f64 {
     let error = standard_error(layer, ranks, shares);
     (config.significance * error).max(config.min_gain * mean)
 }
 
-/// Largest standard error of a rank's load.
+/// Returns the largest standard error of a rank's load.
 fn standard_error(layer: &Layer, ranks: usize, shares: &Shares) -> f64 {
     let places = layer.0.len() / ranks.max(1);
-    let mut copies = vec![0.0; shares.mean.len()];
+    let mut replicas = vec![0.0; shares.mean.len()];
     for &expert in &layer.0 {
-        copies[usize::from(expert)] += 1.0;
+        replicas[usize::from(expert)] += 1.0;
     }
     let variance = |expert: &u16| {
         let expert = usize::from(*expert);
-        shares.variance[expert] / (copies[expert] * copies[expert])
+        shares.variance[expert] / (replicas[expert] * replicas[expert])
     };
     layer
         .0
@@ -206,14 +208,15 @@
         .sqrt()
 }
 
-/// First part of the path with the best gain less costs, of those that gain at least `floor`.
-fn best_prefix(path: &Path, floor: f64, config: &Config, prices: &CostModel) -> usize {
+/// Returns the length of the prefix of the path with the best gain minus costs, of those that gain at
+/// least `floor`; zero if there is none.
+fn best_prefix(path: &Path, floor: f64, config: &Config, cost_model: &CostModel) -> usize {
     let start = path.points[0].slowest;
     let mut best = (0, 0.0);
     for (count, point) in path.points.iter().enumerate().skip(1) {
         let gained = start - point.slowest;
-        let gain = gained * prices.saved * prices.second;
-        let score = gain - config.margin * to_f64(point.loads) * prices.load;
+        let gain = gained * cost_model.seconds_saved * cost_model.per_second;
+        let score = gain - config.margin * to_f64(point.loads) * cost_model.per_load;
         if gained >= floor && score > best.1 {
             best = (count, score);
         }
@@ -223,7 +226,7 @@
 
 #[expect(
     clippy::cast_precision_loss,
-    reason = "sizes of weights need no last bits"
+    reason = "the size of weights does not need full precision"
 )]
 fn bytes(config: &Config, loads: u64) -> f64 {
     config.expert_bytes.saturating_mul(loads) as f64
