--- a/crates/rebalance/src/planner.rs
+++ b/crates/rebalance/src/planner.rs
@@ -1,8 +1,8 @@
-//! Joins estimate, slow ranks and plans into decisions for one group.
+//! Combines the popularity estimate, slow ranks and plans into decisions for one group.
 //!
-//! Nothing here acts: the caller takes a [`Choice::Change`] through the group's change of map, and
-//! asks again with the map then in force. A change that was not carried out is decided anew after
-//! the cooldown, because only the map that the caller hands in counts.
+//! The planner carries nothing out: the caller applies a [`Choice::Change`] through the group's change
+//! of map, and asks again with the map then in force. The planner relies only on the map that the
+//! caller passes in, so a change that was not carried out is planned again after the cooldown.
 
 use std::time::Duration;
 
@@ -31,8 +31,8 @@
 use crate::straggler::Relief;
 use crate::straggler::Slow;
 
-/// Skew that a new layout must take away where no small change helps.
-const STUCK_SKEW: f64 = 0.1;
+/// Reduction of the skew above which a repack is chosen if no small change helps.
+const MIN_REPACK_GAIN: f64 = 0.1;
 
 /// Decides on the map of one group.
 #[derive(Clone, Debug)]
@@ -42,26 +42,26 @@
     window: Window,
     estimate: Estimate,
     detector: Detector,
-    measured: Option<Monotonic>,
-    changed: Option<Monotonic>,
+    newest_report: Option<Monotonic>,
+    last_change: Option<Monotonic>,
 }
 
 impl Planner {
-    /// Starts without any report.
+    /// Creates a planner without any report.
     #[must_use]
     pub fn new(config: Config, shape: Shape) -> Self {
         Self {
             window: Window::default(),
             estimate: Estimate::new(shape, config.averaging_reports),
             detector: Detector::new(shape.ranks, &config),
-            measured: None,
-            changed: None,
+            newest_report: None,
+            last_change: None,
             config,
             shape,
         }
     }
 
-    /// Takes in a report that arrives at `now`.
+    /// Processes a report that arrives at `now`.
     pub fn observe(&mut self, now: Monotonic, counts: &Counts) -> Intake {
         if !counts.fits(self.shape) {
             return Intake::Malformed;
@@ -75,13 +75,13 @@
         let at = now.saturating_sub(counts.age);
         self.estimate.observe(at, counts);
         self.detector.observe(at, &counts.ranks);
-        self.measured = self.measured.max(Some(at));
+        self.newest_report = self.newest_report.max(Some(at));
         Intake::Taken
     }
 
-    /// Decides whether `map`, the one in force, should change under the preset's `weights`.
+    /// Decides whether `map`, which must be the one in force, should change under the preset's `weights`.
     pub fn decide(&mut self, now: Monotonic, map: &Map, weights: &Rebalance) -> Decision {
-        let age = self.measured.map(|at| now.saturating_sub(at));
+        let age = self.newest_report.map(|at| now.saturating_sub(at));
         if let Some(reason) = self.refusal(age, map) {
             return self.stay(reason, Forecast::stay(1.0), Vec::new(), age);
         }
@@ -91,9 +91,9 @@
             .map(|layer| self.estimate.shares(layer, expected, later))
             .collect();
         let answer = self.answer(now, map, &popularity);
-        let prices = self.prices(weights);
-        let proposal = plan::changes(map, &popularity, &self.config, &prices);
-        let repack = plan::repack(map, &popularity, &self.config, &prices);
+        let cost_model = self.cost_model(weights);
+        let proposal = plan::changes(map, &popularity, &self.config, &cost_model);
+        let repack = plan::repack(map, &popularity, &self.config, &cost_model);
         let mut decision = self.choose(now, map, &popularity, proposal, repack, &answer);
         decision.age = age;
         decision.answer = answer;
@@ -101,24 +101,24 @@
         decision
     }
 
-    /// Returns the estimate of popularity.
+    /// Returns the popularity estimate from the reports so far.
     #[must_use]
     pub const fn estimate(&self) -> &Estimate {
         &self.estimate
     }
 
-    /// Returns the slow ranks.
+    /// Returns the ranks that are slow at present, in rank order.
     #[must_use]
     pub fn slow(&self) -> Vec<Slow> {
         self.detector.slow()
     }
 
-    fn prices(&self, weights: &Rebalance) -> CostModel {
+    fn cost_model(&self, weights: &Rebalance) -> CostModel {
         let token_time = self.detector.token_seconds();
         CostModel::new(&self.config, weights, self.estimate.rate(), token_time)
     }
 
-    /// Reason not to weigh any plan.
+    /// Returns the reason why no plan is considered, if any.
     fn refusal(&self, age: Option<Duration>, map: &Map) -> Option<Reason> {
         if let Err(defect) = map.check() {
             return Some(Reason::Unusable(defect));
@@ -149,26 +149,26 @@
     ) -> Decision {
         let even = Ranks::even(usize::from(map.ranks));
         let stay = Forecast::stay(plan::predict(&map.layers, popularity, &even).overall());
-        let (proposal, repack) = unstick(proposal, repack, stay.skew);
+        let (proposal, repack) = fall_back_to_repack(proposal, repack, stay.skew);
         let mut others: Vec<Forecast> = repack.map(|repack| repack.forecast).into_iter().collect();
         let Some(proposal) = proposal else {
             return self.stay(Reason::NoGain, stay, others, None);
         };
-        if let Some(reason) = self.objection(now, &proposal, answer) {
+        if let Some(reason) = self.rejection(now, &proposal, answer) {
             others.push(proposal.forecast);
             return self.stay(reason, stay, others, None);
         }
         others.push(stay);
-        self.changed = Some(now);
+        self.last_change = Some(now);
         let chosen = proposal.forecast;
         let choice = Choice::Change(Box::new(successor(map, proposal)));
         self.decision(choice, Reason::Gain, chosen, others, None)
     }
 
-    /// Reason not to carry out `proposal`.
-    fn objection(&self, now: Monotonic, proposal: &Proposal, answer: &Answer) -> Option<Reason> {
+    /// Returns the reason to reject `proposal`, if any.
+    fn rejection(&self, now: Monotonic, proposal: &Proposal, answer: &Answer) -> Option<Reason> {
         let cooling = self
-            .changed
+            .last_change
             .is_some_and(|at| now.saturating_sub(at) < self.config.cooldown);
         if matches!(answer, Answer::Drain { .. }) {
             Some(Reason::Draining)
@@ -212,7 +212,8 @@
         }
     }
 
-    /// Finds the relief that leaves the least skew, and drains when that is not enough for long.
+    /// Chooses the relief with the least predicted skew, or a drain of the group if a rank has been slow
+    /// for long and the skew is still too high with it.
     fn answer(&self, now: Monotonic, map: &Map, popularity: &[Shares]) -> Answer {
         let slow = self.detector.slow();
         let Some(first) = slow.iter().min_by_key(|slow| slow.since) else {
@@ -236,7 +237,7 @@
         Answer::Relieve { ranks, skew }
     }
 
-    /// A new map is whole, follows the one in force and has as many places.
+    /// Asserts that a new map has no defect, is the successor of the one in force, and has as many places.
     fn assert_usable(&self, map: &Map, decision: &Decision) {
         if let Choice::Change(new) = &decision.choice {
             assert_eq!(new.check(), Ok(()), "a planned map must be usable");
@@ -257,24 +258,24 @@
 }
 
 fn reliefs(slow: &[Slow], relief: f64) -> Vec<Relief> {
-    let fewer = |slow: &Slow| Relief {
+    let relieve = |slow: &Slow| Relief {
         rank: slow.rank,
         share: relief / slow.slowness,
     };
-    slow.iter().map(fewer).collect()
+    slow.iter().map(relieve).collect()
 }
 
-/// Takes the map laid out anew for the proposal where no small change helps and it does by far.
+/// Replaces a missing proposal of small changes by the repack, if that lowers the skew by far.
 ///
-/// Small changes are tried one at a time, so that where two ranks are equally slow neither change
-/// helps alone. Noise is far from such a gain.
-fn unstick(
+/// Small changes are tried one at a time, so when two ranks are equally slow, no single change helps.
+/// The required gain is far above noise.
+fn fall_back_to_repack(
     proposal: Option<Proposal>,
     repack: Option<Proposal>,
     skew: f64,
 ) -> (Option<Proposal>, Option<Proposal>) {
     let helps =
-        |repack: &Proposal| repack.is_worthwhile && skew - repack.forecast.skew > STUCK_SKEW;
+        |repack: &Proposal| repack.is_worthwhile && skew - repack.forecast.skew > MIN_REPACK_GAIN;
     if proposal.is_none() && repack.as_ref().is_some_and(helps) {
         (repack, None)
     } else {
@@ -282,7 +283,7 @@
     }
 }
 
-/// Returns the ranks with slowness and reliefs.
+/// Returns `count` ranks with the slowness and relief of those that are slow.
 #[must_use]
 pub fn relieved(count: usize, slow: &[Slow], reliefs: &[Relief]) -> Ranks {
     let mut ranks = Ranks::even(count);
