--- a/crates/rebalance/src/popularity/filter.rs
+++ b/crates/rebalance/src/popularity/filter.rs
@@ -1,70 +1,73 @@
-//! Estimate for one expert.
+//! Alpha-beta filter for the popularity of one expert.
 
-/// Standard deviations beyond which a report is outside the noise.
-const BAND: f64 = 3.0;
-/// Reports in a row outside the noise that mean a jump.
-const JUMP_RUN: i8 = 3;
-/// Reports that the measured noise averages over, at most.
-const NOISE_MEMORY: f64 = 64.0;
-/// Noise taken for an expert that was seen once, as a share of its count.
+/// Half width of the noise band, in standard deviations.
+const BAND_SIGMAS: f64 = 3.0;
+/// Number of successive reports outside the band on the same side that mean a jump.
+const JUMP_REPORTS: i8 = 3;
+/// Maximum number of reports that the measured noise averages over.
+const NOISE_REPORTS: f64 = 64.0;
+/// Standard deviation of the noise assumed after the first report, as a fraction of the share.
 const FIRST_NOISE: f64 = 0.2;
-/// Weight of the newest report among the recent ones.
-const RECENT: f64 = 0.5;
-/// Reports from which a slope is trusted.
+/// Weight of the newest report in the average of successive reports outside the band.
+const OUTLIER_WEIGHT: f64 = 0.5;
+/// Number of averaged reports from which the slope is estimated.
 const SLOPE_AFTER: f64 = 8.0;
-/// Gain of the slope in squares of the level's gain; a quarter damps critically, more responds sooner.
+/// Slope gain as a multiple of the squared level gain. 0.25 is critically damped; more responds sooner.
 const SLOPE_GAIN: f64 = 0.5;
-/// Most that one expert counts for in the significance of its layer's drift.
-const MOST_DRIFT: f64 = 100.0;
-/// Least share, so that an expert that is never used keeps a finite noise.
-const LEAST_SHARE: f64 = 1e-7;
+/// Maximum contribution of one expert to the significance of its layer's drift.
+const MAX_DRIFT: f64 = 100.0;
+/// Minimum share, which keeps the noise of an expert that is never used above zero.
+const MIN_SHARE: f64 = 1e-7;
 
-/// Estimate for one expert of one layer.
+/// Filter state for one expert of one layer.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Filter {
     mean: f64,
     slope: f64,
     noise: f64,
     last: f64,
-    recent: f64,
+    outlier_mean: f64,
     weight: f64,
-    seen: f64,
-    run: i8,
+    samples: f64,
+    outlier_run: i8,
 }
 
 impl Filter {
-    /// Carries the estimate forward by `reports`.
+    /// Extrapolates the level by this number of report intervals.
     pub(super) fn advance(&mut self, reports: f64) {
         self.mean = self.at(reports);
     }
 
-    /// Returns the share expected `reports` after the newest one, or before it if negative.
+    /// Returns the share forecast for `reports` report intervals after the newest report, or before it if
+    /// negative.
     pub(super) fn at(&self, reports: f64) -> f64 {
-        (self.mean + self.slope * reports).max(LEAST_SHARE)
+        (self.mean + self.slope * reports).max(MIN_SHARE)
     }
 
-    /// Takes in a share of `offset` reports after the newest; tells whether the popularity jumped.
-    pub(super) fn observe(&mut self, share: f64, offset: f64, memory: f64) -> bool {
-        let share = share.max(LEAST_SHARE);
-        if self.seen == 0.0 {
+    /// Updates the filter from a share reported `offset` report intervals after the newest report.
+    ///
+    /// Returns whether the popularity jumped.
+    pub(super) fn observe(&mut self, share: f64, offset: f64, averaging_reports: f64) -> bool {
+        let share = share.max(MIN_SHARE);
+        if self.samples == 0.0 {
             *self = Filter::first(share);
             return false;
         }
-        let spread = (self.noise * (1.0 + self.weight.recip())).sqrt();
+        let sigma = (self.noise * (1.0 + self.weight.recip())).sqrt();
         self.measure_noise(share);
         let deviation = share - self.at(offset);
-        let edge = BAND * spread;
-        self.note_run(deviation, edge, share);
-        if self.run.abs() >= JUMP_RUN {
+        let edge = BAND_SIGMAS * sigma;
+        self.count_outliers(deviation, edge, share);
+        if self.outlier_run.abs() >= JUMP_REPORTS {
             self.restart();
             return true;
         }
-        self.weight = (self.weight + 1.0).min(memory);
+        self.weight = (self.weight + 1.0).min(averaging_reports);
         let gain = self.weight.recip();
-        let surprise = deviation.clamp(-edge, edge);
-        self.mean = (self.mean + gain * surprise).max(LEAST_SHARE);
+        let innovation = deviation.clamp(-edge, edge);
+        self.mean = (self.mean + gain * innovation).max(MIN_SHARE);
         if self.weight >= SLOPE_AFTER {
-            self.slope += SLOPE_GAIN * gain * gain * surprise;
+            self.slope += SLOPE_GAIN * gain * gain * innovation;
         }
         false
     }
@@ -75,22 +78,22 @@
             slope: 0.0,
             noise: (FIRST_NOISE * share).powi(2),
             last: share,
-            recent: share,
+            outlier_mean: share,
             weight: 1.0,
-            seen: 1.0,
-            run: 0,
+            samples: 1.0,
+            outlier_run: 0,
         }
     }
 
     fn measure_noise(&mut self, share: f64) {
-        let limit = (2.0 * self.noise).sqrt() * (BAND + 1.0);
+        let limit = (2.0 * self.noise).sqrt() * (BAND_SIGMAS + 1.0);
         let step = (share - self.last).clamp(-limit, limit);
-        self.seen = (self.seen + 1.0).min(NOISE_MEMORY);
-        self.noise += (step * step / 2.0 - self.noise) / self.seen;
+        self.samples = (self.samples + 1.0).min(NOISE_REPORTS);
+        self.noise += (step * step / 2.0 - self.noise) / self.samples;
         self.last = share;
     }
 
-    fn note_run(&mut self, deviation: f64, edge: f64, share: f64) {
+    fn count_outliers(&mut self, deviation: f64, edge: f64, share: f64) {
         let side = if deviation > edge {
             1
         } else if deviation < -edge {
@@ -98,58 +101,59 @@
         } else {
             0
         };
-        if side != 0 && side == self.run.signum() {
-            self.run += side;
-            self.recent += (share - self.recent) * RECENT;
+        if side != 0 && side == self.outlier_run.signum() {
+            self.outlier_run += side;
+            self.outlier_mean += (share - self.outlier_mean) * OUTLIER_WEIGHT;
         } else {
-            self.run = side;
-            self.recent = share;
+            self.outlier_run = side;
+            self.outlier_mean = share;
         }
     }
 
     fn restart(&mut self) {
-        self.mean = self.recent;
+        self.mean = self.outlier_mean;
         self.slope = 0.0;
-        self.weight = f64::from(JUMP_RUN) * RECENT;
-        self.run = 0;
+        self.weight = f64::from(JUMP_REPORTS) * OUTLIER_WEIGHT;
+        self.outlier_run = 0;
     }
 }
 
 impl Filter {
-    /// Variance of the share expected `ahead` reports after the newest, in steady state.
+    /// Returns the variance of the share forecast for `ahead` report intervals after the newest report, in
+    /// steady state.
     pub(super) fn variance(&self, ahead: f64) -> f64 {
         if self.weight < SLOPE_AFTER {
             return self.noise / self.weight.max(1.0);
         }
         let errors = Errors::steady(self.weight.recip());
-        self.noise * (errors.level + 2.0 * errors.both * ahead + errors.slope * ahead * ahead)
+        self.noise * (errors.level + 2.0 * errors.covariance * ahead + errors.slope * ahead * ahead)
     }
 
-    /// Square of the slope over its variance, one on average where nothing drifts.
+    /// Returns the squared slope divided by its variance; one on average without drift.
     pub(super) fn drift(&self) -> f64 {
         let variance = self.noise * Errors::steady(self.weight.max(1.0).recip()).slope;
         if self.weight < SLOPE_AFTER || variance <= 0.0 {
             return 1.0;
         }
-        (self.slope * self.slope / variance).min(MOST_DRIFT)
+        (self.slope * self.slope / variance).min(MAX_DRIFT)
     }
 }
 
-/// Variances of level and slope and their covariance, in units of the noise.
+/// Variances of level and slope and their covariance, as multiples of the noise variance.
 struct Errors {
     level: f64,
-    both: f64,
+    covariance: f64,
     slope: f64,
 }
 
 impl Errors {
-    /// Errors of the filter once it has run for long with `gain`.
+    /// Returns the errors of the filter in steady state with this level gain.
     fn steady(gain: f64) -> Self {
         let slope_gain = SLOPE_GAIN * gain * gain;
         let scale = (gain * (4.0 - 2.0 * gain - slope_gain)).recip();
         Errors {
             level: scale * (2.0 * gain * gain + 2.0 * slope_gain - 3.0 * gain * slope_gain),
-            both: scale * slope_gain * (2.0 * gain - slope_gain),
+            covariance: scale * slope_gain * (2.0 * gain - slope_gain),
             slope: scale * 2.0 * slope_gain * slope_gain,
         }
     }
