--- a/crates/rebalance/src/search/load.rs
+++ b/crates/rebalance/src/search/load.rs
@@ -1,22 +1,22 @@
-//! Loads now and later.
+//! Loads under the present popularity and under the one forecast for later.
 
 use crate::to_f64;
 
-/// Popularity of a layer's experts that a search works for.
+/// Popularity of a layer's experts, and the other conditions of a search.
 #[derive(Clone, Copy, Debug)]
 pub struct Outlook<'a> {
-    /// Shares that the slowest rank is told by.
+    /// Present share of each expert, which determines the slowest rank.
     pub now: &'a [f64],
-    /// Shares expected later.
+    /// Share of each expert that is forecast for later.
     pub later: &'a [f64],
-    /// Times that each rank takes longer for the same load; once where it is empty.
+    /// Factor by which each rank takes longer for the same load; 1.0 for ranks beyond the end of the slice.
     pub slowness: &'a [f64],
-    /// Whether a place may be left empty, by an expert that its rank holds already.
+    /// Whether a place may be left empty, by repeating an expert of its rank.
     pub may_empty: bool,
 }
 
 impl<'a> Outlook<'a> {
-    /// Expects no change.
+    /// Returns an outlook without drift, for ranks of equal speed.
     #[must_use]
     pub const fn steady(shares: &'a [f64]) -> Self {
         Outlook {
@@ -27,13 +27,13 @@
         }
     }
 
-    /// Takes ranks to be slow: each counts for as much as it takes longer.
+    /// Sets the slowness of the ranks.
     #[must_use]
     pub const fn slowed(self, slowness: &'a [f64]) -> Self {
         Outlook { slowness, ..self }
     }
 
-    /// Lets places be left empty.
+    /// Allows places to be left empty.
     #[must_use]
     pub const fn with_empty_places(self) -> Self {
         Outlook {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Load of a rank or of a replica, now and later.
+/// Load of a rank or of a replica, at present and as forecast for later.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Load {
     pub(super) now: f64,
@@ -98,11 +98,13 @@
         }
     }
 
-    /// Gain of coming down from the slowest rank's load to this one: half for now, and half for
-    /// later, which counts no less than `least`.
-    pub(super) fn gain(self, slowest: Load, least: f64) -> f64 {
+    /// Returns the gain when the load of the slowest rank decreases to this one.
+    ///
+    /// It is the mean of the gain now and the gain later. The gain later counts as at least
+    /// `min_later_gain` and at most the gain now.
+    pub(super) fn gain(self, slowest: Load, min_later_gain: f64) -> f64 {
         let now = slowest.now - self.now;
-        let later = (slowest.now - self.later).max(least);
+        let later = (slowest.now - self.later).max(min_later_gain);
         f64::midpoint(now, now.min(later))
     }
 }
