--- a/crates/rebalance/src/search.rs
+++ b/crates/rebalance/src/search.rs
@@ -1,14 +1,16 @@
-//! Small changes of one layer that lower its slowest rank.
+//! Greedy search for small changes of one layer that shorten its slowest rank's time.
 //!
-//! The search starts from the layer in force and always works on the slowest rank. It weighs three
-//! kinds of change: a swap of two places, a further replica of one of the rank's experts in a place
-//! that holds a spare replica, and giving up a replica on the slowest rank, for a lighter expert or, where
-//! that is allowed, for none: a place that repeats an expert of its rank is empty. It records the slowest time after each change, so that the caller may take any first part of them.
+//! The search starts from the layer in force and always works on the slowest rank. It considers three
+//! kinds of change: a swap of two places; another replica of one of the rank's experts, in a place of
+//! another rank that holds a spare replica; and replacing a spare replica on the slowest rank by a
+//! lighter expert or, where allowed, by none. A place that repeats an expert of its own rank is empty.
+//! The slowest time after each change is recorded, so that the caller can apply any prefix of the
+//! changes.
 //!
-//! Of the changes that help now it takes those that will still help later under the popularity
-//! expected then, so that ranks whose loads drift apart are not left together for long. Where none
-//! does and the slowest rank is far over the mean, any that helps now will do: a strong drift must
-//! not stop the search.
+//! Of the changes that help now, the search prefers those that also help under the popularity forecast
+//! for later, so that loads that drift apart do not soon undo the gain. If there is none and the slowest
+//! rank is far above the mean, any change that helps now is accepted: a strong drift must not stop the
+//! search.
 
 mod load;
 
@@ -20,11 +22,11 @@
 
 pub use crate::search::load::Outlook;
 
-/// Least relative gain of a change; less is not worth a search.
-const LEAST_GAIN: f64 = 1e-4;
-/// Slowest over mean time from which a change need only help now.
-const URGENT: f64 = 1.04;
-/// Places that a swap writes.
+/// Minimum gain of a change, as a fraction of the slowest rank's load; the search stops below it.
+const MIN_RELATIVE_GAIN: f64 = 1e-4;
+/// Ratio of the slowest to the mean load above which a change need only help now.
+const URGENT_SKEW: f64 = 1.04;
+/// Number of places that a swap loads; its gain counts per load.
 const SWAP_LOADS: f64 = 2.0;
 
 /// One change of a layer.
@@ -32,30 +34,31 @@
 pub enum Change {
     /// Two places exchange their experts.
     Swap(usize, usize),
-    /// A place that holds a spare replica takes another expert, or becomes empty by one that its rank holds.
+    /// A place that holds a spare replica loads another expert, or becomes empty by repeating an expert of
+    /// its rank.
     Load(usize, Expert),
 }
 
-/// A layer's state after some changes.
+/// State of a layer after some of the changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// Time of the slowest rank.
+    /// Time of the slowest rank, in the unit of the shares searched for.
     pub slowest: f64,
-    /// Places that differ from the layer in force.
+    /// Number of places that differ from the layer in force.
     pub loads: usize,
 }
 
-/// Changes in order, with the state after each.
+/// Sequence of changes, with the state after each.
 #[derive(Clone, Debug, Default)]
 pub struct Path {
-    /// Changes.
+    /// Changes, in the order in which they apply.
     pub changes: Vec<Change>,
-    /// State before the first and after each change.
+    /// State before the first change, then after each change; one longer than `changes`.
     pub points: Vec<Point>,
 }
 
 impl Path {
-    /// Returns `layer` with the first `count` changes made.
+    /// Returns `layer` with the first `count` changes applied.
     #[must_use]
     pub fn apply(&self, layer: &Layer, count: usize) -> Layer {
         let mut places = layer.0.clone();
@@ -69,8 +72,8 @@
     }
 }
 
-/// A layer with the load of each rank, as much as the rank takes longer for it.
-struct Board<'a> {
+/// Layer under search, with the load of each rank multiplied by the rank's slowness.
+struct State<'a> {
     outlook: Outlook<'a>,
     start: &'a [Expert],
     layer: Vec<Expert>,
@@ -85,8 +88,8 @@
 struct Best {
     change: Option<Change>,
     score: f64,
-    /// Least gain later that a change is charged with.
-    least: f64,
+    /// Lower bound on the later gain when a change is scored.
+    min_later_gain: f64,
 }
 
 impl Best {
@@ -98,22 +101,22 @@
     }
 }
 
-/// Searches at most `limit` changes of `layer` over `ranks` ranks.
+/// Searches for at most `limit` changes of `layer` over `ranks` ranks.
 #[must_use]
 pub fn improve(layer: &Layer, ranks: usize, outlook: Outlook<'_>, limit: usize) -> Path {
-    let mut board = Board::new(layer, ranks, outlook);
+    let mut state = State::new(layer, ranks, outlook);
     let mut path = Path::default();
-    path.points.push(board.point());
+    path.points.push(state.point());
     while path.changes.len() < limit {
-        let Some(change) = board.best() else { break };
-        board.make(change);
+        let Some(change) = state.best() else { break };
+        state.apply(change);
         path.changes.push(change);
-        path.points.push(board.point());
+        path.points.push(state.point());
     }
     path
 }
 
-impl<'a> Board<'a> {
+impl<'a> State<'a> {
     fn new(layer: &'a Layer, ranks: usize, outlook: Outlook<'a>) -> Self {
         let places = layer.0.len() / ranks.max(1);
         let mut hosts = vec![Vec::new(); outlook.now.len()];
@@ -131,7 +134,7 @@
                 loads[host] = loads[host].plus(part.times(outlook.slowness(host)));
             }
         }
-        Board {
+        State {
             outlook,
             start: &layer.0,
             layer: layer.0.clone(),
@@ -160,37 +163,37 @@
         }
     }
 
-    /// Finds the best change that also helps later, or any that helps now when that is urgent.
+    /// Returns the best change that also helps later, or any that helps now if the skew is urgent.
     fn best(&self) -> Option<Change> {
         let lasting = self.best_with(f64::MIN);
         if lasting.is_some() {
             return lasting;
         }
         let mean = self.loads.iter().map(|load| load.now).sum::<f64>() / to_f64(self.loads.len());
-        let urgent = self.slowest().1.now > URGENT * mean;
+        let urgent = self.slowest().1.now > URGENT_SKEW * mean;
         if urgent { self.best_with(0.0) } else { None }
     }
 
-    fn best_with(&self, least: f64) -> Option<Change> {
+    fn best_with(&self, min_later_gain: f64) -> Option<Change> {
         let (rank, load) = self.slowest();
         let mut best = Best {
             change: None,
-            score: load.now * LEAST_GAIN,
-            least,
+            score: load.now * MIN_RELATIVE_GAIN,
+            min_later_gain,
         };
-        self.weigh_swaps(rank, load, &mut best);
-        self.weigh_spares(rank, load, &mut best);
-        self.weigh_relief(rank, load, &mut best);
+        self.score_swaps(rank, load, &mut best);
+        self.score_replicas(rank, load, &mut best);
+        self.score_replacements(rank, load, &mut best);
         best.change
     }
 
-    /// Swaps a place of the slowest rank with one of a lighter rank.
-    fn weigh_swaps(&self, rank: usize, load: Load, best: &mut Best) {
+    /// Scores swaps of a place of the slowest rank with one of a lighter rank.
+    fn score_swaps(&self, rank: usize, load: Load, best: &mut Best) {
         let times = self.outlook.slowness(rank);
         for (other, &light) in self.loads.iter().enumerate() {
             let times_other = self.outlook.slowness(other);
-            let most_gained = (load.now - light.now) * times / (times + times_other);
-            if most_gained <= best.score * SWAP_LOADS {
+            let max_gain = (load.now - light.now) * times / (times + times_other);
+            if max_gain <= best.score * SWAP_LOADS {
                 continue;
             }
             for from in self.range(rank) {
@@ -201,7 +204,7 @@
                     let moved = self.part(from).minus(self.part(to));
                     let (less, more) = (moved.times(times), moved.times(times_other));
                     let peak = load.minus(less).max(light.plus(more));
-                    let score = peak.gain(load, best.least) / SWAP_LOADS;
+                    let score = peak.gain(load, best.min_later_gain) / SWAP_LOADS;
                     if score > best.score && self.may_swap(from, to) {
                         best.offer(Change::Swap(from, to), score);
                     }
@@ -210,30 +213,30 @@
         }
     }
 
-    /// Adds a replica of one of the slowest rank's experts in place of a spare one elsewhere.
-    fn weigh_spares(&self, rank: usize, load: Load, best: &mut Best) {
+    /// Scores further replicas of the slowest rank's experts in place of spare ones on other ranks.
+    fn score_replicas(&self, rank: usize, load: Load, best: &mut Best) {
         for place in 0..self.layer.len() {
             if place / self.places == rank || !self.is_spare(place) {
                 continue;
             }
             for from in self.range(rank) {
-                self.weigh_load(place, self.layer[from], (rank, load), best);
+                self.score_load(place, self.layer[from], (rank, load), best);
             }
         }
     }
 
-    /// Gives up a spare replica on the slowest rank for a lighter expert or none.
-    fn weigh_relief(&self, rank: usize, load: Load, best: &mut Best) {
+    /// Scores replacing a spare replica on the slowest rank by another expert or by none.
+    fn score_replacements(&self, rank: usize, load: Load, best: &mut Best) {
         for place in self.range(rank).filter(|&place| self.is_spare(place)) {
-            self.weigh_drop(place, load, best);
+            self.score_emptying(place, load, best);
             for expert in (0u16..).take(self.parts.len()) {
-                self.weigh_load(place, expert, (rank, load), best);
+                self.score_load(place, expert, (rank, load), best);
             }
         }
     }
 
-    /// Empties a place of the slowest rank, which copies nothing.
-    fn weigh_drop(&self, place: usize, load: Load, best: &mut Best) {
+    /// Scores emptying a place of the slowest rank, for which no weights are copied.
+    fn score_emptying(&self, place: usize, load: Load, best: &mut Best) {
         let rank = place / self.places;
         let old = usize::from(self.layer[place]);
         let mut others = self.range(rank).map(|place| self.layer[place]);
@@ -244,16 +247,19 @@
             return;
         }
         let left = load.minus(self.parts[old].times(self.outlook.slowness(rank)));
-        let rise = self.rise(old);
+        let takeover = self.takeover(old);
         let others = self.hosts[old].iter().filter(|&&host| host != rank);
-        let risen =
-            others.map(|&host| self.loads[host].plus(rise.times(self.outlook.slowness(host))));
-        let peak = risen.fold(left, Load::max);
-        best.offer(Change::Load(place, kept), peak.gain(load, best.least));
+        let loads_after =
+            others.map(|&host| self.loads[host].plus(takeover.times(self.outlook.slowness(host))));
+        let peak = loads_after.fold(left, Load::max);
+        best.offer(
+            Change::Load(place, kept),
+            peak.gain(load, best.min_later_gain),
+        );
     }
 
-    /// Returns what each other host of an expert takes over if one gives it up.
-    fn rise(&self, expert: usize) -> Load {
+    /// Returns the load that each remaining host of an expert takes over if one host drops it.
+    fn takeover(&self, expert: usize) -> Load {
         let fewer = self.hosts[expert].len().saturating_sub(1).max(1);
         self.outlook
             .at(expert)
@@ -261,7 +267,7 @@
             .minus(self.parts[expert])
     }
 
-    fn weigh_load(&self, place: usize, expert: Expert, slowest: (usize, Load), best: &mut Best) {
+    fn score_load(&self, place: usize, expert: Expert, slowest: (usize, Load), best: &mut Best) {
         let (rank, load) = slowest;
         let target = place / self.places;
         let new = usize::from(expert);
@@ -278,26 +284,33 @@
         if load.now - filled.now <= best.score || self.hosts[new].contains(&target) {
             return;
         }
-        let fall = self.parts[new].minus(gained);
-        let rise = if is_empty {
+        let reduction = self.parts[new].minus(gained);
+        let takeover = if is_empty {
             Load::default()
         } else {
-            self.rise(old)
+            self.takeover(old)
         };
         let after = |host: usize| {
             let is_relieved = self.hosts[new].contains(&host);
-            let change = if is_relieved { rise.minus(fall) } else { rise };
+            let change = if is_relieved {
+                takeover.minus(reduction)
+            } else {
+                takeover
+            };
             self.loads[host].plus(change.times(times(host)))
         };
         let others = self.hosts[old].iter().filter(|&&host| host != target);
         let mut peak = others.map(|&host| after(host)).fold(filled, Load::max);
         if rank != target && !self.hosts[old].contains(&rank) {
-            peak = peak.max(load.minus(fall.times(times(rank))));
+            peak = peak.max(load.minus(reduction.times(times(rank))));
         }
-        best.offer(Change::Load(place, expert), peak.gain(load, best.least));
+        best.offer(
+            Change::Load(place, expert),
+            peak.gain(load, best.min_later_gain),
+        );
     }
 
-    fn make(&mut self, change: Change) {
+    fn apply(&mut self, change: Change) {
         match change {
             Change::Swap(a, b) => {
                 let (first, second) = (self.layer[a], self.layer[b]);
@@ -319,9 +332,9 @@
         if self.repeats(place) {
             return;
         }
-        self.lift(expert);
+        self.subtract_load(expert);
         self.hosts[expert].retain(|&host| host != rank);
-        self.settle(expert);
+        self.add_load(expert);
     }
 
     fn insert(&mut self, place: usize, expert: Expert) {
@@ -330,21 +343,21 @@
         if self.hosts[expert].contains(&rank) {
             return;
         }
-        self.lift(expert);
+        self.subtract_load(expert);
         self.hosts[expert].push(rank);
-        self.settle(expert);
+        self.add_load(expert);
     }
 
-    /// Takes the expert's load off its ranks.
-    fn lift(&mut self, expert: usize) {
+    /// Subtracts the expert's load from its hosts.
+    fn subtract_load(&mut self, expert: usize) {
         for &host in &self.hosts[expert] {
             let part = self.parts[expert].times(self.outlook.slowness(host));
             self.loads[host] = self.loads[host].minus(part);
         }
     }
 
-    /// Splits the expert's load over its ranks.
-    fn settle(&mut self, expert: usize) {
+    /// Splits the expert's load evenly over its hosts.
+    fn add_load(&mut self, expert: usize) {
         let hosts = &self.hosts[expert];
         if hosts.is_empty() {
             return;
@@ -368,7 +381,7 @@
         self.hosts[usize::from(self.layer[place])].len() > 1 || self.repeats(place)
     }
 
-    /// Tells whether another place of the rank holds the same expert, so that this one counts for nothing.
+    /// Returns whether another place of the rank holds the same expert, so that this one is empty.
     fn repeats(&self, place: usize) -> bool {
         let mut others = self
             .range(place / self.places)
@@ -376,7 +389,7 @@
         others.any(|other| self.layer[other] == self.layer[place])
     }
 
-    /// Tells whether neither rank would hold an expert twice.
+    /// Returns whether neither rank would hold an expert twice after the swap.
     fn may_swap(&self, from: usize, to: usize) -> bool {
         let given = usize::from(self.layer[from]);
         let taken = usize::from(self.layer[to]);
