--- a/crates/rebalance/src/straggler.rs
+++ b/crates/rebalance/src/straggler.rs
@@ -1,9 +1,10 @@
-//! Recognition of slow ranks, which is kept apart from popularity.
+//! Detects slow ranks (stragglers), independently of popularity.
 //!
-//! A rank is slow when its busy time is high for the tokens it handled, whatever it hosts. The usual
-//! busy time for a number of tokens is a line through all ranks' reports (median of the slopes
-//! between pairs, then median of the rests), so that neither a fixed cost per step nor a slow rank
-//! bends it. The answers are fewer tokens for the rank or a drain of the group, never a new map.
+//! A rank is slow if its busy time is high for the tokens that it processed, whichever experts it
+//! hosts. The usual busy time for a number of tokens is a line fitted to the reports of all ranks: its
+//! slope is the median of the slopes between pairs of ranks, its fixed part the median of the residuals
+//! (Theil-Sen regression). So neither a fixed cost per step nor a slow rank distorts it. The response is
+//! fewer tokens for the rank or a drain of the group, never a new map.
 
 use std::time::Duration;
 
@@ -13,49 +14,49 @@
 use crate::config::Config;
 use crate::counts::Work;
 
-/// Reports in a row that change the verdict on a rank.
-const VERDICT_RUN: u8 = 4;
-/// Reports that a rank's slowness averages over.
-const MEMORY: f64 = 4.0;
-/// Range in which a rank's slowness is kept.
-const SLOWNESS: (f64, f64) = (0.1, 100.0);
+/// Number of successive reports after which a rank becomes slow, or recovers.
+const TRANSITION_REPORTS: u8 = 4;
+/// Number of reports that a rank's slowness, and the usual time per token, average over.
+const AVERAGING_REPORTS: f64 = 4.0;
+/// Range that the slowness from one report is clamped to.
+const SLOWNESS_RANGE: (f64, f64) = (0.1, 100.0);
 
-/// A slow rank.
+/// Slow rank.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Slow {
-    /// Which.
+    /// Number of the rank in its group.
     pub rank: Rank,
-    /// Its busy time over the usual one for its tokens.
+    /// Ratio of its busy time to the usual one for its tokens, averaged over recent reports.
     pub slowness: f64,
-    /// Since when it has been slow.
+    /// End of the span whose report made it slow.
     pub since: Monotonic,
 }
 
-/// Fewer tokens for a slow rank.
+/// Reduced share of tokens for a slow rank.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Relief {
-    /// Which rank.
+    /// Rank to relieve.
     pub rank: Rank,
-    /// Part it takes of an expert that other ranks hold too, 1.0 for an even part.
+    /// Weight of the rank when an expert's tokens are split over its replicas; 1.0 for an even split.
     pub share: f64,
 }
 
-/// What to do about slow ranks.
+/// Response to slow ranks.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Answer {
     /// No rank is slow.
     #[default]
     None,
-    /// Send fewer tokens to these ranks, with the skew predicted then.
+    /// Send fewer tokens to the slow ranks.
     Relieve {
-        /// The ranks.
+        /// Slow ranks, each with its reduced share.
         ranks: Vec<Relief>,
-        /// Predicted skew of the group.
+        /// Predicted skew of the group with these shares.
         skew: f64,
     },
-    /// Drain the group: fewer tokens would not do.
+    /// Drain the group, because fewer tokens for the slow ranks are not enough.
     Drain {
-        /// The rank that has been slow for longest.
+        /// Rank that has been slow for the longest time.
         rank: Rank,
         /// Predicted skew of the group with the best relief.
         skew: f64,
@@ -63,93 +64,99 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Watch {
+struct State {
     slowness: f64,
-    run: u8,
+    pending_reports: u8,
     since: Option<Monotonic>,
 }
 
-/// Verdict on each rank of a group.
+/// Detector of the slow ranks of a group.
 #[derive(Clone, Debug)]
 pub struct Detector {
-    ranks: Vec<Watch>,
-    slow: f64,
-    recovered: f64,
+    ranks: Vec<State>,
+    slow_threshold: f64,
+    recovery_threshold: f64,
     token_time: f64,
 }
 
 impl Detector {
-    /// Starts with every rank in order.
+    /// Creates a detector to which no rank is slow yet.
     #[must_use]
     pub fn new(ranks: Rank, config: &Config) -> Self {
-        let watch = Watch {
+        let state = State {
             slowness: 1.0,
-            run: 0,
+            pending_reports: 0,
             since: None,
         };
         Self {
-            ranks: vec![watch; usize::from(ranks)],
-            slow: config.slow_threshold,
-            recovered: config.recovery_threshold,
+            ranks: vec![state; usize::from(ranks)],
+            slow_threshold: config.slow_threshold,
+            recovery_threshold: config.recovery_threshold,
             token_time: 0.0,
         }
     }
 
-    /// Takes in the work of all ranks over a span that ended at `at`.
+    /// Processes the work of all ranks over a span that ended at `at`.
     pub fn observe(&mut self, at: Monotonic, work: &[Work]) {
         let Some(line) = Line::fit(work) else { return };
         self.token_time = if self.token_time > 0.0 {
-            self.token_time + (line.token_time - self.token_time) / MEMORY
+            self.token_time + (line.token_time - self.token_time) / AVERAGING_REPORTS
         } else {
             line.token_time
         };
-        for (watch, work) in self.ranks.iter_mut().zip(work) {
+        for (state, work) in self.ranks.iter_mut().zip(work) {
             let Some(slowness) = line.slowness(work) else {
                 continue;
             };
-            watch.slowness += (slowness - watch.slowness) / MEMORY;
-            watch.judge(at, slowness, self.slow, self.recovered);
+            state.slowness += (slowness - state.slowness) / AVERAGING_REPORTS;
+            state.update(at, slowness, self.slow_threshold, self.recovery_threshold);
         }
     }
 
-    /// Returns the slow ranks in order.
+    /// Returns the slow ranks, in rank order.
     #[must_use]
     pub fn slow(&self) -> Vec<Slow> {
         let ranks = (0..).zip(&self.ranks);
         ranks
-            .filter_map(|(rank, watch)| {
+            .filter_map(|(rank, state)| {
                 Some(Slow {
                     rank,
-                    slowness: watch.slowness,
-                    since: watch.since?,
+                    slowness: state.slowness,
+                    since: state.since?,
                 })
             })
             .collect()
     }
 
-    /// Returns the usual time per token of a rank, zero before the first report.
+    /// Returns the usual time per token of a rank; zero before the first report.
     #[must_use]
     pub fn token_time(&self) -> Duration {
         Duration::from_secs_f64(self.token_time)
     }
 
-    /// Returns the usual time per token in seconds.
+    /// Returns the usual time per token of a rank in seconds; zero before the first report.
     pub(crate) const fn token_seconds(&self) -> f64 {
         self.token_time
     }
 }
 
-impl Watch {
-    fn judge(&mut self, at: Monotonic, slowness: f64, slow: f64, recovered: f64) {
-        let against = match self.since {
-            None => slowness > slow,
-            Some(_) => slowness < recovered,
+impl State {
+    fn update(
+        &mut self,
+        at: Monotonic,
+        slowness: f64,
+        slow_threshold: f64,
+        recovery_threshold: f64,
+    ) {
+        let differs = match self.since {
+            None => slowness > slow_threshold,
+            Some(_) => slowness < recovery_threshold,
         };
-        self.run = if against { self.run + 1 } else { 0 };
-        if self.run < VERDICT_RUN {
+        self.pending_reports = if differs { self.pending_reports + 1 } else { 0 };
+        if self.pending_reports < TRANSITION_REPORTS {
             return;
         }
-        self.run = 0;
+        self.pending_reports = 0;
         self.since = match self.since {
             None => Some(at),
             Some(_) => None,
@@ -160,7 +167,7 @@
     }
 }
 
-/// Usual busy time of a rank as a line over its tokens.
+/// Usual busy time of a rank as a linear function of its tokens, in seconds.
 struct Line {
     fixed: f64,
     slope: f64,
@@ -188,7 +195,7 @@
     fn slowness(&self, work: &Work) -> Option<f64> {
         let usual = self.fixed + self.slope * tokens(work);
         let known = work.tokens > 0 && usual > 0.0;
-        known.then(|| (work.busy.as_secs_f64() / usual).clamp(SLOWNESS.0, SLOWNESS.1))
+        known.then(|| (work.busy.as_secs_f64() / usual).clamp(SLOWNESS_RANGE.0, SLOWNESS_RANGE.1))
     }
 }
 
@@ -199,9 +206,9 @@
 fn slopes(points: &[(f64, f64)]) -> Vec<f64> {
     let mut slopes = Vec::with_capacity(points.len() * points.len() / 2);
     for (index, (x, y)) in points.iter().enumerate() {
-        for (far, high) in &points[index + 1..] {
-            if (far - x).abs() > 0.0 {
-                slopes.push((high - y) / (far - x));
+        for (other_x, other_y) in &points[index + 1..] {
+            if (other_x - x).abs() > 0.0 {
+                slopes.push((other_y - y) / (other_x - x));
             }
         }
     }
@@ -217,5 +224,5 @@
     Some(*value)
 }
 
-/// Parts that are tried for a slow rank, as multiples of `1 / slowness`.
+/// Shares that are tried for a slow rank, as multiples of `1 / slowness`.
 pub(crate) const RELIEF_FACTORS: [f64; 5] = [1.0, 0.75, 0.5, 0.25, 0.0];
