--- a/crates/rebalance/tests/decisions.rs
+++ b/crates/rebalance/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions of the planner over seeded runs.
+//! Tests of the planner's decisions over seeded runs.
 
 mod support;
 
@@ -22,8 +22,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// A planner, its group and their clock.
-struct Run {
+/// Planner with a simulated group and clock.
+struct Simulation {
     rng: ChaCha8Rng,
     planner: Planner,
     now: Monotonic,
@@ -32,9 +32,9 @@
     slowness: Vec<f64>,
 }
 
-impl Run {
+impl Simulation {
     fn new(seed: u64, map: Map) -> Self {
-        Run {
+        Simulation {
             rng: ChaCha8Rng::seed_from_u64(seed),
             planner: Planner::new(support::config(), support::SHAPE),
             now: Duration::ZERO,
@@ -55,7 +55,7 @@
         )
     }
 
-    /// Reports, decides and carries out a change of map.
+    /// Sends one report, takes a decision, and applies the change of map if there is one.
     fn step(&mut self, shares: &[Vec<f64>]) -> Decision {
         self.now += support::SPAN;
         let counts = self.report(shares);
@@ -71,11 +71,11 @@
     }
 }
 
-fn moved(decision: &Decision) -> bool {
+fn changes_map(decision: &Decision) -> bool {
     decision.choice != Choice::Stay
 }
 
-fn naive() -> Map {
+fn initial_map() -> Map {
     Map::initial(
         support::SHAPE.ranks,
         support::SHAPE.experts,
@@ -89,11 +89,11 @@
     let seed = support::seed();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let shares = support::shares(&mut rng);
-    let mut run = Run::new(seed, naive());
-    let changes = (0..support::events(200)).filter(|_| moved(&run.step(&shares)));
+    let mut simulation = Simulation::new(seed, initial_map());
+    let changes = (0..support::events(200)).filter(|_| changes_map(&simulation.step(&shares)));
     let changes = changes.count();
     expect_that!(changes, all![ge(1), le(3)]);
-    let last = run.step(&shares);
+    let last = simulation.step(&shares);
     expect_that!(last.reason, eq(Reason::NoGain));
     expect_that!(last.chosen.skew, lt(1.1));
 }
@@ -103,10 +103,10 @@
     for seed in (0..8).map(|offset| support::seed() + offset) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let shares = support::shares(&mut rng);
-        let mut run = Run::new(seed, support::packed(&shares));
+        let mut simulation = Simulation::new(seed, support::packed(&shares));
         for _ in 0..support::events(300) {
-            let decision = run.step(&shares);
-            expect_that!(moved(&decision), eq(false), "seed {seed}: {decision}");
+            let decision = simulation.step(&shares);
+            expect_that!(changes_map(&decision), eq(false), "seed {seed}: {decision}");
         }
     }
 }
@@ -116,12 +116,12 @@
     let seed = support::seed();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let shares = support::shares(&mut rng);
-    let mut run = Run::new(seed, support::packed(&shares));
-    run.slowness[3] = 3.0;
+    let mut simulation = Simulation::new(seed, support::packed(&shares));
+    simulation.slowness[3] = 3.0;
     let mut answers = Vec::new();
     for _ in 0..60 {
-        let decision = run.step(&shares);
-        expect_that!(moved(&decision), eq(false), "{decision}");
+        let decision = simulation.step(&shares);
+        expect_that!(changes_map(&decision), eq(false), "{decision}");
         answers.push(decision.answer);
     }
     let relieved = |answer: &Answer| matches!(answer, Answer::Relieve { ranks, .. } if ranks[0].rank == 3 && ranks[0].share < 1.0);
@@ -130,8 +130,8 @@
         answers.last(),
         some(matches_pattern!(Answer::Drain { rank: eq(&3), .. }))
     );
-    run.slowness[3] = 1.0;
-    let last = (0..20).map(|_| run.step(&shares).answer).last();
+    simulation.slowness[3] = 1.0;
+    let last = (0..20).map(|_| simulation.step(&shares).answer).last();
     expect_that!(last, some(eq(&Answer::None)));
 }
 
@@ -140,8 +140,8 @@
     let seed = support::seed();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let shares = support::shares(&mut rng);
-    let mut even = Run::new(seed, naive());
-    let mut slow = Run::new(seed, naive());
+    let mut even = Simulation::new(seed, initial_map());
+    let mut slow = Simulation::new(seed, initial_map());
     slow.slowness[5] = 1.4;
     let mut relieved = 0;
     for _ in 0..support::events(200) {
@@ -163,8 +163,8 @@
     for seed in (0..4).map(|offset| support::seed() + offset) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut shares = support::shares(&mut rng);
-        let mut one = Run::new(seed, naive());
-        let mut two = Run::new(seed, naive());
+        let mut one = Simulation::new(seed, initial_map());
+        let mut two = Simulation::new(seed, initial_map());
         for _ in 0..support::events(200) {
             for share in shares.iter_mut().flatten() {
                 *share *= rng.random_range(0.95..1.05);
@@ -180,17 +180,21 @@
     let seed = support::seed();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let base = support::shares(&mut rng);
-    let mut swung = base.clone();
-    for layer in &mut swung {
+    let mut shifted = base.clone();
+    for layer in &mut shifted {
         layer[0] *= 1.1;
     }
-    let mut run = Run::new(seed, support::packed(&base));
-    let mut seen = vec![run.map.layers.clone()];
+    let mut simulation = Simulation::new(seed, support::packed(&base));
+    let mut seen = vec![simulation.map.layers.clone()];
     for index in 0..support::events(400) {
-        let shares = if index / 20 % 2 == 0 { &base } else { &swung };
-        if moved(&run.step(shares)) {
-            expect_that!(seen.contains(&run.map.layers), eq(false), "a map came back");
-            seen.push(run.map.layers.clone());
+        let shares = if index / 20 % 2 == 0 { &base } else { &shifted };
+        if changes_map(&simulation.step(shares)) {
+            expect_that!(
+                seen.contains(&simulation.map.layers),
+                eq(false),
+                "a previous map returned"
+            );
+            seen.push(simulation.map.layers.clone());
         }
     }
     expect_that!(seen.len(), le(3));
@@ -200,32 +204,38 @@
 fn reports_that_cannot_be_used_are_told_apart() {
     let mut rng = ChaCha8Rng::seed_from_u64(support::seed());
     let shares = support::shares(&mut rng);
-    let mut run = Run::new(1, support::packed(&shares));
-    let counts = run.report(&shares);
+    let mut simulation = Simulation::new(1, support::packed(&shares));
+    let counts = simulation.report(&shares);
     let now = Duration::from_hours(1);
-    expect_that!(run.planner.observe(now, &counts), eq(Intake::Taken));
-    expect_that!(run.planner.observe(now, &counts), eq(Intake::Repeated));
+    expect_that!(simulation.planner.observe(now, &counts), eq(Intake::Taken));
+    expect_that!(
+        simulation.planner.observe(now, &counts),
+        eq(Intake::Repeated)
+    );
     let old = Counts {
         sequence: 2,
         age: Duration::from_mins(30),
         ..counts.clone()
     };
-    expect_that!(run.planner.observe(now, &old), eq(Intake::Stale));
+    expect_that!(simulation.planner.observe(now, &old), eq(Intake::Stale));
     let short = Counts {
         sequence: 3,
         layers: Vec::new(),
         ..counts
     };
-    expect_that!(run.planner.observe(now, &short), eq(Intake::Malformed));
+    expect_that!(
+        simulation.planner.observe(now, &short),
+        eq(Intake::Malformed)
+    );
 }
 
 #[gtest]
 fn a_restarted_series_of_reports_is_taken_in() {
     let mut rng = ChaCha8Rng::seed_from_u64(support::seed());
     let shares = support::shares(&mut rng);
-    let mut run = Run::new(1, support::packed(&shares));
+    let mut simulation = Simulation::new(1, support::packed(&shares));
     let now = Duration::from_hours(1);
-    let mut counts = run.report(&shares);
+    let mut counts = simulation.report(&shares);
     for (sequence, intake) in [
         (100, Intake::Taken),
         (98, Intake::Taken),
@@ -235,7 +245,7 @@
         (2, Intake::Repeated),
     ] {
         counts.sequence = sequence;
-        expect_that!(run.planner.observe(now, &counts), eq(intake));
+        expect_that!(simulation.planner.observe(now, &counts), eq(intake));
     }
 }
 
@@ -243,25 +253,29 @@
 fn nothing_moves_without_fresh_reports_or_a_usable_map() {
     let mut rng = ChaCha8Rng::seed_from_u64(support::seed());
     let shares = support::shares(&mut rng);
-    let mut run = Run::new(1, naive());
-    let first = run.step(&shares);
+    let mut simulation = Simulation::new(1, initial_map());
+    let first = simulation.step(&shares);
     expect_that!(first.reason, eq(Reason::FewReports));
     for _ in 0..20 {
-        run.step(&shares);
+        simulation.step(&shares);
     }
-    let later = run.now + Duration::from_hours(1);
-    let stale = run.planner.decide(later, &run.map, &support::CHEAP);
+    let later = simulation.now + Duration::from_hours(1);
+    let stale = simulation
+        .planner
+        .decide(later, &simulation.map, &support::CHEAP);
     expect_that!(stale.reason, eq(Reason::StaleReports));
-    let mut broken = run.map.clone();
+    let mut broken = simulation.map.clone();
     broken.layers[0].0.fill(0);
-    let refused = run.planner.decide(run.now, &broken, &support::CHEAP);
+    let refused = simulation
+        .planner
+        .decide(simulation.now, &broken, &support::CHEAP);
     expect_that!(refused.reason, eq(Reason::Unusable(Defect::MissingExpert)));
 }
 
 #[gtest]
 fn a_map_that_no_small_change_helps_is_laid_out_anew() {
-    // Two ranks have no spare place and two share the hot expert: whatever one change does, one
-    // of the two stays the slowest.
+    // Two of the ranks share the hot expert and the other two have no spare place, so after any single
+    // change one of the ranks that share it is still the slowest.
     let shape = Shape {
         layers: 2,
         experts: 16,
@@ -271,7 +285,7 @@
     let map = Map::initial(shape.ranks, shape.experts, shape.layers, 5);
     let mut tokens = vec![1_000_u32; 16];
     tokens[3] = 40_000;
-    let mut moved = false;
+    let mut changes_map = false;
     for sequence in 1..=20 {
         let now = Duration::from_secs(sequence);
         let counts = Counts {
@@ -288,7 +302,7 @@
             ],
         };
         assert_that!(planner.observe(now, &counts), eq(Intake::Taken));
-        moved |= planner.decide(now, &map, &support::CHEAP).choice != Choice::Stay;
+        changes_map |= planner.decide(now, &map, &support::CHEAP).choice != Choice::Stay;
     }
-    assert_that!(moved, eq(true));
+    assert_that!(changes_map, eq(true));
 }
