--- a/crates/rebalance/tests/search.rs
+++ b/crates/rebalance/tests/search.rs
@@ -1,4 +1,4 @@
-//! Small changes of one layer.
+//! Tests of the search for small changes of one layer.
 
 use auburnline_core::expert::Layer;
 use auburnline_rebalance::pack;
@@ -13,7 +13,7 @@
 
 const RANKS: usize = 4;
 
-fn draw(rng: &mut ChaCha8Rng, count: usize) -> Vec<f64> {
+fn random_shares(rng: &mut ChaCha8Rng, count: usize) -> Vec<f64> {
     let raw: Vec<f64> = (0..count).map(|_| rng.random_range(0.1..1.0)).collect();
     let total: f64 = raw.iter().sum();
     raw.iter().map(|share| share / total).collect()
@@ -43,7 +43,7 @@
 fn paths_keep_every_expert_and_tell_true_loads() {
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     for _ in 0..200 {
-        let (now, later) = (draw(&mut rng, 12), draw(&mut rng, 12));
+        let (now, later) = (random_shares(&mut rng, 12), random_shares(&mut rng, 12));
         let start = pack::layer(&later, &[1.0; RANKS], 4).expect("enough places");
         let outlook = Outlook {
             now: &now,
@@ -65,7 +65,7 @@
 
 #[gtest]
 fn packing_uses_each_place_and_puts_fewer_tokens_on_a_slow_rank() {
-    let shares = draw(&mut ChaCha8Rng::seed_from_u64(12), 12);
+    let shares = random_shares(&mut ChaCha8Rng::seed_from_u64(12), 12);
     let layer = pack::layer(&shares, &[1.0, 1.0, 1.0, 2.0], 4).expect("enough places");
     expect_that!(layer.0, len(eq(16)));
     let times = skew::times(&layer, &shares, &Ranks::even(RANKS));
@@ -73,7 +73,8 @@
     expect_that!(pack::layer(&shares, &[1.0; RANKS], 2), none());
 }
 
-/// Pattern: one rank takes ten times as long for the same load. It gives up what others hold as well, for nothing.
+/// One rank takes ten times as long for the same load. It drops the replica that another rank holds as well, and
+/// loads none in its place.
 #[gtest]
 fn a_rank_that_almost_stands_gives_up_what_others_hold() {
     let shares = [0.25; 4];
@@ -86,7 +87,7 @@
     let after = path.apply(&layer, path.changes.len());
     let slow = &after.0[2..4];
     expect_that!(slow[0], eq(slow[1]));
-    // 0.125 of the load ten times over, in place of 0.25.
+    // The slow rank has a load of 0.125 instead of 0.25, times its slowness of ten.
     expect_that!(path.points[0].slowest, near(2.5, 1e-9));
     expect_that!(path.points[1].slowest, near(1.25, 1e-9));
 }
