--- a/crates/rebalance/tests/support/mod.rs
+++ b/crates/rebalance/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Small groups with seeded noise.
+//! A small simulated group whose reports have seeded noise.
 
 use std::time::Duration;
 
@@ -15,27 +15,27 @@
 
 /// Time between reports.
 pub(crate) const SPAN: Duration = Duration::from_secs(30);
-/// Seconds a token takes on a rank in order.
+/// Seconds that a rank of usual speed takes per token.
 pub(crate) const TOKEN_SECONDS: f64 = 2e-7;
-/// Tokens of a layer in a report.
+/// Number of tokens of a layer in a report.
 pub(crate) const TOKENS: f64 = 4e6;
-/// Weights that make moves cheap.
+/// Preset weights under which loads and disruption cost little.
 pub(crate) const CHEAP: Rebalance = Rebalance {
     skew_weight: 1.0,
     move_weight: 0.1,
     disruption_weight: 0.05,
 };
 
-/// A small group.
+/// Dimensions of the group.
 pub(crate) const SHAPE: Shape = Shape {
     layers: 4,
     experts: 32,
     ranks: 8,
 };
-/// Places of each rank, one of them spare.
+/// Number of places of each rank in each layer; one of them is spare.
 pub(crate) const PLACES: usize = 5;
 
-/// Seed from the environment, or the fixed one.
+/// Returns the seed from the environment, or a fixed one.
 pub(crate) fn seed() -> u64 {
     let text = std::env::var("AUBURNLINE_SEED").ok();
     let seed = text.and_then(|text| text.parse().ok()).unwrap_or(2_027);
@@ -43,18 +43,18 @@
     seed
 }
 
-/// Reports of a run, from the environment or `count`.
+/// Returns the number of reports of a run from the environment, or `count`.
 pub(crate) fn events(count: u64) -> u64 {
     let text = std::env::var("AUBURNLINE_EVENTS").ok();
     text.and_then(|text| text.parse().ok()).unwrap_or(count)
 }
 
-/// Planner's settings for the small group: whole layers of few bytes.
+/// Returns the planner's settings: the defaults, with the size of an expert spelled out.
 pub(crate) fn config() -> Config {
     Config::builder().expert_bytes(44_040_192).build()
 }
 
-/// Popularity whose hottest expert is some ten times the coldest.
+/// Draws popularities; that of the hottest expert is at most 100 times that of the coldest.
 pub(crate) fn shares(rng: &mut ChaCha8Rng) -> Vec<Vec<f64>> {
     (0..SHAPE.layers)
         .map(|_| {
@@ -67,7 +67,7 @@
         .collect()
 }
 
-/// Best packing of `shares`.
+/// Returns a map packed and refined for `shares`.
 pub(crate) fn packed(shares: &[Vec<f64>]) -> Map {
     let ranks = usize::from(SHAPE.ranks);
     let layers: Vec<Layer> = shares
@@ -82,7 +82,7 @@
     }
 }
 
-/// A noisy report of `shares` under `map`, with the slowness of each rank.
+/// Returns a noisy report of `shares` under `map`, for ranks of the given slowness.
 pub(crate) fn report(
     rng: &mut ChaCha8Rng,
     sequence: u64,
@@ -114,9 +114,9 @@
     for (index, counts) in layers.iter().enumerate() {
         let layer = &map.layers[index].0;
         for expert in map.hosted(index, rank) {
-            let copies = layer.iter().filter(|other| *other == expert).count();
-            let copies = u32::try_from(copies).expect("few replicas");
-            tokens += f64::from(counts[usize::from(*expert)]) / f64::from(copies);
+            let replicas = layer.iter().filter(|other| *other == expert).count();
+            let replicas = u32::try_from(replicas).expect("few replicas");
+            tokens += f64::from(counts[usize::from(*expert)]) / f64::from(replicas);
         }
     }
     let seconds = tokens * TOKEN_SECONDS * slowness[usize::from(rank)];
