--- a/crates/rebalance/examples/speed.rs
+++ b/crates/rebalance/examples/speed.rs
@@ -1,4 +1,4 @@
-//! Time of one decision on one core, for groups of 64 ranks.
+//! Measures the time of one decision on one core, for groups of 64 ranks.
 //!
 //! `cargo run --release -p auburnline-rebalance --example speed [LAYERS...]`
 
@@ -27,7 +27,7 @@
     disruption_weight: 0.05,
 };
 
-/// Times of one kind of call.
+/// Measured durations of one kind of call.
 #[derive(Default)]
 struct Times(Vec<Duration>);
 
@@ -39,18 +39,18 @@
         result
     }
 
-    fn line(&mut self) -> String {
+    fn summary(&mut self) -> String {
         self.0.sort();
-        let (middle, last) = (self.0[self.0.len() / 2], self.0[self.0.len() - 1]);
+        let (median, worst) = (self.0[self.0.len() / 2], self.0[self.0.len() - 1]);
         let millis = |time: Duration| time.as_secs_f64() * 1e3;
-        format!("{:>9.2}{:>9.2}", millis(middle), millis(last))
+        format!("{:>9.2}{:>9.2}", millis(median), millis(worst))
     }
 }
 
 fn counts(rng: &mut ChaCha8Rng, popularity: &[Vec<f64>], sequence: u64) -> Counts {
     let layers = popularity.iter().map(|layer| {
         let tokens = layer.iter().map(|share| share * rng.random_range(0.9..1.1));
-        tokens.map(whole).collect()
+        tokens.map(rounded_down).collect()
     });
     let work = Work {
         tokens: 1_000_000,
@@ -70,7 +70,7 @@
     clippy::cast_sign_loss,
     reason = "counts are positive and small"
 )]
-fn whole(value: f64) -> u32 {
+fn rounded_down(value: f64) -> u32 {
     value as u32
 }
 
@@ -109,23 +109,23 @@
     }
     format!(
         "{layers:>6}{}{}{}",
-        observe.line(),
-        first.line(),
-        later.line()
+        observe.summary(),
+        first.summary(),
+        later.summary()
     )
 }
 
 fn main() {
     let layers: Vec<usize> = std::env::args()
         .skip(1)
-        .filter_map(|word| word.parse().ok())
+        .filter_map(|argument| argument.parse().ok())
         .collect();
     let layers = if layers.is_empty() {
         vec![8, 16, 32, 58]
     } else {
         layers
     };
-    println!("milliseconds: report taken in, decision on the initial map, decision under drift");
+    println!("milliseconds: report observed, decision on the initial map, decision under drift");
     println!("layers   median    worst   median    worst   median    worst");
     for layers in layers {
         println!("{}", measure(layers));
