--- a/crates/rebalance/examples/table/main.rs
+++ b/crates/rebalance/examples/table/main.rs
@@ -1,4 +1,4 @@
-//! Compares policies for expert maps over seeded traces.
+//! Compares policies for expert maps over seeded traces, and prints one row for each.
 //!
 //! `cargo run --release -p auburnline-rebalance --example table -- [--csv] [--trace NAME]
 //! [--layers N] [--hours N] [--seed N]`
@@ -13,20 +13,20 @@
 use crate::simulation::Row;
 use crate::trace::Kind;
 
-/// Weights of a preset that minds skew.
+/// Weights of a preset for which skew is expensive compared with loads and disruption.
 pub(crate) const DIALLO: Rebalance = Rebalance {
     skew_weight: 1.0,
     move_weight: 0.6,
     disruption_weight: 0.05,
 };
-/// Weights of a preset that minds moves.
+/// Weights of a preset for which loads and disruption are expensive compared with skew.
 pub(crate) const NAIROBI: Rebalance = Rebalance {
     skew_weight: 0.5,
     move_weight: 1.0,
     disruption_weight: 0.5,
 };
 
-/// What the command line asks for.
+/// Command line options.
 struct Options {
     csv: bool,
     trace: Option<String>,
@@ -43,20 +43,22 @@
         hours: 24,
         seed: 7,
     };
-    let mut words = std::env::args().skip(1);
-    while let Some(word) = words.next() {
-        if word == "--csv" {
+    let mut arguments = std::env::args().skip(1);
+    while let Some(argument) = arguments.next() {
+        if argument == "--csv" {
             options.csv = true;
             continue;
         }
-        let value = words.next().ok_or(format!("{word} needs a value"))?;
+        let value = arguments
+            .next()
+            .ok_or(format!("{argument} needs a value"))?;
         let number = || value.parse::<u32>().map_err(|error| error.to_string());
-        match word.as_str() {
+        match argument.as_str() {
             "--trace" => options.trace = Some(value),
             "--layers" => options.layers = number()? as usize,
             "--hours" => options.hours = number()?,
             "--seed" => options.seed = u64::from(number()?),
-            _ => return Err(format!("unknown option {word}")),
+            _ => return Err(format!("unknown option {argument}")),
         }
     }
     Ok(options)
