--- a/crates/rebalance/examples/table/policy.rs
+++ b/crates/rebalance/examples/table/policy.rs
@@ -1,4 +1,4 @@
-//! Policies that are compared.
+//! Policies for changing an expert map.
 
 use std::time::Duration;
 
@@ -16,44 +16,45 @@
 use auburnline_rebalance::skew::Ranks;
 use auburnline_rebalance::straggler::Answer;
 
-/// Reports that the re-pack's estimate averages over.
-const REPACK_MEMORY: f64 = 10.0;
-/// Skew of a layer from which the threshold policy swaps.
+/// Number of reports that the estimate of [`Policy::Repack`] averages over.
+const REPACK_REPORTS: f64 = 10.0;
+/// Skew of a layer above which [`Policy::Threshold`] swaps.
 const THRESHOLD: f64 = 1.1;
 
-/// What a policy wants.
+/// Changes that a policy requests.
 #[derive(Default)]
-pub(crate) struct Wish {
-    /// New map.
+pub(crate) struct Request {
+    /// New map; `None` keeps the one in force.
     pub(crate) map: Option<Map>,
-    /// Part of each rank, where it changes.
+    /// New share of each rank; `None` keeps the shares in force.
     pub(crate) share: Option<Vec<f64>>,
-    /// Whether the group should drain.
+    /// Whether the group should be drained.
     pub(crate) drain: bool,
 }
 
-/// A policy with its state.
+/// Policy with its state.
 pub(crate) enum Policy {
-    /// Never changes.
+    /// Keeps the initial map.
     Never,
-    /// Lays everything out anew after each period.
+    /// Rebuilds the whole map from scratch once per period.
     Repack {
-        /// Popularity.
+        /// Popularity estimate that the map is built from.
         estimate: Box<Estimate>,
-        /// Time between re-packs.
+        /// Time between repacks.
         period: Duration,
-        /// When the next one is due.
+        /// Time at which the next repack is due.
         next: Duration,
     },
-    /// Swaps hottest against coldest in each layer above a threshold of the last report.
+    /// In each layer whose skew in the last report exceeds a threshold, swaps the hottest expert of the
+    /// slowest rank with the coldest of the fastest.
     Threshold(Option<Box<Counts>>),
-    /// The planner under a preset's weights.
+    /// Uses the planner, under a preset's weights.
     Planner(Box<Planner>, Rebalance),
 }
 
 impl Policy {
     pub(crate) fn repack(shape: Shape, period: Duration) -> Self {
-        let estimate = Estimate::new(shape, REPACK_MEMORY);
+        let estimate = Estimate::new(shape, REPACK_REPORTS);
         Policy::Repack {
             estimate: Box::new(estimate),
             period,
@@ -66,7 +67,7 @@
         Policy::Planner(Box::new(planner), weights)
     }
 
-    /// Takes in a report.
+    /// Processes a report that arrives at `now`.
     pub(crate) fn observe(&mut self, now: Duration, counts: &Counts) {
         match self {
             Policy::Never => {}
@@ -80,49 +81,49 @@
         }
     }
 
-    /// Says what to change.
-    pub(crate) fn decide(&mut self, now: Duration, map: &Map) -> Wish {
+    /// Returns the changes to make, given the map in force.
+    pub(crate) fn decide(&mut self, now: Duration, map: &Map) -> Request {
         match self {
-            Policy::Never => Wish::default(),
+            Policy::Never => Request::default(),
             Policy::Repack {
                 estimate,
                 period,
                 next,
             } => {
                 if now < *next {
-                    return Wish::default();
+                    return Request::default();
                 }
                 *next = now + *period;
                 let layers = (0..map.layers.len()).map(|layer| {
                     let shares = estimate.shares(layer, now, now).mean;
                     pack::refined(&shares, usize::from(map.ranks), map.places())
                 });
-                wish(
+                request_map(
                     map,
                     layers.map(|layer| layer.expect("enough places")).collect(),
                 )
             }
             Policy::Threshold(last) => match last.take() {
                 Some(counts) => threshold(map, &counts),
-                None => Wish::default(),
+                None => Request::default(),
             },
             Policy::Planner(planner, weights) => plan(planner, weights, now, map),
         }
     }
 }
 
-fn wish(map: &Map, layers: Vec<Layer>) -> Wish {
-    Wish {
+fn request_map(map: &Map, layers: Vec<Layer>) -> Request {
+    Request {
         map: Some(Map {
             generation: map.generation + 1,
             layers,
             ..map.clone()
         }),
-        ..Wish::default()
+        ..Request::default()
     }
 }
 
-fn plan(planner: &mut Planner, weights: &Rebalance, now: Duration, map: &Map) -> Wish {
+fn plan(planner: &mut Planner, weights: &Rebalance, now: Duration, map: &Map) -> Request {
     let decision = planner.decide(now, map, weights);
     let mut share = vec![1.0; usize::from(map.ranks)];
     if let Answer::Relieve { ranks, .. } = &decision.answer {
@@ -131,7 +132,7 @@
         }
     }
     let drain = matches!(decision.answer, Answer::Drain { .. });
-    Wish {
+    Request {
         map: match decision.choice {
             Choice::Stay => None,
             Choice::Change(map) => Some(*map),
@@ -141,8 +142,8 @@
     }
 }
 
-/// Reads a rank's time as the popularity of what it hosts, as a policy does that knows no stragglers.
-fn threshold(map: &Map, counts: &Counts) -> Wish {
+/// Attributes a rank's time to the popularity of its experts, as a policy without straggler detection does.
+fn threshold(map: &Map, counts: &Counts) -> Request {
     let slowness: Vec<f64> = counts
         .ranks
         .iter()
@@ -166,9 +167,9 @@
         }
     }
     if changed {
-        wish(map, layers)
+        request_map(map, layers)
     } else {
-        Wish::default()
+        Request::default()
     }
 }
 
