--- a/crates/rebalance/examples/table/trace.rs
+++ b/crates/rebalance/examples/table/trace.rs
@@ -1,4 +1,4 @@
-//! Seeded courses of popularity and of the ranks' slowness, and what is reported of them.
+//! Seeded traces of popularity and of the ranks' slowness, with the reports drawn from them.
 
 use std::f64::consts::TAU;
 use std::time::Duration;
@@ -14,52 +14,52 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Time between reports.
+/// Time between reports, and step of the simulation.
 pub(crate) const TICK: Duration = Duration::from_secs(30);
-/// Seconds that a rank in order takes for a token of one layer.
+/// Seconds that a rank of usual speed takes per token of one layer.
 pub(crate) const TOKEN_SECONDS: f64 = 4e-6;
-/// Tokens a second that each layer's experts handle at the mean hour.
+/// Tokens per second that each layer's experts process, averaged over a day.
 const RATE: f64 = 140_000.0;
-/// Spread of the logarithm of popularity over the experts.
+/// Standard deviation of the logarithm of popularity over the experts.
 const SPREAD: f64 = 0.8;
-/// Spread of a report's counts beyond sampling.
+/// Relative standard deviation of a report's counts in addition to sampling noise.
 const NOISE: f64 = 0.05;
-/// Tokens of a batch that go to an expert together.
+/// Number of tokens routed to an expert together, which raises sampling noise.
 const CLUMP: f64 = 20.0;
-/// Spread of the ranks' measured times.
+/// Relative standard deviation of the ranks' measured times.
 const TIMING_NOISE: f64 = 0.02;
-/// One report in this many has a burst for one expert of each layer.
+/// Mean number of reports between bursts for one expert of each layer.
 const BURST_EVERY: u32 = 200;
-/// Factor of a burst.
+/// Factor by which a burst multiplies an expert's count.
 const BURST: f64 = 3.0;
-/// Rank that is slow in the traces with a straggler.
+/// Slow rank in the traces with a straggler.
 const SLOW_RANK: usize = 11;
-/// Its time per token over the others'.
+/// Slowness of [`SLOW_RANK`] relative to the other ranks.
 const SLOWNESS: f64 = 1.6;
-/// Factor of an expert that is hot all at once.
+/// Factor by which an expert's popularity rises at once in [`Kind::Hot`].
 const HOT: f64 = 6.0;
 
-/// Kind of a trace.
+/// Kind of trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
     /// Smooth change over many hours.
     Drift,
-    /// Three mixes of cases that follow the hour.
+    /// Three mixes of workloads whose proportions follow the hour of the day.
     Hours,
-    /// One mix gives way to another within six hours.
+    /// One mix of workloads is replaced by another within six hours.
     Season,
-    /// One expert in each fourth layer grows hot at once, three times a day.
+    /// In every fourth layer one expert becomes hot at once, three times a day.
     Hot,
-    /// Noise alone.
+    /// Constant popularity with noise.
     Noise,
-    /// A slow rank for four hours, popularity constant.
+    /// A slow rank for four hours, with constant popularity.
     Straggler,
-    /// A slow rank while popularity drifts.
+    /// A slow rank for four hours, while popularity drifts.
     Both,
 }
 
 impl Kind {
-    /// All kinds.
+    /// All kinds, in the order of the table.
     pub(crate) const ALL: [Kind; 7] = [
         Kind::Drift,
         Kind::Hours,
@@ -70,7 +70,7 @@
         Kind::Both,
     ];
 
-    /// Name in the table.
+    /// Returns the name in the table and on the command line.
     pub(crate) const fn name(self) -> &'static str {
         match self {
             Kind::Drift => "drift",
@@ -88,7 +88,7 @@
     }
 }
 
-/// A wave of one expert's popularity.
+/// Sine wave in the logarithm of one expert's popularity.
 #[derive(Clone, Copy)]
 struct Wave {
     hours: f64,
@@ -96,51 +96,51 @@
     height: f64,
 }
 
-/// What one expert's popularity is made of.
+/// Parameters of the logarithm of one expert's popularity.
 #[derive(Clone, Copy)]
-struct Traits {
+struct Parameters {
     base: f64,
     mixes: [f64; 3],
     waves: [Wave; 2],
 }
 
-/// State of the world at one moment.
+/// True state of the group at one time.
 #[derive(Clone, Debug)]
 pub(crate) struct Truth {
-    /// Shares of each layer's tokens.
+    /// Share of each layer's tokens, by layer and expert.
     pub(crate) shares: Vec<Vec<f64>>,
     /// Slowness of each rank.
     pub(crate) slowness: Vec<f64>,
-    /// Tokens a second in each layer.
+    /// Tokens per second in each layer.
     pub(crate) rate: f64,
 }
 
-/// One course.
+/// Generator of one trace.
 pub(crate) struct Trace {
     kind: Kind,
     shape: Shape,
-    experts: Vec<Vec<Traits>>,
+    experts: Vec<Vec<Parameters>>,
     rng: ChaCha8Rng,
 }
 
-/// Counts of a span with the way the report goes.
+/// Counts of one span, and the delivery of the report.
 pub(crate) struct Sample {
-    /// Tokens of each expert by layer.
+    /// Number of tokens, by layer and expert.
     pub(crate) layers: Vec<Vec<u32>>,
-    /// Noise of each rank's time.
+    /// Factor of noise on each rank's time.
     pub(crate) timing: Vec<f64>,
-    /// Time on the way; `None` when it is lost.
+    /// Time until delivery; `None` if the report is lost.
     pub(crate) lag: Option<Duration>,
-    /// Whether it arrives twice.
+    /// Whether the report is delivered twice.
     pub(crate) twice: bool,
 }
 
 impl Trace {
-    /// Draws the traits of all experts.
+    /// Draws the parameters of all experts from `seed`.
     pub(crate) fn new(kind: Kind, shape: Shape, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let experts = (0..shape.layers)
-            .map(|_| (0..shape.experts).map(|_| traits(&mut rng)).collect())
+            .map(|_| (0..shape.experts).map(|_| parameters(&mut rng)).collect())
             .collect();
         Trace {
             kind,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Returns the truth at `hour`.
+    /// Returns the true state at `hour`.
     pub(crate) fn truth(&self, hour: f64) -> Truth {
         let shares = (0..).zip(&self.experts);
         let shares = shares.map(|(layer, experts)| self.layer(layer, experts, hour));
@@ -165,10 +165,10 @@
         }
     }
 
-    fn layer(&self, layer: usize, experts: &[Traits], hour: f64) -> Vec<f64> {
+    fn layer(&self, layer: usize, experts: &[Parameters], hour: f64) -> Vec<f64> {
         let mut raw: Vec<f64> = experts
             .iter()
-            .map(|traits| popularity(self.kind, traits, hour))
+            .map(|parameters| popularity(self.kind, parameters, hour))
             .collect();
         if self.kind == Kind::Hot && layer.is_multiple_of(4) {
             let third = [4.0, 10.0, 17.0]
@@ -182,7 +182,7 @@
         raw.iter().map(|share| share / total).collect()
     }
 
-    /// Draws what is reported of a span under `truth`.
+    /// Draws the counts of the next span under `truth`.
     pub(crate) fn sample(&mut self, truth: &Truth) -> Sample {
         let volume = truth.rate * TICK.as_secs_f64() * self.rng.random_range(0.8..1.2);
         let burst = self.rng.random_ratio(1, BURST_EVERY);
@@ -214,48 +214,48 @@
     }
 }
 
-fn traits(rng: &mut ChaCha8Rng) -> Traits {
+fn parameters(rng: &mut ChaCha8Rng) -> Parameters {
     let wave = |rng: &mut ChaCha8Rng| Wave {
         hours: rng.random_range(10.0..40.0),
         phase: rng.random_range(0.0..TAU),
         height: rng.random_range(0.1..0.5),
     };
-    Traits {
+    Parameters {
         base: SPREAD * normal(rng),
         mixes: [(); 3].map(|()| 0.5 * normal(rng)),
         waves: [wave(rng), wave(rng)],
     }
 }
 
-fn popularity(kind: Kind, traits: &Traits, hour: f64) -> f64 {
+fn popularity(kind: Kind, parameters: &Parameters, hour: f64) -> f64 {
     match kind {
-        Kind::Hot | Kind::Noise | Kind::Straggler => traits.base.exp(),
+        Kind::Hot | Kind::Noise | Kind::Straggler => parameters.base.exp(),
         Kind::Drift | Kind::Both => {
-            let waves = traits.waves.iter();
+            let waves = parameters.waves.iter();
             let sum: f64 = waves
                 .map(|wave| wave.height * (TAU * hour / wave.hours + wave.phase).sin())
                 .sum();
-            (traits.base + sum).exp()
+            (parameters.base + sum).exp()
         }
         Kind::Hours => {
-            let mix = (0..3).zip(&traits.mixes).map(|(index, mix)| {
+            let mix = (0..3).zip(&parameters.mixes).map(|(index, mix)| {
                 let phase = f64::from(index) / 3.0;
                 let weight = 1.0 + (TAU * (hour / 24.0 - phase)).cos();
-                weight * (traits.base + mix).exp()
+                weight * (parameters.base + mix).exp()
             });
             mix.sum()
         }
         Kind::Season => {
             let part = ((hour - 8.0) / 6.0).clamp(0.0, 1.0);
-            let mix = traits.mixes[0] * (1.0 - part) + traits.mixes[1] * part;
-            (traits.base + mix).exp()
+            let mix = parameters.mixes[0] * (1.0 - part) + parameters.mixes[1] * part;
+            (parameters.base + mix).exp()
         }
     }
 }
 
-/// Report of a draw under the map and reliefs of one policy.
+/// Returns the report of `sample` under the map and shares of one policy.
 pub(crate) fn report(
-    draw: &Sample,
+    sample: &Sample,
     sequence: u64,
     map: &Map,
     slowness: &[f64],
@@ -266,21 +266,21 @@
         share: share.to_vec(),
     };
     let mut tokens = vec![0.0; slowness.len()];
-    for (layer, counts) in map.layers.iter().zip(&draw.layers) {
+    for (layer, counts) in map.layers.iter().zip(&sample.layers) {
         let counts: Vec<f64> = counts.iter().map(|&count| f64::from(count)).collect();
         add(&mut tokens, layer, &counts, &even);
     }
-    let ranks = tokens.iter().zip(slowness).zip(&draw.timing);
+    let ranks = tokens.iter().zip(slowness).zip(&sample.timing);
     let ranks = ranks.map(|((tokens, slowness), timing)| Work {
         tokens: u64::from(rounded(*tokens)),
         busy: Duration::from_secs_f64(tokens * slowness * timing * TOKEN_SECONDS),
     });
     Counts {
         sequence,
-        age: draw.lag.unwrap_or_default(),
+        age: sample.lag.unwrap_or_default(),
         span: TICK,
         ranks: ranks.collect(),
-        layers: draw.layers.clone(),
+        layers: sample.layers.clone(),
     }
 }
 
