--- a/crates/rebalance/examples/table/simulation.rs
+++ b/crates/rebalance/examples/table/simulation.rs
@@ -1,4 +1,4 @@
-//! Runs all policies over one trace at once and counts what each costs.
+//! Simulates all policies over the same trace and sums up the costs of each.
 
 use std::time::Duration;
 
@@ -24,44 +24,46 @@
 use crate::trace::Trace;
 use crate::trace::Truth;
 
-/// Places of each rank in each layer.
+/// Number of places of each rank in each layer.
 const PLACES: usize = 5;
 /// Time from a decision until its map is in force.
-const CHANGE: Duration = Duration::from_mins(1);
+const CHANGE_DURATION: Duration = Duration::from_mins(1);
 /// Bytes of one expert of one layer.
 const EXPERT_BYTES: f64 = 44_040_192.0;
 /// Bytes in a gibibyte.
 const GIBIBYTE: f64 = 1_073_741_824.0;
-/// Steps that any change disrupts, and each load on the rank that loads most.
-const STEPS: (f64, f64) = (2.0, 0.5);
-/// Changes that the bound may make in each layer at each tick.
+/// Number of steps that any change disrupts, and that each load on the rank with the most loads adds.
+const DISRUPTED_STEPS: (f64, f64) = (2.0, 0.5);
+/// Maximum number of changes that [`Bound`] makes in each layer per tick.
 const BOUND_CHANGES: usize = 8;
-/// Ticks between fresh packings of the bound.
-const FRESH: u32 = 60;
+/// Number of ticks between those at which [`Bound`] also tries layers packed from scratch.
+const REPACK_TICKS: u32 = 60;
 
 /// Costs of one policy so far.
 #[derive(Default)]
-struct Ledger {
+struct Costs {
     skews: Vec<f64>,
+    /// Seconds lost compared with perfectly even ranks.
     lost: f64,
     changes: u32,
     loads: f64,
     steps: f64,
+    /// Hours for which the policy requested a drain.
     drained: f64,
 }
 
-/// One policy in one trace.
+/// Simulation of one policy over one trace.
 struct Run {
     name: &'static str,
     policy: Policy,
     map: Map,
     share: Vec<f64>,
     pending: Option<(Duration, Map)>,
-    mail: Vec<(Duration, Counts)>,
-    ledger: Ledger,
+    undelivered: Vec<(Duration, Counts)>,
+    costs: Costs,
 }
 
-/// One line of the table.
+/// One row of the table.
 pub(crate) struct Row {
     trace: &'static str,
     policy: &'static str,
@@ -77,7 +79,7 @@
 }
 
 impl Row {
-    /// Names of the columns.
+    /// Returns the header, as text or CSV.
     pub(crate) fn header(csv: bool) -> String {
         if csv {
             return "trace,policy,skew_mean,skew_p95,changes,moves,gib,steps,drained_h,diallo,nairobi"
@@ -99,7 +101,7 @@
         )
     }
 
-    /// The line as text or CSV.
+    /// Returns the row, as text or CSV.
     pub(crate) fn format(&self, csv: bool) -> String {
         if csv {
             return format!(
@@ -134,14 +136,14 @@
     }
 }
 
-impl Ledger {
+impl Costs {
     fn count_step(&mut self, map: &Map, truth: &Truth, share: &[f64]) {
         let ranks = Ranks {
             slowness: truth.slowness.clone(),
             share: share.to_vec(),
         };
         let skew = skew::predict(map, &truth.shares, &ranks);
-        let slowest: f64 = skew.layers.iter().map(|span| span.slowest).sum();
+        let slowest: f64 = skew.layers.iter().map(|layer| layer.slowest).sum();
         let even = f64::from(u32::try_from(map.layers.len()).unwrap_or(0)) / f64::from(map.ranks);
         self.skews.push(skew.overall());
         self.lost += (slowest - even) * truth.rate * TOKEN_SECONDS * TICK.as_secs_f64();
@@ -159,7 +161,8 @@
         }
         self.changes += 1;
         self.loads += ranks.iter().sum::<f64>();
-        self.steps += STEPS.0 + STEPS.1 * ranks.iter().copied().fold(0.0, f64::max);
+        self.steps +=
+            DISRUPTED_STEPS.0 + DISRUPTED_STEPS.1 * ranks.iter().copied().fold(0.0, f64::max);
     }
 
     fn cost(&self, weights: &Rebalance) -> f64 {
@@ -196,43 +199,43 @@
             map: map.clone(),
             share: vec![1.0; usize::from(map.ranks)],
             pending: None,
-            mail: Vec::new(),
-            ledger: Ledger::default(),
+            undelivered: Vec::new(),
+            costs: Costs::default(),
         }
     }
 
-    fn step(&mut self, now: Duration, truth: &Truth, draw: &Sample, sequence: u64) {
-        self.ledger.count_step(&self.map, truth, &self.share);
-        if let Some(lag) = draw.lag {
-            let counts = trace::report(draw, sequence, &self.map, &truth.slowness, &self.share);
-            if draw.twice {
-                self.mail.push((now + lag + TICK, counts.clone()));
+    fn step(&mut self, now: Duration, truth: &Truth, sample: &Sample, sequence: u64) {
+        self.costs.count_step(&self.map, truth, &self.share);
+        if let Some(lag) = sample.lag {
+            let counts = trace::report(sample, sequence, &self.map, &truth.slowness, &self.share);
+            if sample.twice {
+                self.undelivered.push((now + lag + TICK, counts.clone()));
             }
-            self.mail.push((now + lag, counts));
+            self.undelivered.push((now + lag, counts));
         }
         self.deliver(now);
         self.take_pending(now);
         if self.pending.is_some() {
             return;
         }
-        let wish = self.policy.decide(now, &self.map);
-        if let Some(share) = wish.share {
+        let request = self.policy.decide(now, &self.map);
+        if let Some(share) = request.share {
             self.share = share;
         }
-        if wish.drain {
-            self.ledger.drained += TICK.as_secs_f64() / 3_600.0;
+        if request.drain {
+            self.costs.drained += TICK.as_secs_f64() / 3_600.0;
         }
-        self.pending = wish.map.map(|map| (now + CHANGE, map));
+        self.pending = request.map.map(|map| (now + CHANGE_DURATION, map));
     }
 
     fn deliver(&mut self, now: Duration) {
-        let due = std::mem::take(&mut self.mail);
+        let due = std::mem::take(&mut self.undelivered);
         for (at, mut counts) in due {
             if at <= now {
                 counts.age += now.saturating_sub(at);
                 self.policy.observe(now, &counts);
             } else {
-                self.mail.push((at, counts));
+                self.undelivered.push((at, counts));
             }
         }
     }
@@ -240,7 +243,7 @@
     fn take_pending(&mut self, now: Duration) {
         if let Some((at, map)) = self.pending.take() {
             if at <= now {
-                self.ledger.count_change(&self.map, &map);
+                self.costs.count_change(&self.map, &map);
                 self.map = map;
             } else {
                 self.pending = Some((at, map));
@@ -249,16 +252,16 @@
     }
 }
 
-/// Best packing of the truth found at each tick, at no cost.
+/// Reference for the policies: the best map found for the true popularity at each tick, at no cost.
 struct Bound {
     map: Map,
     tick: u32,
-    ledger: Ledger,
+    costs: Costs,
 }
 
 impl Bound {
     fn step(&mut self, truth: &Truth) {
-        let fresh = self.tick.is_multiple_of(FRESH);
+        let repack = self.tick.is_multiple_of(REPACK_TICKS);
         self.tick += 1;
         let ranks = Ranks {
             slowness: truth.slowness.clone(),
@@ -269,7 +272,7 @@
             let count = ranks.slowness.len();
             let path = search::improve(layer, count, Outlook::steady(shares), BOUND_CHANGES);
             let mut others = vec![path.apply(layer, path.changes.len())];
-            if fresh {
+            if repack {
                 others.extend(pack::refined(shares, count, PLACES));
             }
             if slow {
@@ -281,7 +284,7 @@
                 }
             }
         }
-        self.ledger.count_step(&self.map, truth, &ranks.share);
+        self.costs.count_step(&self.map, truth, &ranks.share);
     }
 }
 
@@ -289,10 +292,10 @@
     skew::summarize(&skew::times(layer, shares, ranks)).slowest
 }
 
-/// Runs all policies over the trace of `kind`.
+/// Simulates all policies over the trace of `kind`.
 pub(crate) fn run(kind: Kind, shape: Shape, hours: u32, seed: u64) -> Vec<Row> {
     let mut trace = Trace::new(kind, shape, seed);
-    let map = first(&trace.truth(0.0), shape);
+    let map = initial_map(&trace.truth(0.0), shape);
     let hour = Duration::from_hours(1);
     let mut runs = [
         Run::new("never", Policy::Never, &map),
@@ -305,27 +308,27 @@
     let mut bound = Bound {
         map,
         tick: 0,
-        ledger: Ledger::default(),
+        costs: Costs::default(),
     };
     for tick in 1..=hours * 120 {
         let now = TICK * tick;
         let truth = trace.truth(now.as_secs_f64() / 3_600.0);
-        let draw = trace.sample(&truth);
+        let sample = trace.sample(&truth);
         for run in &mut runs {
-            run.step(now, &truth, &draw, u64::from(tick));
+            run.step(now, &truth, &sample, u64::from(tick));
         }
         bound.step(&truth);
     }
-    let mut rows = vec![bound.ledger.row(kind.name(), "bound")];
+    let mut rows = vec![bound.costs.row(kind.name(), "bound")];
     rows.extend(
         runs.into_iter()
-            .map(|run| run.ledger.row(kind.name(), run.name)),
+            .map(|run| run.costs.row(kind.name(), run.name)),
     );
     rows
 }
 
-/// Best packing for the popularity at the start.
-fn first(truth: &Truth, shape: Shape) -> Map {
+/// Returns a map packed and refined for the popularity at the start.
+fn initial_map(truth: &Truth, shape: Shape) -> Map {
     let layers = truth.shares.iter().map(|shares| {
         pack::refined(shares, usize::from(shape.ranks), PLACES).expect("enough places")
     });
