--- a/crates/limits/src/lease/account.rs
+++ b/crates/limits/src/lease/account.rs
@@ -45,19 +45,19 @@
     }
 
     /// Micro-tokens that flow in `time` at `parts` of the rate.
-    fn inflow(self, time: Duration, parts: u64) -> i64 {
-        let micro = u128::from(self.rate) * time.as_nanos() * u128::from(parts) / NANOS;
+    fn inflow(self, time: Duration, share_ppm: u64) -> i64 {
+        let micro = u128::from(self.rate) * time.as_nanos() * u128::from(share_ppm) / NANOS;
         i64::try_from(micro).unwrap_or(i64::MAX)
     }
 
     /// Most micro-tokens that are kept at `parts` of the limit.
-    fn cap(self, parts: u64) -> i64 {
-        i64::try_from(u128::from(self.burst) * u128::from(parts)).unwrap_or(i64::MAX)
+    fn cap(self, share_ppm: u64) -> i64 {
+        i64::try_from(u128::from(self.burst) * u128::from(share_ppm)).unwrap_or(i64::MAX)
     }
 
     /// Time in which `micro` flow in at `parts` of the rate.
-    fn time(self, micro: i64, parts: u64) -> Duration {
-        let flow = u128::from(self.rate) * u128::from(parts);
+    fn time(self, micro: i64, share_ppm: u64) -> Duration {
+        let flow = u128::from(self.rate) * u128::from(share_ppm);
         if flow == 0 {
             return MAX_RETURN;
         }
@@ -91,27 +91,29 @@
     }
 
     /// Lets in what flowed since the last call, at `parts` of the limit.
-    pub(super) fn refill(&mut self, now: Monotonic, parts: u64) {
+    pub(super) fn refill(&mut self, now: Monotonic, share_ppm: u64) {
         let time = now.saturating_sub(self.updated);
-        let filled = self.level.saturating_add(self.limit.inflow(time, parts));
-        self.level = filled.min(self.limit.cap(parts));
+        let filled = self
+            .level
+            .saturating_add(self.limit.inflow(time, share_ppm));
+        self.level = filled.min(self.limit.cap(share_ppm));
         self.updated = now;
     }
 
     /// Takes tokens back.
-    pub(super) fn put_back(&mut self, tokens: u64, parts: u64) {
+    pub(super) fn put_back(&mut self, tokens: u64, share_ppm: u64) {
         let filled = self.level.saturating_add(micro(tokens));
-        self.level = filled.min(self.limit.cap(parts).max(self.level));
+        self.level = filled.min(self.limit.cap(share_ppm).max(self.level));
     }
 
     /// Returns whether less than half is left.
-    pub(super) fn is_scarce(&self, parts: u64) -> bool {
-        self.level < self.limit.cap(parts) / 2
+    pub(super) fn is_scarce(&self, share_ppm: u64) -> bool {
+        self.level < self.limit.cap(share_ppm) / 2
     }
 
     /// Returns whether no more flows in.
-    pub(super) fn is_full(&self, parts: u64) -> bool {
-        self.level >= self.limit.cap(parts)
+    pub(super) fn is_full(&self, share_ppm: u64) -> bool {
+        self.level >= self.limit.cap(share_ppm)
     }
 
     /// Takes `tokens` if all of them are there.
@@ -124,11 +126,11 @@
     }
 
     /// Takes the need and a part of what is left beyond it, or nothing.
-    pub(super) fn take(&mut self, need: u64, want: u64, parts: u64) -> Result<u64, Duration> {
-        let threshold = micro(need).min(self.limit.cap(parts));
-        if parts == 0 || self.level < threshold {
+    pub(super) fn take(&mut self, need: u64, want: u64, share_ppm: u64) -> Result<u64, Duration> {
+        let threshold = micro(need).min(self.limit.cap(share_ppm));
+        if share_ppm == 0 || self.level < threshold {
             let missing = threshold.saturating_sub(self.level);
-            return Err(self.limit.time(missing, parts).max(MIN_RETURN));
+            return Err(self.limit.time(missing, share_ppm).max(MIN_RETURN));
         }
         let left = (self.level - micro(need)).max(0) / MICRO / EXTRA_PART;
         let extra = want.saturating_sub(need).min(left.unsigned_abs());
--- a/crates/limits/src/lease/home.rs
+++ b/crates/limits/src/lease/home.rs
@@ -26,7 +26,7 @@
     accounts: BTreeMap<WorkspaceId, Account>,
     /// Last ask of each entry, so that a doubled one is not taken twice.
     last: BTreeMap<InstanceId, (Incarnation, u64)>,
-    parts: u64,
+    share_ppm: u64,
     epoch: u64,
 }
 
@@ -38,7 +38,7 @@
             settings,
             accounts: BTreeMap::new(),
             last: BTreeMap::new(),
-            parts: 0,
+            share_ppm: 0,
             epoch: 0,
         }
     }
@@ -47,18 +47,19 @@
     /// longer this home's. To be called after each tick of the view.
     pub fn tick(&mut self, now: Monotonic, view: &View) {
         let granted = reserve::beyond(view.share());
-        let parts = self.parts.min(granted);
+        let share_ppm = self.share_ppm.min(granted);
         for account in self.accounts.values_mut() {
-            account.refill(now, parts);
+            account.refill(now, share_ppm);
         }
-        self.parts = granted;
+        self.share_ppm = granted;
         if self.epoch != view.epoch() {
             self.epoch = view.epoch();
             self.accounts.retain(|workspace, _| view.is_home(workspace));
             self.last.retain(|entry, _| view.knows(entry));
         }
         if self.accounts.len() > MAX_ACCOUNTS / 2 {
-            self.accounts.retain(|_, account| !account.is_full(parts));
+            self.accounts
+                .retain(|_, account| !account.is_full(share_ppm));
         }
     }
 
@@ -125,21 +126,21 @@
         };
         let max_need = self.settings.max_need;
         let hold = view.hold();
-        let parts = self.parts;
+        let share_ppm = self.share_ppm;
         let full = self.accounts.len() >= MAX_ACCOUNTS;
         let Some(account) = limit.and_then(|limit| self.account(now, view, want, limit, full))
         else {
             return (want.need > 0).then(|| grant(0, hold, true));
         };
-        account.put_back(want.returned, parts);
+        account.put_back(want.returned, share_ppm);
         if want.need == 0 {
             return None;
         }
         if want.need > max_need {
             return Some(grant(0, hold, true));
         }
-        match account.take(want.need, want.want, parts) {
-            Ok(tokens) => Some(grant(tokens, Duration::ZERO, account.is_scarce(parts))),
+        match account.take(want.need, want.want, share_ppm) {
+            Ok(tokens) => Some(grant(tokens, Duration::ZERO, account.is_scarce(share_ppm))),
             Err(retry_after) => Some(grant(0, retry_after, true)),
         }
     }
@@ -157,7 +158,7 @@
                 return None;
             }
             let mut account = Account::new(limit, view.steady_since());
-            account.refill(now, self.parts);
+            account.refill(now, self.share_ppm);
             self.accounts.insert(want.workspace.clone(), account);
         }
         let account = self.accounts.get_mut(&want.workspace)?;
--- a/crates/limits/src/lease/reserve.rs
+++ b/crates/limits/src/lease/reserve.rs
@@ -22,15 +22,15 @@
 const RESERVE_DIVISOR: u64 = 16;
 
 /// Returns the part of limits that a home may grant of the `parts` that it sees.
-pub(super) const fn beyond(parts: u64) -> u64 {
-    parts - parts / RESERVE_DIVISOR
+pub(super) const fn beyond(share_ppm: u64) -> u64 {
+    share_ppm - share_ppm / RESERVE_DIVISOR
 }
 
 /// An entry's own part of all limits.
 #[derive(Clone, Debug)]
 pub struct Reserve {
     share: Share,
-    parts: u64,
+    share_ppm: u64,
     /// Since when the part has stood.
     steady_since: Monotonic,
     accounts: BTreeMap<WorkspaceId, Account>,
@@ -43,7 +43,7 @@
     pub fn new(now: Monotonic, settings: &Settings) -> Reserve {
         Reserve {
             share: Share::new(now, settings.hold),
-            parts: 0,
+            share_ppm: 0,
             steady_since: now,
             accounts: BTreeMap::new(),
         }
@@ -58,15 +58,15 @@
     /// Lets holds end.
     pub fn tick(&mut self, now: Monotonic) {
         self.share.expire(now);
-        let parts = self.share.parts() / RESERVE_DIVISOR;
-        if parts == self.parts {
+        let share_ppm = self.share.ppm() / RESERVE_DIVISOR;
+        if share_ppm == self.share_ppm {
             return;
         }
-        let least = parts.min(self.parts);
+        let least = share_ppm.min(self.share_ppm);
         for account in self.accounts.values_mut() {
             account.refill(now, least);
         }
-        self.parts = parts;
+        self.share_ppm = share_ppm;
         self.steady_since = now;
     }
 
@@ -79,11 +79,11 @@
         tokens: u64,
     ) -> bool {
         self.tick(now);
-        let parts = self.parts;
+        let share_ppm = self.share_ppm;
         if self.accounts.len() >= MAX_ACCOUNTS {
             self.accounts.retain(|_, account| {
-                account.refill(now, parts);
-                !account.is_full(parts)
+                account.refill(now, share_ppm);
+                !account.is_full(share_ppm)
             });
         }
         if self.accounts.len() >= MAX_ACCOUNTS && !self.accounts.contains_key(workspace) {
@@ -92,7 +92,7 @@
         let new = || Account::new(limit, self.steady_since);
         let account = self.accounts.entry(workspace.clone()).or_insert_with(new);
         account.set_limit(limit);
-        account.refill(now, parts);
+        account.refill(now, share_ppm);
         account.spend(tokens)
     }
 }
--- a/crates/limits/src/lease/share.rs
+++ b/crates/limits/src/lease/share.rs
@@ -6,7 +6,7 @@
 use auburnline_core::time::Monotonic;
 
 /// All of a limit, in parts.
-const WHOLE: u64 = 1_000_000;
+const PPM: u64 = 1_000_000;
 /// Most steps kept; older ones are joined to their least.
 const MAX_STEPS: usize = 64;
 
@@ -29,11 +29,11 @@
 
     /// Records the part that is visible from `now` on.
     pub(super) fn record(&mut self, now: Monotonic, visible: usize, published: usize) {
-        let parts = (visible.min(published) as u64 * WHOLE) / (published.max(1) as u64);
-        if self.steps.back().is_some_and(|&(_, last)| last == parts) {
+        let ppm = (visible.min(published) as u64 * PPM) / (published.max(1) as u64);
+        if self.steps.back().is_some_and(|&(_, last)| last == ppm) {
             return;
         }
-        self.steps.push_back((now, parts));
+        self.steps.push_back((now, ppm));
         if self.steps.len() > MAX_STEPS {
             self.join_oldest();
         }
@@ -47,9 +47,9 @@
     }
 
     /// Returns the least part within the hold before the last expiry.
-    pub(super) fn parts(&self) -> u64 {
-        let parts = self.steps.iter().map(|&(_, parts)| parts);
-        parts.min().unwrap_or(0)
+    pub(super) fn ppm(&self) -> u64 {
+        let ppm = self.steps.iter().map(|&(_, ppm)| ppm);
+        ppm.min().unwrap_or(0)
     }
 
     fn join_oldest(&mut self) {
--- a/crates/limits/src/lease/view.rs
+++ b/crates/limits/src/lease/view.rs
@@ -66,14 +66,14 @@
 
     /// Lets holds end. A view must be ticked before it is asked.
     pub fn tick(&mut self, now: Monotonic) {
-        let before = (self.seen.len(), self.share.parts());
+        let before = (self.seen.len(), self.share.ppm());
         let hold = self.hold;
         self.seen.retain(|_, seen| match *seen {
             Seen::Live => true,
             Seen::GoneSince(since) => now < since + hold,
         });
         self.share.expire(now);
-        if before != (self.seen.len(), self.share.parts()) {
+        if before != (self.seen.len(), self.share.ppm()) {
             self.epoch += 1;
             self.steady_since = now;
         }
@@ -109,7 +109,7 @@
     /// Returns the part of limits that this entry may grant, in millionths.
     #[must_use]
     pub fn share(&self) -> u64 {
-        self.share.parts()
+        self.share.ppm()
     }
 
     /// Returns since when neither the homes nor the share let this entry grant more.
