--- a/crates/limits/src/lease/home.rs
+++ b/crates/limits/src/lease/home.rs
@@ -46,7 +46,7 @@
     /// Follows a view that was ticked or changed: settles all buckets and drops those that are no
     /// longer this home's. To be called after each tick of the view.
     pub fn tick(&mut self, now: Monotonic, view: &View) {
-        let granted = reserve::beyond(view.share());
+        let granted = reserve::grantable(view.share());
         let share_ppm = self.share_ppm.min(granted);
         for account in self.accounts.values_mut() {
             account.refill(now, share_ppm);
--- a/crates/limits/src/lease/reserve.rs
+++ b/crates/limits/src/lease/reserve.rs
@@ -22,7 +22,7 @@
 const RESERVE_DIVISOR: u64 = 16;
 
 /// Returns the part of limits that a home may grant of the `parts` that it sees.
-pub(super) const fn beyond(share_ppm: u64) -> u64 {
+pub(super) const fn grantable(share_ppm: u64) -> u64 {
     share_ppm - share_ppm / RESERVE_DIVISOR
 }
 
