--- a/crates/limits/src/bucket.rs
+++ b/crates/limits/src/bucket.rs
@@ -5,7 +5,7 @@
 //! may wait one round trip for a grant; else it is refused at once. What is on hand and won't be
 //! used before it ends goes back to the home, if the home has little left.
 
-mod piece;
+mod leases;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use auburnline_core::id::WorkspaceId;
 use auburnline_core::time::Monotonic;
 
-use self::piece::Bucket;
+use self::leases::Bucket;
 use crate::lease::Ask;
 use crate::lease::Grants;
 use crate::lease::Settings;
--- a/crates/limits/src/bucket/piece.rs
+++ b/crates/limits/src/bucket/leases.rs
@@ -9,7 +9,7 @@
 use crate::lease::View;
 
 /// Most pieces kept; beyond it the first to end gets the tokens of the next.
-const MAX_PIECES: usize = 16;
+const MAX_LEASES: usize = 16;
 /// Demand in tokens a second below which a workspace counts as idle.
 const IDLE: f64 = 1.0;
 /// Time without requests after which a workspace counts as idle.
@@ -23,7 +23,7 @@
 
 /// Tokens that may be spent until an instant.
 #[derive(Clone, Copy, Debug)]
-struct Piece {
+struct Lease {
     until: Monotonic,
     tokens: u64,
 }
@@ -38,8 +38,8 @@
 }
 
 impl Demand {
-    pub(super) fn record(&mut self, now: Monotonic, tokens: u64, lease: Duration) {
-        self.rate = self.rate(now, lease) + to_float(tokens) / lease.as_secs_f64();
+    pub(super) fn record(&mut self, now: Monotonic, tokens: u64, lease_time: Duration) {
+        self.rate = self.rate(now, lease_time) + to_float(tokens) / lease_time.as_secs_f64();
         self.updated = now;
         self.cost += (to_float(tokens) - self.cost) / COST_PART;
     }
@@ -49,14 +49,14 @@
         to_tokens(self.cost)
     }
 
-    fn rate(&self, now: Monotonic, lease: Duration) -> f64 {
+    fn rate(&self, now: Monotonic, lease_time: Duration) -> f64 {
         let age = now.saturating_sub(self.updated).as_secs_f64();
-        self.rate * (-age / lease.as_secs_f64()).exp()
+        self.rate * (-age / lease_time.as_secs_f64()).exp()
     }
 
     /// Tokens asked for in `time`.
-    fn within(&self, now: Monotonic, time: Duration, lease: Duration) -> u64 {
-        to_tokens(self.rate(now, lease) * time.as_secs_f64())
+    fn within(&self, now: Monotonic, time: Duration, lease_time: Duration) -> u64 {
+        to_tokens(self.rate(now, lease_time) * time.as_secs_f64())
     }
 }
 
@@ -65,7 +65,7 @@
 pub(super) struct Bucket {
     pub(super) demand: Demand,
     /// First to end first.
-    pieces: Vec<Piece>,
+    leases: Vec<Lease>,
     /// Largest and sum of the pending requests not yet asked for.
     need: u64,
     pending: u64,
@@ -88,7 +88,7 @@
                 cost: 0.0,
                 updated: now,
             },
-            pieces: Vec::new(),
+            leases: Vec::new(),
             need: 0,
             pending: 0,
             asked: None,
@@ -101,8 +101,8 @@
 
     /// Tokens that can be spent now.
     pub(super) fn on_hand(&self, now: Monotonic) -> u64 {
-        let live = self.pieces.iter().filter(|piece| now < piece.until);
-        live.map(|piece| piece.tokens).sum()
+        let live = self.leases.iter().filter(|lease| now < lease.until);
+        live.map(|lease| lease.tokens).sum()
     }
 
     /// Spends `tokens` if there are so many.
@@ -121,11 +121,11 @@
         if until <= now {
             return;
         }
-        let at = self.pieces.partition_point(|piece| piece.until <= until);
-        self.pieces.insert(at, Piece { until, tokens });
-        if self.pieces.len() > MAX_PIECES {
-            let next = self.pieces.remove(1);
-            self.pieces[0].tokens += next.tokens;
+        let at = self.leases.partition_point(|lease| lease.until <= until);
+        self.leases.insert(at, Lease { until, tokens });
+        if self.leases.len() > MAX_LEASES {
+            let next = self.leases.remove(1);
+            self.leases[0].tokens += next.tokens;
         }
     }
 
@@ -139,7 +139,7 @@
     pub(super) fn due(
         &mut self,
         now: Monotonic,
-        lease: Duration,
+        lease_time: Duration,
         patience: Duration,
     ) -> Option<(u64, u64, u64)> {
         self.expire(now);
@@ -153,7 +153,7 @@
             return None;
         }
         let on_hand = self.on_hand(now);
-        let ahead = self.ahead(now, lease);
+        let ahead = self.ahead(now, lease_time);
         let low = on_hand < ahead / 2 && self.barred(now, self.demand.cost()).is_zero();
         if self.need > 0 || low {
             let want = (self.pending + ahead).saturating_sub(on_hand);
@@ -161,7 +161,7 @@
             let need = need.max(1);
             return Some((need, want.max(need), 0));
         }
-        let returned = self.surplus(now, lease);
+        let returned = self.surplus(now, lease_time);
         (self.scarce && returned > 0).then_some((0, 0, returned))
     }
 
@@ -221,8 +221,8 @@
     }
 
     /// Tokens to hold beyond what is pending; none if too few requests come to share a lease.
-    fn ahead(&self, now: Monotonic, lease: Duration) -> u64 {
-        let ahead = self.demand.within(now, lease / 2, lease);
+    fn ahead(&self, now: Monotonic, lease_time: Duration) -> u64 {
+        let ahead = self.demand.within(now, lease_time / 2, lease_time);
         if ahead < 2 * self.demand.cost() {
             return 0;
         }
@@ -230,24 +230,24 @@
     }
 
     /// Tokens that end soon and won't be used before.
-    fn surplus(&self, now: Monotonic, lease: Duration) -> u64 {
-        let soon = now + lease / 4;
-        let ending = self.pieces.iter().filter(|piece| piece.until <= soon);
-        let tokens: u64 = ending.map(|piece| piece.tokens).sum();
-        tokens.saturating_sub(self.ahead(now, lease) / 2)
+    fn surplus(&self, now: Monotonic, lease_time: Duration) -> u64 {
+        let soon = now + lease_time / 4;
+        let ending = self.leases.iter().filter(|lease| lease.until <= soon);
+        let tokens: u64 = ending.map(|lease| lease.tokens).sum();
+        tokens.saturating_sub(self.ahead(now, lease_time) / 2)
     }
 
     fn spend(&mut self, mut tokens: u64) {
-        for piece in &mut self.pieces {
-            let spent = tokens.min(piece.tokens);
-            piece.tokens -= spent;
+        for lease in &mut self.leases {
+            let spent = tokens.min(lease.tokens);
+            lease.tokens -= spent;
             tokens -= spent;
         }
-        self.pieces.retain(|piece| piece.tokens > 0);
+        self.leases.retain(|lease| lease.tokens > 0);
     }
 
     fn expire(&mut self, now: Monotonic) {
-        self.pieces.retain(|piece| now < piece.until);
+        self.leases.retain(|lease| now < lease.until);
     }
 }
 
