--- a/crates/limits/src/bucket.rs
+++ b/crates/limits/src/bucket.rs
@@ -107,7 +107,7 @@
         bucket.demand.record(now, tokens, lease);
         let verdict = self.resume(now, workspace, tokens, now);
         if let (Verdict::Pending(_), Some(bucket)) = (&verdict, self.buckets.get_mut(workspace)) {
-            bucket.need(tokens);
+            bucket.add_pending(tokens);
         }
         verdict
     }
@@ -129,13 +129,13 @@
                 tokens,
             });
         }
-        let barred = bucket.barred(now, tokens);
-        if barred > Duration::ZERO {
-            return refused(barred);
+        let denied_for = bucket.denied_for(now, tokens);
+        if denied_for > Duration::ZERO {
+            return refused(denied_for);
         }
         match (since + PATIENCE).checked_sub(now) {
             Some(left) if left > Duration::ZERO => {
-                bucket.still_needs(tokens);
+                bucket.require(tokens);
                 Verdict::Pending(left)
             }
             _ => refused(PATIENCE),
@@ -166,7 +166,7 @@
             let Some(home) = bucket.home(view, workspace) else {
                 continue;
             };
-            bucket.asked(now, need, returned);
+            bucket.record_ask(now, need, returned);
             wants.entry(home).or_default().push(Want {
                 workspace: workspace.clone(),
                 need,
@@ -192,11 +192,11 @@
             let Some(bucket) = self.buckets.get_mut(&grant.workspace) else {
                 continue;
             };
-            let need = bucket.answered(grant.scarce);
+            let need = bucket.record_answer(grant.scarce);
             if grant.tokens > 0 {
                 bucket.put(now, grant.tokens, sent + grant.valid);
             } else {
-                bucket.bar(now + grant.retry_after, need);
+                bucket.deny(now + grant.retry_after, need);
             }
         }
     }
--- a/crates/limits/src/bucket/leases.rs
+++ b/crates/limits/src/bucket/leases.rs
@@ -70,9 +70,9 @@
     need: u64,
     pending: u64,
     /// When the last ask went out that has no answer, and its need.
-    asked: Option<(Monotonic, u64)>,
+    outstanding: Option<(Monotonic, u64)>,
     /// Until when the home can't grant so many tokens.
-    barred: (Monotonic, u64),
+    denied: (Monotonic, u64),
     /// Whether the home has little left.
     scarce: bool,
     /// When the last ask went out, or long ago.
@@ -91,8 +91,8 @@
             leases: Vec::new(),
             need: 0,
             pending: 0,
-            asked: None,
-            barred: (Duration::ZERO, 0),
+            outstanding: None,
+            denied: (Duration::ZERO, 0),
             scarce: false,
             last_ask: Duration::ZERO,
             home: None,
@@ -130,7 +130,7 @@
     }
 
     /// Notes a request that waits for a grant.
-    pub(super) fn need(&mut self, tokens: u64) {
+    pub(super) fn add_pending(&mut self, tokens: u64) {
         self.need = self.need.max(tokens);
         self.pending += tokens;
     }
@@ -143,18 +143,20 @@
         patience: Duration,
     ) -> Option<(u64, u64, u64)> {
         self.expire(now);
-        let waits = self.asked.is_some_and(|(sent, _)| now < sent + patience);
+        let waits = self
+            .outstanding
+            .is_some_and(|(sent, _)| now < sent + patience);
         if waits {
             return None;
         }
-        self.asked = None;
+        self.outstanding = None;
         let gap = if self.need > 0 { ASK_GAP } else { PREFETCH_GAP };
         if now < self.last_ask + gap {
             return None;
         }
         let on_hand = self.on_hand(now);
         let ahead = self.ahead(now, lease_time);
-        let low = on_hand < ahead / 2 && self.barred(now, self.demand.cost()).is_zero();
+        let low = on_hand < ahead / 2 && self.denied_for(now, self.demand.cost()).is_zero();
         if self.need > 0 || low {
             let want = (self.pending + ahead).saturating_sub(on_hand);
             let need = self.need.max(self.demand.cost()).saturating_sub(on_hand);
@@ -166,17 +168,17 @@
     }
 
     /// Notes a request that still waits after a grant.
-    pub(super) fn still_needs(&mut self, tokens: u64) {
-        if self.asked.is_none() {
+    pub(super) fn require(&mut self, tokens: u64) {
+        if self.outstanding.is_none() {
             self.need = self.need.max(tokens);
         }
     }
 
     /// Notes that a message went to the home.
-    pub(super) fn asked(&mut self, now: Monotonic, need: u64, returned: u64) {
+    pub(super) fn record_ask(&mut self, now: Monotonic, need: u64, returned: u64) {
         self.spend(returned);
         if need > 0 {
-            self.asked = Some((now, need));
+            self.outstanding = Some((now, need));
             self.last_ask = now;
             self.need = 0;
             self.pending = 0;
@@ -184,21 +186,21 @@
     }
 
     /// Notes that the home has answered; returns what was needed.
-    pub(super) fn answered(&mut self, scarce: bool) -> u64 {
+    pub(super) fn record_answer(&mut self, scarce: bool) -> u64 {
         self.scarce = scarce;
-        self.asked.take().map_or(0, |(_, need)| need)
+        self.outstanding.take().map_or(0, |(_, need)| need)
     }
 
     /// Notes that the home could not meet the last need until `until`.
-    pub(super) fn bar(&mut self, until: Monotonic, need: u64) {
-        self.barred = (until, need);
+    pub(super) fn deny(&mut self, until: Monotonic, need: u64) {
+        self.denied = (until, need);
         self.need = 0;
         self.pending = 0;
     }
 
     /// Time until the home can grant `tokens`, as far as it said.
-    pub(super) fn barred(&self, now: Monotonic, tokens: u64) -> Duration {
-        let (until, need) = self.barred;
+    pub(super) fn denied_for(&self, now: Monotonic, tokens: u64) -> Duration {
+        let (until, need) = self.denied;
         if tokens < need {
             return Duration::ZERO;
         }
@@ -217,7 +219,7 @@
     /// Whether nothing is held, wanted or awaited.
     pub(super) fn is_idle(&self, now: Monotonic) -> bool {
         let quiet = self.demand.rate < IDLE || self.demand.updated + QUIET < now;
-        self.on_hand(now) == 0 && self.need == 0 && self.asked.is_none() && quiet
+        self.on_hand(now) == 0 && self.need == 0 && self.outstanding.is_none() && quiet
     }
 
     /// Tokens to hold beyond what is pending; none if too few requests come to share a lease.
