--- a/crates/limits/src/queue/mod.rs
+++ b/crates/limits/src/queue/mod.rs
@@ -19,7 +19,7 @@
 pub use outcome::Popped;
 pub use outcome::Pushed;
 pub use outcome::Reason;
-pub use outcome::Rival;
+pub use outcome::RunnerUp;
 pub use outcome::Shed;
 pub use outcome::Started;
 pub use settings::Builder;
@@ -40,7 +40,7 @@
 use self::predict::to_float;
 
 /// Runners-up that a decision names.
-const RIVALS: usize = 2;
+const MAX_RUNNERS_UP: usize = 2;
 /// Shortest time to come back that a refusal gives.
 const MIN_RETURN: Duration = Duration::from_millis(100);
 /// Longest time to come back that a refusal gives.
@@ -341,7 +341,7 @@
     }
 
     fn start(&mut self, now: Monotonic, key: K, tag: i64) -> Started<K> {
-        let runners_up = self.rivals();
+        let runners_up = self.runners_up();
         let item = &self.items[&key];
         let (workspace, tokens) = (item.workspace.clone(), item.tokens);
         self.unlink(&workspace);
--- a/crates/limits/src/queue/order.rs
+++ b/crates/limits/src/queue/order.rs
@@ -4,9 +4,9 @@
 use auburnline_core::time::Monotonic;
 
 use super::Item;
+use super::MAX_RUNNERS_UP;
 use super::Queue;
-use super::RIVALS;
-use super::Rival;
+use super::RunnerUp;
 use super::Waiting;
 use super::flow::Flow;
 use super::flow::Slice;
@@ -119,12 +119,12 @@
         key.clone()
     }
 
-    pub(super) fn rivals(&self) -> Vec<Rival> {
+    pub(super) fn runners_up(&self) -> Vec<RunnerUp> {
         self.order
             .iter()
             .skip(1)
-            .take(RIVALS)
-            .map(|(tag, workspace)| Rival {
+            .take(MAX_RUNNERS_UP)
+            .map(|(tag, workspace)| RunnerUp {
                 workspace: workspace.clone(),
                 tag: *tag,
             })
--- a/crates/limits/src/queue/outcome.rs
+++ b/crates/limits/src/queue/outcome.rs
@@ -78,7 +78,7 @@
 
 /// A workspace that was not chosen.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rival {
+pub struct RunnerUp {
     /// Workspace.
     pub workspace: WorkspaceId,
     /// Virtual time at which its head goes.
@@ -98,7 +98,7 @@
     /// Virtual time by which it was chosen, the least of all.
     pub tag: i64,
     /// Workspaces that come next.
-    pub runners_up: Vec<Rival>,
+    pub runners_up: Vec<RunnerUp>,
 }
 
 /// Answer to a pop.
