--- a/crates/limits/src/queue/flow.rs
+++ b/crates/limits/src/queue/flow.rs
@@ -20,9 +20,9 @@
 
 /// Place of a request in its flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Slice {
+pub(super) struct Position {
     /// Time of arrival plus the delay of its priority, so that old batch work passes new urgent.
-    pub(super) rank: Duration,
+    pub(super) effective_arrival: Duration,
     /// Order of arrival.
     pub(super) sequence: u64,
     /// Its priority.
@@ -34,7 +34,7 @@
 pub(super) struct Flow<K> {
     pub(super) weight: u32,
     virtual_time: i64,
-    waiting: BTreeMap<Slice, K>,
+    waiting: BTreeMap<Position, K>,
     tokens: [u64; CLASSES],
 }
 
@@ -61,14 +61,14 @@
         self.virtual_time = self.virtual_time.max(virtual_time);
     }
 
-    pub(super) fn push(&mut self, slice: Slice, key: K, tokens: u64) {
-        self.tokens[slice.priority as usize] += tokens;
-        self.waiting.insert(slice, key);
+    pub(super) fn push(&mut self, position: Position, key: K, tokens: u64) {
+        self.tokens[position.priority as usize] += tokens;
+        self.waiting.insert(position, key);
     }
 
-    pub(super) fn remove(&mut self, slice: Slice, tokens: u64) {
-        self.tokens[slice.priority as usize] -= tokens;
-        self.waiting.remove(&slice);
+    pub(super) fn remove(&mut self, position: Position, tokens: u64) {
+        self.tokens[position.priority as usize] -= tokens;
+        self.waiting.remove(&position);
     }
 
     /// Charges the flow for a request that starts.
@@ -87,7 +87,7 @@
         let head_start = self
             .waiting
             .first_key_value()
-            .map_or(0, |(slice, _)| settings.head_start(slice.priority));
+            .map_or(0, |(position, _)| settings.head_start(position.priority));
         self.virtual_time - virtual_tokens(head_start, 1)
     }
 
@@ -110,14 +110,14 @@
         virtual_tokens(self.tokens.iter().sum(), self.weight)
     }
 
-    pub(super) fn first(&self) -> (&Slice, &K) {
+    pub(super) fn first(&self) -> (&Position, &K) {
         self.waiting
             .first_key_value()
             .expect("only flows that wait are asked")
     }
 
     /// The request that goes last.
-    pub(super) fn last(&self) -> (&Slice, &K) {
+    pub(super) fn last(&self) -> (&Position, &K) {
         self.waiting
             .last_key_value()
             .expect("only flows that wait are asked")
--- a/crates/limits/src/queue/mod.rs
+++ b/crates/limits/src/queue/mod.rs
@@ -35,7 +35,7 @@
 use auburnline_core::time::Monotonic;
 
 use self::flow::Flow;
-use self::flow::Slice;
+use self::flow::Position;
 use self::pace::Pace;
 use self::predict::to_float;
 
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug)]
 struct Item {
     workspace: WorkspaceId,
-    slice: Slice,
+    position: Position,
     tokens: u64,
     deadline: Monotonic,
     since: Monotonic,
@@ -206,7 +206,7 @@
             let mut ahead = 0;
             for key in flow.keys() {
                 let item = &self.items[key];
-                let fluid = self.fluid(flow, ahead, item.tokens, item.slice.priority);
+                let fluid = self.fluid(flow, ahead, item.tokens, item.position.priority);
                 let wait = self.wait(fluid.min(to_float(kept_tokens)));
                 let patience = self.settings.patience;
                 let sure = wait.div_f64(patience);
@@ -325,9 +325,9 @@
             .get(&request.workspace)
             .map_or(0, Flow::normalized_backlog);
         let longest = &self.flows[&workspace];
-        let (slice, last) = longest.last();
+        let (position, last) = longest.last();
         let longer = own + flow::virtual_tokens(request.tokens, request.weight) < length;
-        let lower = workspace == request.workspace && slice.priority < request.priority;
+        let lower = workspace == request.workspace && position.priority < request.priority;
         if !longer && !lower {
             return Err(());
         }
--- a/crates/limits/src/queue/order.rs
+++ b/crates/limits/src/queue/order.rs
@@ -9,13 +9,13 @@
 use super::RunnerUp;
 use super::Waiting;
 use super::flow::Flow;
-use super::flow::Slice;
+use super::flow::Position;
 
 impl<K: Ord + Clone> Queue<K> {
     pub(super) fn insert(&mut self, now: Monotonic, request: Waiting<K>) {
         self.unlink(&request.workspace);
-        let slice = Slice {
-            rank: now + self.settings.delay(request.priority),
+        let position = Position {
+            effective_arrival: now + self.settings.delay(request.priority),
             sequence: self.sequence,
             priority: request.priority,
         };
@@ -29,13 +29,13 @@
             flow.join(virtual_time);
         }
         flow.weight = request.weight.max(1);
-        flow.push(slice, request.key.clone(), request.tokens);
+        flow.push(position, request.key.clone(), request.tokens);
         self.queued_tokens += request.tokens;
         self.items.insert(
             request.key,
             Item {
                 workspace: request.workspace.clone(),
-                slice,
+                position,
                 tokens: request.tokens,
                 deadline: request.deadline,
                 since: now,
@@ -49,7 +49,7 @@
         self.unlink(&item.workspace);
         self.queued_tokens -= item.tokens;
         if let Some(flow) = self.flows.get_mut(&item.workspace) {
-            flow.remove(item.slice, item.tokens);
+            flow.remove(item.position, item.tokens);
         }
         self.link(&item.workspace);
         self.forget_idle(&item.workspace);
