--- a/crates/limits/src/queue/mod.rs
+++ b/crates/limits/src/queue/mod.rs
@@ -7,10 +7,10 @@
 //! shed at once with a time to come back. What leaves the queue unstarted carries a [`NotStarted`],
 //! which only this module can make; what was popped can't be made into one.
 
+mod estimator;
 mod flow;
 mod order;
 mod outcome;
-mod pace;
 mod predict;
 mod settings;
 
@@ -34,9 +34,9 @@
 use auburnline_core::request::Priority;
 use auburnline_core::time::Monotonic;
 
+use self::estimator::Estimator;
 use self::flow::Flow;
 use self::flow::Position;
-use self::pace::Pace;
 use self::predict::to_float;
 
 /// Runners-up that a decision names.
@@ -94,7 +94,7 @@
     served: BTreeSet<(i64, WorkspaceId)>,
     /// Flows that wait, by tokens over weight.
     longest: BTreeSet<(i64, WorkspaceId)>,
-    pace: Pace,
+    estimator: Estimator,
     last_finish: Monotonic,
     virtual_time: i64,
     sequence: u64,
@@ -108,7 +108,7 @@
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Queue {
-            pace: Pace::new(settings.pace),
+            estimator: Estimator::new(settings.token_time),
             settings,
             items: BTreeMap::new(),
             running: BTreeMap::new(),
@@ -179,9 +179,9 @@
         self.last_finish = now;
         let took = now.saturating_sub(running.since);
         if running.probe {
-            self.pace.restart_if_faster(took, running.tokens);
+            self.estimator.restart_if_faster(took, running.tokens);
         }
-        self.pace.record(took, running.tokens);
+        self.estimator.record(took, running.tokens);
         self.credit(&running.workspace, running.tokens.saturating_sub(tokens));
         true
     }
@@ -296,7 +296,7 @@
         if !self.is_late(now, wait, request.tokens, request.deadline) {
             return None;
         }
-        let end = now + wait + self.pace.service(request.tokens);
+        let end = now + wait + self.estimator.service_time(request.tokens);
         let excess = end.saturating_sub(request.deadline);
         let excess = excess.clamp(MIN_RETURN, MAX_RETURN);
         Some(shed(Kind::Overloaded, Reason::WouldMissDeadline, excess))
@@ -372,7 +372,7 @@
 
     fn shed(&mut self, now: Monotonic, key: &K, reason: Reason, wait: Duration) -> Shed<K> {
         let item = self.remove(key);
-        let end = now + wait + self.pace.service(item.tokens);
+        let end = now + wait + self.estimator.service_time(item.tokens);
         let excess = end.saturating_sub(item.deadline);
         let (kind, retry_after) = match reason {
             Reason::Draining => (Kind::Leaving, Duration::ZERO),
--- a/crates/limits/src/queue/predict.rs
+++ b/crates/limits/src/queue/predict.rs
@@ -31,7 +31,9 @@
         deadline: Monotonic,
     ) -> bool {
         let mostly_free = self.running.len() < self.settings.max_running / 4;
-        !mostly_free && !self.probes(now) && now + wait + self.pace.service(tokens) > deadline
+        !mostly_free
+            && !self.probes(now)
+            && now + wait + self.estimator.service_time(tokens) > deadline
     }
 
     /// Whether the upstream has been idle so long that a request may try how fast it is.
@@ -66,14 +68,14 @@
 
     /// Time until `ahead` queued tokens and half of the running ones have been served.
     pub(super) fn wait(&self, ahead: f64) -> Duration {
-        let places = self.settings.max_running;
-        let full = self.running.len() >= places;
+        let max_running = self.settings.max_running;
+        let full = self.running.len() >= max_running;
         let residual = if full {
             to_float(self.running_tokens) / 2.0
         } else {
             0.0
         };
-        self.pace.spread(ahead + residual, places)
+        self.estimator.drain_time(ahead + residual, max_running)
     }
 }
 
--- a/crates/limits/src/queue/settings.rs
+++ b/crates/limits/src/queue/settings.rs
@@ -9,7 +9,7 @@
 pub struct Settings {
     pub(super) max_running: usize,
     pub(super) max_queued: usize,
-    pub(super) pace: Duration,
+    pub(super) token_time: Duration,
     pub(super) patience: f64,
     pub(super) head_starts: [u64; 3],
     pub(super) delays: [Duration; 3],
@@ -22,7 +22,7 @@
         Builder(Settings {
             max_running: 32,
             max_queued: 1024,
-            pace: Duration::from_millis(2),
+            token_time: Duration::from_millis(2),
             patience: 1.0,
             head_starts: [0, 4_096, 16_384],
             delays: [
@@ -66,7 +66,7 @@
     /// First guess of a running request's time for each token charged.
     #[must_use]
     pub fn pace(mut self, time: Duration) -> Self {
-        self.0.pace = time;
+        self.0.token_time = time;
         self
     }
 
