--- a/crates/limits/src/queue/mod.rs
+++ b/crates/limits/src/queue/mod.rs
@@ -89,18 +89,18 @@
     running: BTreeMap<K, Running>,
     flows: BTreeMap<WorkspaceId, Flow<K>>,
     /// Flows that wait, by the virtual time at which their head goes.
-    order: BTreeSet<(i64, WorkspaceId)>,
+    by_tag: BTreeSet<(i64, WorkspaceId)>,
     /// Flows that wait, by their own virtual time.
-    served: BTreeSet<(i64, WorkspaceId)>,
+    by_virtual_time: BTreeSet<(i64, WorkspaceId)>,
     /// Flows that wait, by tokens over weight.
-    longest: BTreeSet<(i64, WorkspaceId)>,
+    by_backlog: BTreeSet<(i64, WorkspaceId)>,
     estimator: Estimator,
     last_finish: Monotonic,
     virtual_time: i64,
     sequence: u64,
     queued_tokens: u64,
     running_tokens: u64,
-    weights: u64,
+    total_weight: u64,
 }
 
 impl<K: Ord + Clone> Queue<K> {
@@ -113,15 +113,15 @@
             items: BTreeMap::new(),
             running: BTreeMap::new(),
             flows: BTreeMap::new(),
-            order: BTreeSet::new(),
-            served: BTreeSet::new(),
-            longest: BTreeSet::new(),
+            by_tag: BTreeSet::new(),
+            by_virtual_time: BTreeSet::new(),
+            by_backlog: BTreeSet::new(),
             last_finish: Monotonic::ZERO,
             virtual_time: 0,
             sequence: 0,
             queued_tokens: 0,
             running_tokens: 0,
-            weights: 0,
+            total_weight: 0,
         }
     }
 
@@ -148,7 +148,7 @@
     pub fn pop(&mut self, now: Monotonic) -> Popped<K> {
         let mut shed = Vec::new();
         while self.running.len() < self.settings.max_running {
-            let Some((tag, workspace)) = self.order.first().cloned() else {
+            let Some((tag, workspace)) = self.by_tag.first().cloned() else {
                 break;
             };
             let key = self.head(&workspace);
@@ -267,9 +267,13 @@
         let waiting = self.flows.values().filter(|flow| !flow.is_empty());
         assert_eq!(queued, self.queued_tokens, "queued tokens");
         assert_eq!(running, self.running_tokens, "running tokens");
-        assert_eq!(waiting.count(), self.order.len(), "flows in order");
-        assert_eq!(self.order.len(), self.served.len(), "flows by service");
-        assert_eq!(self.order.len(), self.longest.len(), "flows by length");
+        assert_eq!(waiting.count(), self.by_tag.len(), "flows in order");
+        assert_eq!(
+            self.by_tag.len(),
+            self.by_virtual_time.len(),
+            "flows by service"
+        );
+        assert_eq!(self.by_tag.len(), self.by_backlog.len(), "flows by length");
         assert!(self.items.len() <= self.settings.max_queued, "queue bound");
         assert!(
             self.running.len() <= self.settings.max_running,
@@ -317,7 +321,7 @@
         if self.items.len() < self.settings.max_queued {
             return Ok(None);
         }
-        let Some((length, workspace)) = self.longest.last().cloned() else {
+        let Some((length, workspace)) = self.by_backlog.last().cloned() else {
             return Err(());
         };
         let own = self
--- a/crates/limits/src/queue/order.rs
+++ b/crates/limits/src/queue/order.rs
@@ -75,25 +75,26 @@
             return;
         }
         let tag = flow.tag(&self.settings);
-        self.order.remove(&(tag, workspace.clone()));
-        self.served
+        self.by_tag.remove(&(tag, workspace.clone()));
+        self.by_virtual_time
             .remove(&(flow.virtual_time(), workspace.clone()));
-        self.longest
+        self.by_backlog
             .remove(&(flow.normalized_backlog(), workspace.clone()));
-        self.weights -= u64::from(flow.weight);
+        self.total_weight -= u64::from(flow.weight);
     }
 
     /// Puts a flow back into the orders, and moves the virtual time on.
     pub(super) fn link(&mut self, workspace: &WorkspaceId) {
         if let Some(flow) = self.flows.get(workspace).filter(|flow| !flow.is_empty()) {
             let tag = flow.tag(&self.settings);
-            self.order.insert((tag, workspace.clone()));
-            self.served.insert((flow.virtual_time(), workspace.clone()));
-            self.longest
+            self.by_tag.insert((tag, workspace.clone()));
+            self.by_virtual_time
+                .insert((flow.virtual_time(), workspace.clone()));
+            self.by_backlog
                 .insert((flow.normalized_backlog(), workspace.clone()));
-            self.weights += u64::from(flow.weight);
+            self.total_weight += u64::from(flow.weight);
         }
-        if let Some(&(least, _)) = self.served.first() {
+        if let Some(&(least, _)) = self.by_virtual_time.first() {
             self.virtual_time = self.virtual_time.max(least);
         }
     }
@@ -120,7 +121,7 @@
     }
 
     pub(super) fn runners_up(&self) -> Vec<RunnerUp> {
-        self.order
+        self.by_tag
             .iter()
             .skip(1)
             .take(MAX_RUNNERS_UP)
--- a/crates/limits/src/queue/predict.rs
+++ b/crates/limits/src/queue/predict.rs
@@ -60,10 +60,10 @@
     pub(super) fn fluid(&self, flow: &Flow<K>, ahead: u64, tokens: u64, class: Priority) -> f64 {
         let weight = f64::from(flow.weight);
         let joining = if flow.is_empty() { weight } else { 0.0 };
-        let weights = to_float(self.weights) + joining;
+        let total_weight = to_float(self.total_weight) + joining;
         let own = (to_float(ahead) + to_float(tokens) / 2.0) / weight;
         let head_start = to_float(self.settings.head_start(class));
-        (flow.lead(self.virtual_time) + own - head_start).max(0.0) * weights
+        (flow.lead(self.virtual_time) + own - head_start).max(0.0) * total_weight
     }
 
     /// Time until `ahead` queued tokens and half of the running ones have been served.
