--- a/crates/limits/src/queue/mod.rs
+++ b/crates/limits/src/queue/mod.rs
@@ -152,7 +152,7 @@
                 break;
             };
             let key = self.head(&workspace);
-            if self.too_late(now, &self.items[&key]) {
+            if self.is_too_late(now, &self.items[&key]) {
                 shed.push(self.shed(now, &key, Reason::WouldMissDeadline, Duration::ZERO));
                 continue;
             }
@@ -207,7 +207,7 @@
             for key in flow.keys() {
                 let item = &self.items[key];
                 let fluid = self.fluid(flow, ahead, item.tokens, item.position.priority);
-                let wait = self.wait(fluid.min(to_float(kept_tokens)));
+                let wait = self.predict_wait(fluid.min(to_float(kept_tokens)));
                 let patience = self.settings.patience;
                 let sure = wait.div_f64(patience);
                 if self.is_late(now, sure, item.tokens, item.deadline) {
@@ -311,8 +311,10 @@
             proof: NotStarted::new(key),
             kind: Kind::Overloaded,
             reason: Reason::QueueFull,
-            predicted_wait: self.wait(to_float(self.queued_tokens)),
-            retry_after: self.wait(to_float(tokens)).clamp(MIN_RETURN, MAX_RETURN),
+            predicted_wait: self.predict_wait(to_float(self.queued_tokens)),
+            retry_after: self
+                .predict_wait(to_float(tokens))
+                .clamp(MIN_RETURN, MAX_RETURN),
         }
     }
 
@@ -355,7 +357,7 @@
         self.link(&workspace);
         let item = self.remove(&key);
         self.running_tokens += tokens;
-        let probe = self.probes(now);
+        let probe = self.may_probe(now);
         self.running.insert(
             key.clone(),
             Running {
--- a/crates/limits/src/queue/predict.rs
+++ b/crates/limits/src/queue/predict.rs
@@ -15,7 +15,7 @@
 
 impl<K: Ord + Clone> Queue<K> {
     /// Whether a request would miss its deadline even if it started now.
-    pub(super) fn too_late(&self, now: Monotonic, item: &Item) -> bool {
+    pub(super) fn is_too_late(&self, now: Monotonic, item: &Item) -> bool {
         item.deadline <= now || self.is_late(now, Duration::ZERO, item.tokens, item.deadline)
     }
 
@@ -32,12 +32,12 @@
     ) -> bool {
         let mostly_free = self.running.len() < self.settings.max_running / 4;
         !mostly_free
-            && !self.probes(now)
+            && !self.may_probe(now)
             && now + wait + self.estimator.service_time(tokens) > deadline
     }
 
     /// Whether the upstream has been idle so long that a request may try how fast it is.
-    pub(super) fn probes(&self, now: Monotonic) -> bool {
+    pub(super) fn may_probe(&self, now: Monotonic) -> bool {
         self.running.is_empty() && now >= self.last_finish + PROBE_AFTER
     }
 
@@ -50,7 +50,7 @@
         let flow = self.flows.get(&request.workspace).unwrap_or(&fresh);
         let ahead = flow.ahead_of(request.priority);
         let fluid = self.fluid(flow, ahead, request.tokens, request.priority);
-        self.wait(fluid)
+        self.predict_wait(fluid)
     }
 
     /// Tokens that all flows are served before a request with `ahead` tokens before it in `flow`.
@@ -67,7 +67,7 @@
     }
 
     /// Time until `ahead` queued tokens and half of the running ones have been served.
-    pub(super) fn wait(&self, ahead: f64) -> Duration {
+    pub(super) fn predict_wait(&self, ahead: f64) -> Duration {
         let max_running = self.settings.max_running;
         let full = self.running.len() >= max_running;
         let residual = if full {
