--- a/crates/limits/examples/table/main.rs
+++ b/crates/limits/examples/table/main.rs
@@ -144,21 +144,21 @@
     );
     for load in [1.0, 2.0, 10.0] {
         overload_row(csv, load, Order::Plain, 1.0, seed);
-        for patience in [1.0, 1.5, 2.0, 1e6] {
-            overload_row(csv, load, Order::Fair, patience, seed);
+        for wait_tolerance in [1.0, 1.5, 2.0, 1e6] {
+            overload_row(csv, load, Order::Fair, wait_tolerance, seed);
         }
     }
 }
 
-fn overload_row(csv: bool, load: f64, order: Order, patience: f64, seed: u64) {
-    let outcome = overload::run(seed, order, load, patience);
+fn overload_row(csv: bool, load: f64, order: Order, wait_tolerance: f64, seed: u64) {
+    let outcome = overload::run(seed, order, load, wait_tolerance);
     let percent = |share: f64| format!("{:.1}", share * 100.0);
     print(
         csv,
         &[
             format!("{load}x"),
             format!("{order:?}"),
-            format!("{patience}"),
+            format!("{wait_tolerance}"),
             percent(outcome.useful),
             percent(outcome.late),
             percent(outcome.least),
--- a/crates/limits/examples/table/overload.rs
+++ b/crates/limits/examples/table/overload.rs
@@ -139,11 +139,11 @@
 }
 
 /// Runs one upstream at `load` times what it can do.
-pub(crate) fn run(seed: u64, order: Order, load: f64, patience: f64) -> Outcome {
+pub(crate) fn run(seed: u64, order: Order, load: f64, wait_tolerance: f64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let settings = Settings::builder()
         .max_running(PLACES)
-        .patience(patience)
+        .wait_tolerance(wait_tolerance)
         .build();
     let mut upstream = Upstream {
         order,
--- a/crates/limits/src/queue/mod.rs
+++ b/crates/limits/src/queue/mod.rs
@@ -208,9 +208,9 @@
                 let item = &self.items[key];
                 let fluid = self.fluid(flow, ahead, item.tokens, item.position.priority);
                 let wait = self.predict_wait(fluid.min(to_float(kept_tokens)));
-                let patience = self.settings.patience;
-                let sure = wait.div_f64(patience);
-                if self.is_late(now, sure, item.tokens, item.deadline) {
+                let wait_tolerance = self.settings.wait_tolerance;
+                let discounted = wait.div_f64(wait_tolerance);
+                if self.is_late(now, discounted, item.tokens, item.deadline) {
                     kept_tokens -= item.tokens;
                     doomed.push((key.clone(), wait));
                 } else {
--- a/crates/limits/src/queue/settings.rs
+++ b/crates/limits/src/queue/settings.rs
@@ -10,7 +10,7 @@
     pub(super) max_running: usize,
     pub(super) max_queued: usize,
     pub(super) token_time: Duration,
-    pub(super) patience: f64,
+    pub(super) wait_tolerance: f64,
     pub(super) head_starts: [u64; 3],
     pub(super) delays: [Duration; 3],
 }
@@ -23,7 +23,7 @@
             max_running: 32,
             max_queued: 1024,
             token_time: Duration::from_millis(2),
-            patience: 1.0,
+            wait_tolerance: 1.0,
             head_starts: [0, 4_096, 16_384],
             delays: [
                 Duration::from_secs(8),
@@ -72,8 +72,8 @@
 
     /// By how much a waiting request's predicted wait may be overrated before it is shed, from 1.
     #[must_use]
-    pub fn patience(mut self, factor: f64) -> Self {
-        self.0.patience = factor.max(1.0);
+    pub fn wait_tolerance(mut self, factor: f64) -> Self {
+        self.0.wait_tolerance = factor.max(1.0);
         self
     }
 
