--- a/crates/limits/examples/table/main.rs
+++ b/crates/limits/examples/table/main.rs
@@ -20,9 +20,9 @@
 
 use auburnline_limits::lease::Settings;
 use overload::Order;
+use world::Fault;
 use world::Plan;
 use world::Policy;
-use world::Trouble;
 use world::World;
 
 /// Prints one row, aligned or separated by commas.
@@ -40,7 +40,7 @@
     print(csv, &cells);
 }
 
-fn fleet(seed: u64, policy: Policy, trouble: Trouble, skew: f64) -> Plan {
+fn fleet(seed: u64, policy: Policy, fault: Fault, skew: f64) -> Plan {
     Plan {
         seed,
         entries: 40,
@@ -48,12 +48,12 @@
         seconds: 70,
         requests_per_second: 800.0,
         policy,
-        trouble,
+        fault,
         skew,
-        spread: usize::MAX,
+        entries_per_workspace: usize::MAX,
         settings: Settings::default(),
-        lossy: 1,
-        blind: false,
+        message_fault_percent: 1,
+        ignores_published: false,
         audit: policy == Policy::Leases,
     }
 }
@@ -76,18 +76,13 @@
     );
     let callers = [("even", 0.0), ("skewed", 0.9)];
     for (callers, skew) in callers.into_iter().filter(|_| !full_only) {
-        for trouble in [
-            Trouble::Calm,
-            Trouble::Churn,
-            Trouble::Partition,
-            Trouble::Both,
-        ] {
+        for fault in [Fault::Calm, Fault::Churn, Fault::Partition, Fault::Both] {
             for policy in [Policy::Leases, Policy::Split, Policy::Alone] {
-                row(csv, callers, fleet(seed, policy, trouble, skew));
+                row(csv, callers, fleet(seed, policy, fault, skew));
             }
         }
     }
-    let one_sided = fleet(seed, Policy::Leases, Trouble::OneSided, 0.0);
+    let one_sided = fleet(seed, Policy::Leases, Fault::OneSided, 0.0);
     if !full_only {
         row(csv, "even", one_sided);
     }
@@ -97,26 +92,33 @@
         seconds: 40,
         requests_per_second: 4_000.0,
         audit: false,
-        ..fleet(seed, Policy::Leases, Trouble::Calm, 0.5)
+        ..fleet(seed, Policy::Leases, Fault::Calm, 0.5)
     };
     row(csv, "full size", full.clone());
-    row(csv, "full, 8 each", Plan { spread: 8, ..full });
+    row(
+        csv,
+        "full, 8 each",
+        Plan {
+            entries_per_workspace: 8,
+            ..full
+        },
+    );
 }
 
 fn row(csv: bool, callers: &str, plan: Plan) {
-    let (trouble, policy) = (plan.trouble, plan.policy);
+    let (fault, policy) = (plan.fault, plan.policy);
     let outcome = World::new(plan).run();
     print(
         csv,
         &[
             callers.to_string(),
-            format!("{trouble:?}"),
+            format!("{fault:?}"),
             format!("{policy:?}"),
             format!("{:.2}", outcome.overshoot),
             format!("{:.0}", outcome.beyond_bound),
             format!(
                 "{:.3}",
-                f64::from(u32::try_from(outcome.parts).unwrap_or(u32::MAX)) / 1e6
+                f64::from(u32::try_from(outcome.max_share_ppm).unwrap_or(u32::MAX)) / 1e6
             ),
             format!("{:.1}", outcome.unused * 100.0),
             format!("{:.1}", outcome.wrongly_refused * 100.0),
--- a/crates/limits/examples/table/world.rs
+++ b/crates/limits/examples/table/world.rs
@@ -45,7 +45,7 @@
 
 /// What goes wrong in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Trouble {
+pub(crate) enum Fault {
     /// Nothing.
     Calm,
     /// An entry is killed or comes back every four seconds.
@@ -67,16 +67,16 @@
     pub(crate) seconds: u64,
     pub(crate) requests_per_second: f64,
     pub(crate) policy: Policy,
-    pub(crate) trouble: Trouble,
+    pub(crate) fault: Fault,
     /// Share of a workspace's requests that come through one entry.
     pub(crate) skew: f64,
     /// Entries that a workspace's callers use, from its favourite on.
-    pub(crate) spread: usize,
+    pub(crate) entries_per_workspace: usize,
     pub(crate) settings: Settings,
     /// Messages lost and doubled, of a hundred.
-    pub(crate) lossy: u32,
+    pub(crate) message_fault_percent: u32,
     /// Planted fault: a home takes what it sees for all that is published.
-    pub(crate) blind: bool,
+    pub(crate) ignores_published: bool,
     /// Whether the sum of parts is looked at.
     pub(crate) audit: bool,
 }
@@ -91,7 +91,7 @@
     /// Worst sum of all homes' grants beyond the bucket, in tokens.
     pub(crate) beyond_grants: f64,
     /// Worst sum of the parts of one limit that homes may grant at one instant, in millionths.
-    pub(crate) parts: u64,
+    pub(crate) max_share_ppm: u64,
     /// Share of the usable limit that was not used by workspaces that asked for more.
     pub(crate) unused: f64,
     /// Share of requests refused to workspaces that asked for less than their limit.
@@ -151,7 +151,7 @@
     posted: u64,
     credits: BTreeMap<(Duration, u64), (usize, usize, Paid, u64)>,
     published: BTreeSet<InstanceId>,
-    parts: u64,
+    max_share_ppm: u64,
     one_sided: bool,
 }
 
@@ -185,7 +185,7 @@
             posted: 0,
             credits: BTreeMap::new(),
             published,
-            parts: 0,
+            max_share_ppm: 0,
             one_sided: false,
         };
         for index in 0..world.nodes.len() {
@@ -219,21 +219,21 @@
         for truth in &self.truths {
             let up = self.nodes.iter().filter(|node| node.up);
             let homes = up.filter(|node| node.view.share() > 0 && node.view.is_home(&truth.name));
-            let parts = homes.map(|node| node.view.share()).sum();
-            self.parts = self.parts.max(parts);
+            let share_ppm = homes.map(|node| node.view.share()).sum();
+            self.max_share_ppm = self.max_share_ppm.max(share_ppm);
         }
     }
 
     fn disturb(&mut self) {
         let tick = self.now.as_millis() / STEP.as_millis();
-        let churns = matches!(self.plan.trouble, Trouble::Churn | Trouble::Both);
-        let splits = matches!(self.plan.trouble, Trouble::Partition | Trouble::Both);
+        let churns = matches!(self.plan.fault, Fault::Churn | Fault::Both);
+        let splits = matches!(self.plan.fault, Fault::Partition | Fault::Both);
         let mut changed = false;
         if churns && tick.is_multiple_of(400) {
             self.restart();
             changed = true;
         }
-        let one_sided = self.plan.trouble == Trouble::OneSided;
+        let one_sided = self.plan.fault == Fault::OneSided;
         if one_sided && (tick == 2_000 || tick == 4_000) {
             self.one_sided = tick == 2_000;
             changed = true;
@@ -346,10 +346,10 @@
 
     fn post(&mut self, from: usize, to: usize, body: Body) {
         self.nodes[from].bytes += body.bytes();
-        if self.rng.random_range(0..100) < self.plan.lossy {
+        if self.rng.random_range(0..100) < self.plan.message_fault_percent {
             return;
         }
-        let twice = self.rng.random_range(0..100) < self.plan.lossy;
+        let twice = self.rng.random_range(0..100) < self.plan.message_fault_percent;
         if twice {
             self.enqueue(from, to, body.copy());
         }
@@ -357,7 +357,7 @@
     }
 
     fn enqueue(&mut self, from: usize, to: usize, body: Body) {
-        let late = self.rng.random_range(0..100) < self.plan.lossy;
+        let late = self.rng.random_range(0..100) < self.plan.message_fault_percent;
         let most = if late { 3_000 } else { 30 };
         let at = self.now + Duration::from_millis(self.rng.random_range(1..most));
         self.posted += 1;
@@ -406,7 +406,7 @@
             for _ in 0..count as u64 {
                 let near = self
                     .rng
-                    .random_range(0..self.plan.spread.min(self.nodes.len()));
+                    .random_range(0..self.plan.entries_per_workspace.min(self.nodes.len()));
                 let anyone = (favourite + near) % self.nodes.len();
                 let skewed = self.rng.random_bool(self.plan.skew);
                 let index = if skewed { favourite } else { anyone };
@@ -501,7 +501,7 @@
         }
         while let Some(at) = node.views.iter().position(|(at, _)| *at <= now) {
             let (_, live) = node.views.remove(at);
-            let published = if self.plan.blind {
+            let published = if self.plan.ignores_published {
                 &live
             } else {
                 &self.published
@@ -527,7 +527,7 @@
     fn outcome(&self) -> Outcome {
         let seconds = self.plan.seconds as f64;
         let mut outcome = Outcome {
-            parts: self.parts,
+            max_share_ppm: self.max_share_ppm,
             ..Outcome::default()
         };
         let (mut usable, mut used, mut offered, mut refused) = (0.0, 0.0, 0, 0);
--- a/crates/limits/tests/lease.rs
+++ b/crates/limits/tests/lease.rs
@@ -16,13 +16,13 @@
 )]
 mod world;
 
+use world::Fault;
 use world::Outcome;
 use world::Plan;
 use world::Policy;
-use world::Trouble;
 use world::World;
 
-fn plan(seed: u64, trouble: Trouble) -> Plan {
+fn plan(seed: u64, fault: Fault) -> Plan {
     Plan {
         seed,
         entries: 10,
@@ -30,12 +30,12 @@
         seconds: 60,
         requests_per_second: 60.0,
         policy: Policy::Leases,
-        trouble,
+        fault,
         skew: 0.5,
-        spread: usize::MAX,
+        entries_per_workspace: usize::MAX,
         settings: Settings::default(),
-        lossy: 3,
-        blind: false,
+        message_fault_percent: 3,
+        ignores_published: false,
         audit: true,
     }
 }
@@ -49,16 +49,11 @@
     let first = env::var("AUBURNLINE_SEED").ok();
     let first = first.and_then(|text| text.parse().ok()).unwrap_or(1);
     for seed in first..first + 2 {
-        for trouble in [
-            Trouble::Calm,
-            Trouble::Churn,
-            Trouble::Partition,
-            Trouble::Both,
-        ] {
-            let outcome = run(plan(seed, trouble));
-            println!("seed {seed} {trouble:?} {outcome:?}");
+        for fault in [Fault::Calm, Fault::Churn, Fault::Partition, Fault::Both] {
+            let outcome = run(plan(seed, fault));
+            println!("seed {seed} {fault:?} {outcome:?}");
             expect_that!(outcome.beyond_grants, le(1.0));
-            expect_that!(outcome.parts, le(1_000_000));
+            expect_that!(outcome.max_share_ppm, le(1_000_000));
             expect_that!(outcome.beyond_bound, le(1.0));
             expect_that!(outcome.unused, lt(0.6));
         }
@@ -67,27 +62,24 @@
 
 #[gtest]
 fn same_seed_same_run() {
-    expect_that!(
-        run(plan(5, Trouble::Both)),
-        eq(&run(plan(5, Trouble::Both)))
-    );
+    expect_that!(run(plan(5, Fault::Both)), eq(&run(plan(5, Fault::Both))));
 }
 
 #[gtest]
 fn a_home_that_grants_at_once_is_caught() {
     let caught = (1..5).any(|seed| {
-        let mut hasty = plan(seed, Trouble::Churn);
+        let mut hasty = plan(seed, Fault::Churn);
         hasty.settings.hold = Duration::ZERO;
-        run(hasty).parts > 1_000_000
+        run(hasty).max_share_ppm > 1_000_000
     });
     expect_true!(caught);
 }
 
 #[gtest]
 fn a_home_that_grants_the_whole_limit_in_a_partition_is_caught() {
-    let mut blind = plan(1, Trouble::Partition);
-    blind.blind = true;
+    let mut blind = plan(1, Fault::Partition);
+    blind.ignores_published = true;
     let outcome = run(blind);
-    expect_that!(outcome.parts, gt(1_000_000));
+    expect_that!(outcome.max_share_ppm, gt(1_000_000));
     expect_that!(outcome.beyond_grants, gt(1.0));
 }
