--- a/crates/limits/examples/table/overload.rs
+++ b/crates/limits/examples/table/overload.rs
@@ -39,19 +39,19 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
     /// Used tokens of requests that ended in time, over what the upstream can do.
-    pub(crate) useful: f64,
+    pub(crate) in_time_share: f64,
     /// Used tokens of requests that ended late, over what the upstream can do.
-    pub(crate) late: f64,
+    pub(crate) late_share: f64,
     /// Share of small workspaces' tokens that ended in time; the least served of them.
-    pub(crate) least: f64,
+    pub(crate) least_served_share: f64,
     /// Share of the large workspace's tokens that ended in time.
-    pub(crate) large: f64,
+    pub(crate) large_share: f64,
     /// Share of the requests given up that were answered on arrival.
-    pub(crate) at_once: f64,
+    pub(crate) immediate_share: f64,
     /// Time until 99 of 100 requests given up were answered, in ms.
-    pub(crate) answer: f64,
+    pub(crate) p99_answer_ms: f64,
     /// Share of urgent requests that ended in time.
-    pub(crate) urgent: f64,
+    pub(crate) urgent_share: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -225,12 +225,12 @@
     let at_once = answers.iter().filter(|time| time.is_zero()).count();
     let answer = answers.get(answers.len() * 99 / 100).copied();
     Outcome {
-        useful: useful as f64 / able,
-        late: late as f64 / able,
-        least: (1..WORKSPACES).map(share).fold(1.0, f64::min),
-        large: share(0),
-        at_once: at_once as f64 / answers.len().max(1) as f64,
-        answer: answer.unwrap_or_default().as_secs_f64() * 1_000.0,
-        urgent: f64::from(urgent_served) / f64::from(urgent.max(1)),
+        in_time_share: useful as f64 / able,
+        late_share: late as f64 / able,
+        least_served_share: (1..WORKSPACES).map(share).fold(1.0, f64::min),
+        large_share: share(0),
+        immediate_share: at_once as f64 / answers.len().max(1) as f64,
+        p99_answer_ms: answer.unwrap_or_default().as_secs_f64() * 1_000.0,
+        urgent_share: f64::from(urgent_served) / f64::from(urgent.max(1)),
     }
 }
