--- a/crates/limits/src/lease/reserve.rs
+++ b/crates/limits/src/lease/reserve.rs
@@ -1,10 +1,10 @@
-//! What an entry may use of a limit without any home's leave.
+//! Reserve of each limit that an entry may spend without a grant.
 //!
-//! Homes grant all of a limit but a small part. That part is split evenly over the published entries,
-//! and an entry whose workspace gets nothing from its home, because the home can't be reached or has
-//! little left, uses its own share of it. The shares and the homes' parts sum to the whole, so no
-//! agreement on who lives is needed, and an entry that is cut off from every home still serves a
-//! little of each workspace.
+//! Homes grant all of a limit but a small fraction. That fraction is split evenly over the published
+//! entries. An entry that gets nothing for a workspace from its home, because the home is unreachable
+//! or has few tokens left, spends its own share of the reserve. The shares of the reserve and the
+//! homes' shares add up to the limit, so entries need not agree on which of them are live, and an
+//! entry that is cut off from every home still serves each workspace at a low rate.
 
 use std::collections::BTreeMap;
 
@@ -17,28 +17,30 @@
 use super::account::MAX_ACCOUNTS;
 use super::share::Share;
 
-/// Sixteenth of each limit that homes don't grant: what a workspace whose entries all reach their home may
-/// lose at most, and enough to go on at a trickle where none does.
+/// Homes don't grant one sixteenth of each limit. A workspace whose entries all reach their home loses at most
+/// this fraction, and it is enough to keep serving at a low rate where no entry reaches a home.
 const RESERVE_DIVISOR: u64 = 16;
 
-/// Returns the part of limits that a home may grant of the `parts` that it sees.
+/// Returns the share of limits that a home may grant, less the reserve, given its share of the published
+/// entries.
 pub(super) const fn grantable(share_ppm: u64) -> u64 {
     share_ppm - share_ppm / RESERVE_DIVISOR
 }
 
-/// An entry's own part of all limits.
+/// An entry's share of the reserve of all limits.
 #[derive(Clone, Debug)]
 pub struct Reserve {
     share: Share,
+    /// Share of each limit that this entry may spend, in millionths.
     share_ppm: u64,
-    /// Since when the part has stood.
+    /// When `share_ppm` last changed; a new account counts as empty at that time.
     steady_since: Monotonic,
     accounts: BTreeMap<WorkspaceId, Account>,
 }
 
 impl Reserve {
-    /// Returns the reserve of an entry that starts now; it fills once the published list has stood for
-    /// a hold.
+    /// Returns the reserve of an entry that starts now. It stays empty until a list of published entries
+    /// has been known for the hold time.
     #[must_use]
     pub fn new(now: Monotonic, settings: &Settings) -> Reserve {
         Reserve {
@@ -49,28 +51,32 @@
         }
     }
 
-    /// Takes how many entries are published.
+    /// Records the number of published entries.
     pub fn observe(&mut self, now: Monotonic, published: usize) {
         self.share.record(now, 1, published);
         self.tick(now);
     }
 
-    /// Lets holds end.
+    /// Updates the share: a decrease applies at once, an increase after the hold time.
+    ///
+    /// Until `now` the accounts are filled at the smaller of the old and the new share.
     pub fn tick(&mut self, now: Monotonic) {
         self.share.expire(now);
         let share_ppm = self.share.ppm() / RESERVE_DIVISOR;
         if share_ppm == self.share_ppm {
             return;
         }
-        let least = share_ppm.min(self.share_ppm);
+        let min_share_ppm = share_ppm.min(self.share_ppm);
         for account in self.accounts.values_mut() {
-            account.refill(now, least);
+            account.refill(now, min_share_ppm);
         }
         self.share_ppm = share_ppm;
         self.steady_since = now;
     }
 
-    /// Spends `tokens` of a workspace whose limit in force is `limit`, if the reserve holds so many.
+    /// Spends `tokens` of a workspace whose limit in force is `limit`, if that many are available.
+    ///
+    /// Returns whether they were spent.
     pub fn spend(
         &mut self,
         now: Monotonic,
