--- a/crates/limits/src/lease/view.rs
+++ b/crates/limits/src/lease/view.rs
@@ -1,4 +1,4 @@
-//! An entry's view of the entries, and the homes that follow from it.
+//! An entry's view of which entries are live, and the home of each workspace under that view.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,26 +11,29 @@
 
 use super::share::Share;
 
-/// Whether an entry is believed live, or until when it may still grant.
+/// Whether an entry is believed live, or since when it is not. One that left may have granted leases that
+/// are still valid until the hold time has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Seen {
+enum Liveness {
     Live,
     GoneSince(Monotonic),
 }
 
-/// An entry's view of the entries.
+/// An entry's view of which entries are live.
 #[derive(Clone, Debug)]
 pub struct View {
     me: InstanceId,
     hold: Duration,
-    seen: BTreeMap<InstanceId, Seen>,
+    seen: BTreeMap<InstanceId, Liveness>,
     share: Share,
+    /// Incremented when homes or the share may have changed.
     epoch: u64,
+    /// When an entry was last dropped or the share last rose after the hold time.
     steady_since: Monotonic,
 }
 
 impl View {
-    /// Returns the view of an entry that starts now and sees nobody.
+    /// Returns the view of an entry that starts now and knows no entries.
     #[must_use]
     pub fn new(now: Monotonic, me: InstanceId, hold: Duration) -> Self {
         View {
@@ -43,7 +46,7 @@
         }
     }
 
-    /// Takes a new published list or a new belief of who is live.
+    /// Records a new list of published entries or a new set of live ones.
     pub fn observe(
         &mut self,
         now: Monotonic,
@@ -52,25 +55,26 @@
     ) {
         let visible = live.intersection(published).count();
         for (entry, seen) in &mut self.seen {
-            if *seen == Seen::Live && !live.contains(entry) {
-                *seen = Seen::GoneSince(now);
+            if *seen == Liveness::Live && !live.contains(entry) {
+                *seen = Liveness::GoneSince(now);
             }
         }
         for entry in live {
-            self.seen.insert(entry.clone(), Seen::Live);
+            self.seen.insert(entry.clone(), Liveness::Live);
         }
         self.share.record(now, visible, published.len());
         self.epoch += 1;
         self.tick(now);
     }
 
-    /// Lets holds end. A view must be ticked before it is asked.
+    /// Drops entries that left, and records of the share, that are older than the hold time. Must be called
+    /// before the view is queried.
     pub fn tick(&mut self, now: Monotonic) {
         let before = (self.seen.len(), self.share.ppm());
         let hold = self.hold;
         self.seen.retain(|_, seen| match *seen {
-            Seen::Live => true,
-            Seen::GoneSince(since) => now < since + hold,
+            Liveness::Live => true,
+            Liveness::GoneSince(since) => now < since + hold,
         });
         self.share.expire(now);
         if before != (self.seen.len(), self.share.ppm()) {
@@ -79,53 +83,59 @@
         }
     }
 
-    /// Returns a number that changes whenever homes or the share may have changed.
+    /// Returns a counter that increases whenever homes or the share may have changed.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Returns the entry to ask for `workspace`.
+    /// Returns the live entry to which asks for `workspace` go; none if no entry is live.
     #[must_use]
     pub fn home(&self, workspace: &WorkspaceId) -> Option<&InstanceId> {
-        let live = self.seen.iter().filter(|(_, seen)| **seen == Seen::Live);
-        first(workspace, live.map(|(entry, _)| entry))
+        let live = self
+            .seen
+            .iter()
+            .filter(|(_, seen)| **seen == Liveness::Live);
+        rendezvous_first(workspace, live.map(|(entry, _)| entry))
     }
 
-    /// Whether this entry is the home in every view of the last hold.
+    /// Returns whether this entry has been the home of `workspace` throughout the hold time.
     ///
-    /// An entry that left within the hold may have granted leases that still run, so it counts.
+    /// Entries that left within the hold time count as well, because leases that they granted may still be
+    /// valid.
     #[must_use]
     pub fn is_home(&self, workspace: &WorkspaceId) -> bool {
-        first(workspace, self.seen.keys()) == Some(&self.me)
+        rendezvous_first(workspace, self.seen.keys()) == Some(&self.me)
     }
 
-    /// Whether `entry` is believed live or left within the hold.
+    /// Returns whether `entry` is believed live or left within the hold time.
     #[must_use]
     pub fn knows(&self, entry: &InstanceId) -> bool {
         self.seen.contains_key(entry)
     }
 
-    /// Returns the part of limits that this entry may grant, in millionths.
+    /// Returns the share of limits that this entry may grant, in millionths: the smallest fraction of the
+    /// published entries that it saw within the hold time.
     #[must_use]
     pub fn share(&self) -> u64 {
         self.share.ppm()
     }
 
-    /// Returns since when neither the homes nor the share let this entry grant more.
+    /// Returns the last time at which a change of homes or of the share may have allowed this entry to grant
+    /// more.
     #[must_use]
     pub fn steady_since(&self) -> Monotonic {
         self.steady_since
     }
 
-    /// Returns the hold.
+    /// Returns the hold time, as [`Settings::hold`](super::Settings::hold).
     #[must_use]
     pub fn hold(&self) -> Duration {
         self.hold
     }
 }
 
-fn first<'a>(
+fn rendezvous_first<'a>(
     workspace: &WorkspaceId,
     entries: impl Iterator<Item = &'a InstanceId>,
 ) -> Option<&'a InstanceId> {
