--- a/crates/limits/src/lease/message.rs
+++ b/crates/limits/src/lease/message.rs
@@ -1,4 +1,4 @@
-//! Messages between an entry and a home, each for many workspaces.
+//! Messages between an entry and a home. Each covers many workspaces.
 
 use std::time::Duration;
 
@@ -7,52 +7,54 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an entry wants and returns; only workspaces that are active there.
+/// Request of an entry for tokens, with tokens that it returns. Lists only workspaces that are active at the entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The asking process.
+    /// Incarnation of the requesting process.
     pub incarnation: Incarnation,
-    /// Number that grows with each ask of this process.
+    /// Sequence number, increasing with each ask of this process. The home ignores an ask whose number is not
+    /// higher than the last.
     pub number: u64,
-    /// Workspaces.
+    /// What is requested and returned, one item for each workspace.
     pub wants: Vec<Want>,
 }
 
-/// What an entry wants for one workspace.
+/// Tokens that an entry requests and returns for one workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Want {
-    /// Workspace.
+    /// Workspace whose limit the tokens count against.
     pub workspace: WorkspaceId,
-    /// Tokens without which a grant is of no use.
+    /// Smallest grant that is of use, in tokens; zero if tokens are only returned.
     pub need: u64,
-    /// Tokens that would be used within a lease, at least the need.
+    /// Tokens that the entry expects to use within a lease, at least `need`.
     pub want: u64,
-    /// Tokens granted before that the entry gives back.
+    /// Tokens of earlier grants that the entry returns unused.
     pub returned: u64,
 }
 
 /// A home's answer to one ask.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grants {
-    /// Incarnation in the ask.
+    /// Incarnation of the ask that this answers.
     pub incarnation: Incarnation,
-    /// Number of the ask.
+    /// Sequence number of the ask that this answers.
     pub number: u64,
-    /// One for each want with a need.
+    /// One grant for each want whose `need` isn't zero.
     pub grants: Vec<Grant>,
 }
 
-/// Tokens of one workspace.
+/// Lease of tokens of one workspace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Workspace.
+    /// Workspace whose limit the tokens count against.
     pub workspace: WorkspaceId,
-    /// Tokens, zero if the need can't be met.
+    /// Tokens granted; zero if the need can't be met.
     pub tokens: u64,
-    /// Life of the lease from the moment the ask was sent.
+    /// Validity of the lease, counted from when the ask was sent.
     pub valid: Duration,
-    /// When the need could be met, if it wasn't.
+    /// Estimated time until the need can be met; zero if it was.
     pub retry_after: Duration,
-    /// Whether the home has little left, so that returns are of use.
+    /// Whether less than half of the home's bucket is left, or nothing was granted. The entry then returns
+    /// tokens that it won't use.
     pub scarce: bool,
 }
