--- a/crates/limits/src/lease/mod.rs
+++ b/crates/limits/src/lease/mod.rs
@@ -1,19 +1,20 @@
 //! Leases of a workspace's token rate.
 //!
-//! The home entry of a workspace, the first of its rendezvous order over the entries believed live,
-//! owns the workspace's token bucket and grants short leases of its tokens. Nobody elects the home
-//! and nothing is stored: entries whose views differ may have different homes, and the sum of
-//! their grants stays within the limit by two rules. A home grants only the part of the limit that
-//! the entries it sees are of all published ones; and whatever a change of view would let it grant
-//! more, it grants only after that view has stood for one hold, while what it must grant less, it
-//! grants less at once. A hold is longer than a lease, so what an older home granted has ended.
+//! The home of a workspace is the entry that comes first in the workspace's rendezvous order over the
+//! entries believed live. It owns the workspace's token bucket and grants short leases of its tokens.
+//! The home isn't elected and no state is stored, so entries with different views may use different
+//! homes. Two rules keep the sum of all grants within the limit. First, a home grants only a share of
+//! the limit: the entries that it sees as a fraction of all published entries. Second, a change of
+//! view that lets a home grant more takes effect only after the view has been unchanged for the hold
+//! time, and one that makes it grant less takes effect at once. The hold time is longer than a lease,
+//! so the leases of an earlier home have expired by then.
 //!
-//! A small part of each limit is granted by no home: every entry has its own share of that
-//! ([`Reserve`]), so that one which no home answers is not idle.
+//! Homes don't grant a small fraction of each limit. Each entry has its own share of that
+//! ([`Reserve`]), so that an entry can serve some requests when no home answers it.
 //!
-//! The rules need views that agree within a hold. Views that stay one-sided (an entry sees another
-//! that does not see it) can make two homes grant at once; membership has to take such a pair as
-//! not seen on both sides.
+//! The rules require that views agree within the hold time. If visibility stays asymmetric (an entry
+//! sees another that doesn't see it), two homes can grant the same share at once. Membership has to
+//! treat such a pair as not seeing each other.
 
 mod account;
 mod home;
@@ -33,14 +34,15 @@
 
 use std::time::Duration;
 
-/// Times and bounds of leases, equal in all entries.
+/// Times and bounds of leases. They must be the same at all entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Life of a lease.
+    /// Time for which a lease is valid, counted from when the entry sent its ask.
     pub lease: Duration,
-    /// Time that a view stands before it lets a home grant more; a lease and the views' skew.
+    /// Hold time: how long a view must be unchanged before a home grants more because of it. Covers a lease and
+    /// the time by which the entries' views may differ.
     pub hold: Duration,
-    /// Most tokens of one request.
+    /// Maximum tokens of one request; a home refuses a larger need.
     pub max_need: u64,
 }
 
