--- a/crates/limits/src/lease/home.rs
+++ b/crates/limits/src/lease/home.rs
@@ -1,4 +1,4 @@
-//! The home's side: token buckets of the workspaces that have their home here.
+//! Home side of leases: token buckets of the workspaces whose home is this entry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,43 +19,45 @@
 use super::account::MAX_ACCOUNTS;
 use super::reserve;
 
-/// The home's side of leases.
+/// Grants leases of the workspaces whose home is this entry.
 #[derive(Clone, Debug)]
 pub struct Home {
     settings: Settings,
     accounts: BTreeMap<WorkspaceId, Account>,
-    /// Last ask of each entry, so that a doubled one is not taken twice.
-    last: BTreeMap<InstanceId, (Incarnation, u64)>,
+    /// Last ask of each entry, to ignore asks that are delivered twice.
+    last_asks: BTreeMap<InstanceId, (Incarnation, u64)>,
+    /// Share of limits that is granted here, in millionths.
     share_ppm: u64,
+    /// Epoch of the view that was applied last.
     epoch: u64,
 }
 
 impl Home {
-    /// Returns a home that has granted nothing.
+    /// Returns a home without buckets.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Home {
             settings,
             accounts: BTreeMap::new(),
-            last: BTreeMap::new(),
+            last_asks: BTreeMap::new(),
             share_ppm: 0,
             epoch: 0,
         }
     }
 
-    /// Follows a view that was ticked or changed: settles all buckets and drops those that are no
-    /// longer this home's. To be called after each tick of the view.
+    /// Applies a view that was ticked or changed: refills all buckets and drops those of workspaces whose home
+    /// is another entry now. Must be called after each tick of the view.
     pub fn tick(&mut self, now: Monotonic, view: &View) {
-        let granted = reserve::grantable(view.share());
-        let share_ppm = self.share_ppm.min(granted);
+        let grantable_ppm = reserve::grantable(view.share());
+        let share_ppm = self.share_ppm.min(grantable_ppm);
         for account in self.accounts.values_mut() {
             account.refill(now, share_ppm);
         }
-        self.share_ppm = granted;
+        self.share_ppm = grantable_ppm;
         if self.epoch != view.epoch() {
             self.epoch = view.epoch();
             self.accounts.retain(|workspace, _| view.is_home(workspace));
-            self.last.retain(|entry, _| view.knows(entry));
+            self.last_asks.retain(|entry, _| view.knows(entry));
         }
         if self.accounts.len() > MAX_ACCOUNTS / 2 {
             self.accounts
@@ -63,9 +65,10 @@
         }
     }
 
-    /// Answers an ask; `limit` gives the limit in force of a published workspace.
+    /// Answers an ask. `limit` returns the limit in force of a workspace, or none if the workspace isn't
+    /// published.
     ///
-    /// An ask that was answered before yields nothing.
+    /// Returns none for an ask that is not newer than the last one of the same process.
     pub fn ask(
         &mut self,
         now: Monotonic,
@@ -90,22 +93,22 @@
         })
     }
 
-    /// Returns how many workspaces have a bucket here.
+    /// Returns the number of workspaces with a bucket.
     #[must_use]
     pub fn accounts(&self) -> usize {
         self.accounts.len()
     }
 
     fn is_new(&mut self, from: &InstanceId, ask: &Ask) -> bool {
-        let last = self.last.get(from);
-        let known = last.is_some_and(|&(incarnation, number)| {
+        let last = self.last_asks.get(from);
+        let is_known = last.is_some_and(|&(incarnation, number)| {
             incarnation == ask.incarnation && ask.number <= number
         });
-        if !known {
-            self.last
+        if !is_known {
+            self.last_asks
                 .insert(from.clone(), (ask.incarnation, ask.number));
         }
-        !known
+        !is_known
     }
 
     fn answer(
