--- a/crates/limits/src/bucket.rs
+++ b/crates/limits/src/bucket.rs
@@ -1,9 +1,9 @@
-//! An entry's side of leases: what it holds of each workspace, and what requests are charged.
+//! Entry side of leases: the tokens that an entry holds of each workspace, and what requests are charged.
 //!
-//! A request is charged its prompt and the most it may generate, and credited what it did not.
-//! Where the pieces on hand don't suffice and the home has not said when to come back, the request
-//! may wait one round trip for a grant; else it is refused at once. What is on hand and won't be
-//! used before it ends goes back to the home, if the home has little left.
+//! A request is charged its prompt and the maximum that it may generate, and is credited the tokens
+//! that it did not use. If the leases on hand don't suffice and the home has not given a retry time,
+//! the request may wait one round trip for a grant; otherwise it is refused at once. Tokens that won't
+//! be used before their lease expires are returned to the home if the home has few left.
 
 mod leases;
 
@@ -23,17 +23,17 @@
 use crate::lease::View;
 use crate::lease::Want;
 
-/// Most workspaces that an entry holds pieces of.
+/// Maximum number of workspaces of which an entry holds leases.
 const MAX_BUCKETS: usize = 4096;
-/// Time that a request may wait for a grant.
-const PATIENCE: Duration = Duration::from_millis(250);
-/// Least time to come back that a refusal tells: callers are told whole milliseconds, and none would mean
-/// at once.
-const LEAST_RETURN: Duration = Duration::from_millis(1);
-/// Asks that may be without an answer; older ones are forgotten, and their grants dropped.
-const MAX_ASKS: usize = 1024;
-
-/// What a request was charged; it is credited at most once.
+/// Maximum time for which a request waits for a grant.
+const GRANT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Lower bound of the retry time of a refusal. Callers get it in whole milliseconds, and zero would tell them to
+/// retry at once.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(1);
+/// Maximum number of unanswered asks. Beyond it the oldest is dropped, and so is a later answer to it.
+const MAX_UNANSWERED_ASKS: usize = 1024;
+
+/// Tokens charged to a request. Crediting consumes it, so a request is credited at most once.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Charge {
@@ -42,47 +42,47 @@
 }
 
 impl Charge {
-    /// Returns the tokens charged.
+    /// Returns the tokens charged, before any credit.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
 }
 
-/// A request beyond the limit, to be answered at once.
+/// Refusal of a request beyond its workspace's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Kind of the answer.
+    /// Error kind to answer with.
     pub kind: Kind,
-    /// When to come back.
+    /// Time after which the caller may retry, at least 1 ms.
     pub retry_after: Duration,
 }
 
-/// Answer to a charge.
+/// Outcome of a charge.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Verdict {
-    /// The request is paid for.
+    /// The request was charged.
     Admitted(Charge),
-    /// A grant is asked for: resume the charge when it comes, or after this time.
+    /// A grant is needed: call [`Holder::resume`] when it arrives, or after this time.
     Pending(Duration),
-    /// The workspace has used its limit.
+    /// The workspace has used up its limit.
     Refused(Refusal),
 }
 
-/// What an entry holds of all workspaces.
+/// Leases that an entry holds of all workspaces.
 #[derive(Clone, Debug)]
 pub struct Holder {
     settings: Settings,
     incarnation: Incarnation,
     number: u64,
     buckets: BTreeMap<WorkspaceId, Bucket>,
-    /// When each ask without an answer was sent.
-    asked: BTreeMap<u64, Monotonic>,
+    /// Time at which each unanswered ask was sent, by number.
+    unanswered: BTreeMap<u64, Monotonic>,
 }
 
 impl Holder {
-    /// Returns an entry that holds nothing.
+    /// Returns a holder without leases.
     #[must_use]
     pub fn new(settings: Settings, incarnation: Incarnation) -> Self {
         Holder {
@@ -90,14 +90,14 @@
             incarnation,
             number: 0,
             buckets: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            unanswered: BTreeMap::new(),
         }
     }
 
-    /// Charges a request that has just come.
+    /// Charges a request that has just arrived.
     pub fn charge(&mut self, now: Monotonic, workspace: &WorkspaceId, tokens: u64) -> Verdict {
         if !self.buckets.contains_key(workspace) && self.buckets.len() >= MAX_BUCKETS {
-            return refused(PATIENCE);
+            return refused(GRANT_TIMEOUT);
         }
         let lease = self.settings.lease;
         let bucket = self
@@ -112,7 +112,7 @@
         verdict
     }
 
-    /// Charges again a request that has been pending since `since`.
+    /// Retries the charge of a request that has been pending since `since`.
     pub fn resume(
         &mut self,
         now: Monotonic,
@@ -121,7 +121,7 @@
         since: Monotonic,
     ) -> Verdict {
         let Some(bucket) = self.buckets.get_mut(workspace) else {
-            return refused(PATIENCE);
+            return refused(GRANT_TIMEOUT);
         };
         if bucket.take(now, tokens) {
             return Verdict::Admitted(Charge {
@@ -133,16 +133,16 @@
         if denied_for > Duration::ZERO {
             return refused(denied_for);
         }
-        match (since + PATIENCE).checked_sub(now) {
+        match (since + GRANT_TIMEOUT).checked_sub(now) {
             Some(left) if left > Duration::ZERO => {
                 bucket.require(tokens);
                 Verdict::Pending(left)
             }
-            _ => refused(PATIENCE),
+            _ => refused(GRANT_TIMEOUT),
         }
     }
 
-    /// Gives back what a request was charged and did not use.
+    /// Credits the tokens that a request was charged beyond the `used` ones.
     pub fn credit(&mut self, now: Monotonic, charge: Charge, used: u64) {
         let unused = charge.tokens.saturating_sub(used);
         if unused == 0 || self.buckets.len() >= MAX_BUCKETS {
@@ -155,11 +155,11 @@
         bucket.put(now, unused, now + self.settings.lease);
     }
 
-    /// Returns the asks that are due, one for each home; to be called every few milliseconds.
+    /// Returns the asks that are due, one for each home. Must be called every few milliseconds.
     pub fn asks(&mut self, now: Monotonic, view: &View) -> Vec<(InstanceId, Ask)> {
         let mut wants: BTreeMap<InstanceId, Vec<Want>> = BTreeMap::new();
         for (workspace, bucket) in &mut self.buckets {
-            let Some((need, want, returned)) = bucket.due(now, self.settings.lease, PATIENCE)
+            let Some((need, want, returned)) = bucket.due(now, self.settings.lease, GRANT_TIMEOUT)
             else {
                 continue;
             };
@@ -180,12 +180,13 @@
             .collect()
     }
 
-    /// Takes a home's answer; one that was not asked for, or came before, is dropped.
+    /// Applies a home's answer. One that matches no unanswered ask of this process, or repeats an earlier one, is
+    /// ignored.
     pub fn granted(&mut self, now: Monotonic, grants: &Grants) {
         if grants.incarnation != self.incarnation {
             return;
         }
-        let Some(sent) = self.asked.remove(&grants.number) else {
+        let Some(sent) = self.unanswered.remove(&grants.number) else {
             return;
         };
         for grant in &grants.grants {
@@ -201,13 +202,13 @@
         }
     }
 
-    /// Returns how many workspaces are held.
+    /// Returns the number of workspaces with a bucket.
     #[must_use]
     pub fn buckets(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Returns the tokens on hand for `workspace`.
+    /// Returns the unexpired tokens held for `workspace`.
     #[must_use]
     pub fn on_hand(&self, now: Monotonic, workspace: &WorkspaceId) -> u64 {
         self.buckets
@@ -217,9 +218,9 @@
 
     fn ask(&mut self, now: Monotonic, wants: Vec<Want>) -> Ask {
         self.number += 1;
-        self.asked.insert(self.number, now);
-        if self.asked.len() > MAX_ASKS {
-            self.asked.pop_first();
+        self.unanswered.insert(self.number, now);
+        if self.unanswered.len() > MAX_UNANSWERED_ASKS {
+            self.unanswered.pop_first();
         }
         Ask {
             incarnation: self.incarnation,
@@ -232,6 +233,6 @@
 fn refused(retry_after: Duration) -> Verdict {
     Verdict::Refused(Refusal {
         kind: Kind::LimitExceeded,
-        retry_after: retry_after.max(LEAST_RETURN),
+        retry_after: retry_after.max(MIN_RETRY_AFTER),
     })
 }
