--- a/crates/limits/src/bucket/leases.rs
+++ b/crates/limits/src/bucket/leases.rs
@@ -1,4 +1,4 @@
-//! One workspace's pieces at one entry.
+//! Leases of one workspace at one entry.
 
 use std::time::Duration;
 
@@ -8,18 +8,18 @@
 
 use crate::lease::View;
 
-/// Most pieces kept; beyond it the first to end gets the tokens of the next.
+/// Maximum number of leases kept; beyond it the second to expire is merged into the first, which expires earlier.
 const MAX_LEASES: usize = 16;
-/// Demand in tokens a second below which a workspace counts as idle.
-const IDLE: f64 = 1.0;
-/// Time without requests after which a workspace counts as idle.
-const QUIET: Duration = Duration::from_secs(16);
-/// Least time between two asks for one workspace.
-const ASK_GAP: Duration = Duration::from_millis(100);
-/// Least time before an ask that no request waits for.
-const PREFETCH_GAP: Duration = Duration::from_millis(400);
-/// Requests over which the mean cost is smoothed.
-const COST_PART: f64 = 8.0;
+/// Demand in tokens per second below which a workspace counts as idle.
+const IDLE_RATE: f64 = 1.0;
+/// Time without requests after which a workspace counts as idle, whatever its last demand.
+const IDLE_AFTER: Duration = Duration::from_secs(16);
+/// Minimum time between two asks for one workspace.
+const MIN_ASK_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum time between an ask and a later one for which no request is pending.
+const MIN_PREFETCH_INTERVAL: Duration = Duration::from_millis(400);
+/// Number of requests over which the mean cost is smoothed.
+const COST_WINDOW: f64 = 8.0;
 
 /// Tokens that may be spent until an instant.
 #[derive(Clone, Copy, Debug)]
@@ -28,9 +28,10 @@
     tokens: u64,
 }
 
-/// Tokens a second that requests ask for, smoothed over a lease.
+/// Demand of requests in tokens per second, smoothed over the lease time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Demand {
+    /// Tokens per second at `updated`; decays exponentially from then on.
     rate: f64,
     /// Mean tokens of a request.
     cost: f64,
@@ -41,10 +42,10 @@
     pub(super) fn record(&mut self, now: Monotonic, tokens: u64, lease_time: Duration) {
         self.rate = self.rate(now, lease_time) + to_float(tokens) / lease_time.as_secs_f64();
         self.updated = now;
-        self.cost += (to_float(tokens) - self.cost) / COST_PART;
+        self.cost += (to_float(tokens) - self.cost) / COST_WINDOW;
     }
 
-    /// Mean tokens of a request.
+    /// Returns the mean tokens of a request.
     fn cost(&self) -> u64 {
         to_tokens(self.cost)
     }
@@ -54,29 +55,31 @@
         self.rate * (-age / lease_time.as_secs_f64()).exp()
     }
 
-    /// Tokens asked for in `time`.
+    /// Returns the demand in tokens during `time` at the current rate.
     fn within(&self, now: Monotonic, time: Duration, lease_time: Duration) -> u64 {
         to_tokens(self.rate(now, lease_time) * time.as_secs_f64())
     }
 }
 
-/// One workspace's pieces.
+/// Leases of one workspace, with its demand and the state of asks to its home.
 #[derive(Clone, Debug)]
 pub(super) struct Bucket {
     pub(super) demand: Demand,
-    /// First to end first.
+    /// Ordered by expiry, earliest first.
     leases: Vec<Lease>,
-    /// Largest and sum of the pending requests not yet asked for.
+    /// Tokens of the largest pending request that no ask covers yet.
     need: u64,
+    /// Sum of tokens of the pending requests that no ask covers yet.
     pending: u64,
-    /// When the last ask went out that has no answer, and its need.
+    /// Time and need of the unanswered ask, if any.
     outstanding: Option<(Monotonic, u64)>,
-    /// Until when the home can't grant so many tokens.
+    /// Time until which the home can't grant a need of this many tokens or more.
     denied: (Monotonic, u64),
-    /// Whether the home has little left.
+    /// Whether the home has few tokens left, as of its last answer.
     scarce: bool,
-    /// When the last ask went out, or long ago.
+    /// Time of the last ask with a need; zero before the first.
     last_ask: Monotonic,
+    /// Home, and the epoch of the view from which it was computed.
     home: Option<(u64, InstanceId)>,
 }
 
@@ -99,13 +102,13 @@
         }
     }
 
-    /// Tokens that can be spent now.
+    /// Returns the tokens that can be spent now.
     pub(super) fn on_hand(&self, now: Monotonic) -> u64 {
         let live = self.leases.iter().filter(|lease| now < lease.until);
         live.map(|lease| lease.tokens).sum()
     }
 
-    /// Spends `tokens` if there are so many.
+    /// Spends `tokens` if that many are on hand, and returns whether it did.
     pub(super) fn take(&mut self, now: Monotonic, tokens: u64) -> bool {
         self.expire(now);
         if self.on_hand(now) < tokens {
@@ -115,7 +118,7 @@
         true
     }
 
-    /// Adds a piece.
+    /// Adds a lease; one that has expired already is ignored.
     pub(super) fn put(&mut self, now: Monotonic, tokens: u64, until: Monotonic) {
         self.expire(now);
         if until <= now {
@@ -129,36 +132,40 @@
         }
     }
 
-    /// Notes a request that waits for a grant.
+    /// Records a request that waits for a grant.
     pub(super) fn add_pending(&mut self, tokens: u64) {
         self.need = self.need.max(tokens);
         self.pending += tokens;
     }
 
-    /// Returns need, want and what goes back, if a message to the home is due.
+    /// Returns the need, the want and the tokens to return, if an ask to the home is due.
     pub(super) fn due(
         &mut self,
         now: Monotonic,
         lease_time: Duration,
-        patience: Duration,
+        grant_timeout: Duration,
     ) -> Option<(u64, u64, u64)> {
         self.expire(now);
-        let waits = self
+        let is_waiting = self
             .outstanding
-            .is_some_and(|(sent, _)| now < sent + patience);
-        if waits {
+            .is_some_and(|(sent, _)| now < sent + grant_timeout);
+        if is_waiting {
             return None;
         }
         self.outstanding = None;
-        let gap = if self.need > 0 { ASK_GAP } else { PREFETCH_GAP };
-        if now < self.last_ask + gap {
+        let interval = if self.need > 0 {
+            MIN_ASK_INTERVAL
+        } else {
+            MIN_PREFETCH_INTERVAL
+        };
+        if now < self.last_ask + interval {
             return None;
         }
         let on_hand = self.on_hand(now);
-        let ahead = self.ahead(now, lease_time);
-        let low = on_hand < ahead / 2 && self.denied_for(now, self.demand.cost()).is_zero();
+        let prefetch = self.prefetch(now, lease_time);
+        let low = on_hand < prefetch / 2 && self.denied_for(now, self.demand.cost()).is_zero();
         if self.need > 0 || low {
-            let want = (self.pending + ahead).saturating_sub(on_hand);
+            let want = (self.pending + prefetch).saturating_sub(on_hand);
             let need = self.need.max(self.demand.cost()).saturating_sub(on_hand);
             let need = need.max(1);
             return Some((need, want.max(need), 0));
@@ -167,14 +174,14 @@
         (self.scarce && returned > 0).then_some((0, 0, returned))
     }
 
-    /// Notes a request that still waits after a grant.
+    /// Records that a request still waits although a grant has arrived.
     pub(super) fn require(&mut self, tokens: u64) {
         if self.outstanding.is_none() {
             self.need = self.need.max(tokens);
         }
     }
 
-    /// Notes that a message went to the home.
+    /// Records that an ask was sent to the home. Returned tokens are no longer on hand.
     pub(super) fn record_ask(&mut self, now: Monotonic, need: u64, returned: u64) {
         self.spend(returned);
         if need > 0 {
@@ -185,20 +192,21 @@
         }
     }
 
-    /// Notes that the home has answered; returns what was needed.
+    /// Records that the home has answered, and returns the need of the ask.
     pub(super) fn record_answer(&mut self, scarce: bool) -> u64 {
         self.scarce = scarce;
         self.outstanding.take().map_or(0, |(_, need)| need)
     }
 
-    /// Notes that the home could not meet the last need until `until`.
+    /// Records that the home can't meet `need` until `until`.
     pub(super) fn deny(&mut self, until: Monotonic, need: u64) {
         self.denied = (until, need);
         self.need = 0;
         self.pending = 0;
     }
 
-    /// Time until the home can grant `tokens`, as far as it said.
+    /// Returns the time until the home can grant `tokens` according to its last refusal; zero if fewer tokens than
+    /// the refused need are wanted.
     pub(super) fn denied_for(&self, now: Monotonic, tokens: u64) -> Duration {
         let (until, need) = self.denied;
         if tokens < need {
@@ -207,7 +215,7 @@
         until.saturating_sub(now)
     }
 
-    /// The entry to ask, remembered while the view stands.
+    /// Returns the home of `workspace`, cached while the epoch of the view is the same.
     pub(super) fn home(&mut self, view: &View, workspace: &WorkspaceId) -> Option<InstanceId> {
         let epoch = view.epoch();
         if self.home.as_ref().is_none_or(|(seen, _)| *seen != epoch) {
@@ -216,27 +224,29 @@
         self.home.as_ref().map(|(_, home)| home.clone())
     }
 
-    /// Whether nothing is held, wanted or awaited.
+    /// Returns whether there are no tokens, no need, no unanswered ask and no demand, so that the bucket can be
+    /// dropped.
     pub(super) fn is_idle(&self, now: Monotonic) -> bool {
-        let quiet = self.demand.rate < IDLE || self.demand.updated + QUIET < now;
+        let quiet = self.demand.rate < IDLE_RATE || self.demand.updated + IDLE_AFTER < now;
         self.on_hand(now) == 0 && self.need == 0 && self.outstanding.is_none() && quiet
     }
 
-    /// Tokens to hold beyond what is pending; none if too few requests come to share a lease.
-    fn ahead(&self, now: Monotonic, lease_time: Duration) -> u64 {
-        let ahead = self.demand.within(now, lease_time / 2, lease_time);
-        if ahead < 2 * self.demand.cost() {
+    /// Returns the tokens to hold beyond those of pending requests: the demand of half a lease time. Zero if that is
+    /// less than two requests, too few to share a lease.
+    fn prefetch(&self, now: Monotonic, lease_time: Duration) -> u64 {
+        let prefetch = self.demand.within(now, lease_time / 2, lease_time);
+        if prefetch < 2 * self.demand.cost() {
             return 0;
         }
-        ahead
+        prefetch
     }
 
-    /// Tokens that end soon and won't be used before.
+    /// Returns the tokens that expire within a quarter of the lease time and won't be used by then.
     fn surplus(&self, now: Monotonic, lease_time: Duration) -> u64 {
-        let soon = now + lease_time / 4;
-        let ending = self.leases.iter().filter(|lease| lease.until <= soon);
+        let horizon = now + lease_time / 4;
+        let ending = self.leases.iter().filter(|lease| lease.until <= horizon);
         let tokens: u64 = ending.map(|lease| lease.tokens).sum();
-        tokens.saturating_sub(self.ahead(now, lease_time) / 2)
+        tokens.saturating_sub(self.prefetch(now, lease_time) / 2)
     }
 
     fn spend(&mut self, mut tokens: u64) {
