--- a/crates/limits/src/queue/mod.rs
+++ b/crates/limits/src/queue/mod.rs
@@ -1,11 +1,11 @@
-//! Fair queue of requests before one upstream.
+//! Fair queue of requests in front of one upstream.
 //!
 //! Each workspace is a flow of start-time fair queueing: a request advances its flow's virtual time
-//! by its tokens over the workspace's weight, and the flow that is furthest behind goes next. A
-//! priority gives a bounded head start in virtual time and no larger share, so no priority and no
-//! workspace can starve another. A request that is predicted to miss its deadline is refused or
-//! shed at once with a time to come back. What leaves the queue unstarted carries a [`NotStarted`],
-//! which only this module can make; what was popped can't be made into one.
+//! by its tokens divided by the workspace's weight, and the flow with the smallest tag is served next.
+//! A priority gives a bounded head start in virtual time but no larger share, so no priority and no
+//! workspace can starve another. A request that is predicted to miss its deadline is refused or shed
+//! at once, with a retry time. A request that leaves the queue without being started comes with a
+//! [`NotStarted`], which only this module can construct, and never for a request that was started.
 
 mod estimator;
 mod flow;
@@ -39,27 +39,27 @@
 use self::flow::Position;
 use self::predict::to_float;
 
-/// Runners-up that a decision names.
+/// Maximum number of runners-up that a decision reports.
 const MAX_RUNNERS_UP: usize = 2;
-/// Shortest time to come back that a refusal gives.
-const MIN_RETURN: Duration = Duration::from_millis(100);
-/// Longest time to come back that a refusal gives.
-const MAX_RETURN: Duration = Duration::from_secs(30);
+/// Lower bound of the retry time of a refusal for overload.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Upper bound of the retry time of a refusal for overload.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// A request that asks to wait.
+/// Request to be queued.
 #[derive(Clone, Debug)]
 pub struct Waiting<K> {
-    /// Name of the request, unique among waiting and running ones.
+    /// Identifier, unique among queued and running requests.
     pub key: K,
-    /// Workspace that pays.
+    /// Workspace to whose flow the request belongs.
     pub workspace: WorkspaceId,
-    /// The workspace's published weight.
+    /// Published weight of the workspace; zero counts as one.
     pub weight: u32,
-    /// Order among waiting requests.
+    /// Gives a head start over other flows, and an earlier position in the request's own flow.
     pub priority: Priority,
-    /// Prompt tokens and most tokens to generate.
+    /// Prompt tokens plus the maximum number of tokens to generate.
     pub tokens: u64,
-    /// When the answer becomes worthless.
+    /// Time by which the request must have finished.
     pub deadline: Monotonic,
 }
 
@@ -77,22 +77,22 @@
     workspace: WorkspaceId,
     tokens: u64,
     since: Monotonic,
-    /// Whether it tries how fast an idle upstream is.
+    /// Whether it was started to measure how fast an idle upstream is now.
     probe: bool,
 }
 
-/// Fair queue before one upstream.
+/// Fair queue in front of one upstream.
 #[derive(Clone, Debug)]
 pub struct Queue<K> {
     settings: Settings,
     items: BTreeMap<K, Item>,
     running: BTreeMap<K, Running>,
     flows: BTreeMap<WorkspaceId, Flow<K>>,
-    /// Flows that wait, by the virtual time at which their head goes.
+    /// Flows with queued requests, by the tag of their first request.
     by_tag: BTreeSet<(i64, WorkspaceId)>,
-    /// Flows that wait, by their own virtual time.
+    /// Flows with queued requests, by their virtual time.
     by_virtual_time: BTreeSet<(i64, WorkspaceId)>,
-    /// Flows that wait, by tokens over weight.
+    /// Flows with queued requests, by queued tokens divided by weight.
     by_backlog: BTreeSet<(i64, WorkspaceId)>,
     estimator: Estimator,
     last_finish: Monotonic,
@@ -100,6 +100,7 @@
     sequence: u64,
     queued_tokens: u64,
     running_tokens: u64,
+    /// Sum of weights of the flows with queued requests.
     total_weight: u64,
 }
 
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Queues `request`, or refuses it at once if it can't be served in time.
+    /// Queues `request`, or refuses it if it is predicted to miss its deadline or the queue is full.
     pub fn push(&mut self, now: Monotonic, request: Waiting<K>) -> Pushed<K> {
         if self.items.contains_key(&request.key) || self.running.contains_key(&request.key) {
             return Pushed::Present;
@@ -135,7 +136,7 @@
             return Pushed::Refused(refused);
         }
         let Ok(displaced) = self.make_room(now, &request) else {
-            return Pushed::Refused(self.full(request.key, request.tokens));
+            return Pushed::Refused(self.refuse_full(request.key, request.tokens));
         };
         self.insert(now, request);
         Pushed::Queued {
@@ -144,7 +145,8 @@
         }
     }
 
-    /// Starts the next request if the upstream has room; sheds what can't end in time on the way.
+    /// Starts the next request if fewer than the maximum are running. Sheds requests at the head of the order that
+    /// can no longer finish by their deadline.
     pub fn pop(&mut self, now: Monotonic) -> Popped<K> {
         let mut shed = Vec::new();
         while self.running.len() < self.settings.max_running {
@@ -168,9 +170,10 @@
         }
     }
 
-    /// Frees the place of a started request that used `tokens`, and learns from it.
+    /// Records that a started request has finished and used `tokens`. Updates the estimate of service times and
+    /// credits the tokens that were not used.
     ///
-    /// Returns false if no such request runs.
+    /// Returns false if no such request is running.
     pub fn finish(&mut self, now: Monotonic, key: &K, tokens: u64) -> bool {
         let Some(running) = self.running.remove(key) else {
             return false;
@@ -186,7 +189,7 @@
         true
     }
 
-    /// Takes a request out of the queue; one that has started stays as it is.
+    /// Removes a request from the queue. A request that has started is left alone.
     pub fn cancel(&mut self, key: &K) -> Cancelled<K> {
         if self.items.contains_key(key) {
             self.remove(key);
@@ -198,9 +201,9 @@
         Cancelled::Absent
     }
 
-    /// Sheds what is no longer predicted to end in time.
+    /// Sheds queued requests that are now predicted to miss their deadline.
     pub fn tick(&mut self, now: Monotonic) -> Vec<Shed<K>> {
-        let mut doomed = Vec::new();
+        let mut late = Vec::new();
         let mut kept_tokens = self.queued_tokens;
         for flow in self.flows.values() {
             let mut ahead = 0;
@@ -212,19 +215,18 @@
                 let discounted = wait.div_f64(wait_tolerance);
                 if self.is_late(now, discounted, item.tokens, item.deadline) {
                     kept_tokens -= item.tokens;
-                    doomed.push((key.clone(), wait));
+                    late.push((key.clone(), wait));
                 } else {
                     ahead += item.tokens;
                 }
             }
         }
-        doomed
-            .into_iter()
+        late.into_iter()
             .map(|(key, wait)| self.shed(now, &key, Reason::WouldMissDeadline, wait))
             .collect()
     }
 
-    /// Takes every waiting request out, as for a drain.
+    /// Sheds all queued requests, because the upstream is draining.
     pub fn drain(&mut self, now: Monotonic) -> Vec<Shed<K>> {
         let keys: Vec<K> = self.items.keys().cloned().collect();
         keys.iter()
@@ -232,52 +234,55 @@
             .collect()
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of queued requests.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.items.len()
     }
 
-    /// Returns how many requests have started and not finished.
+    /// Returns the number of requests that have started and not finished.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the tokens of waiting and started requests.
+    /// Returns the tokens of queued and running requests.
     #[must_use]
     pub fn backlog_tokens(&self) -> u64 {
         self.queued_tokens + self.running_tokens
     }
 
-    /// Returns how many flows are kept.
+    /// Returns the number of flows kept, including ones without queued requests.
     #[must_use]
     pub fn flows(&self) -> usize {
         self.flows.len()
     }
 
-    /// Checks that the sums and orders agree with the items.
+    /// Checks that the sums and the orders of flows agree with the queued and running requests.
     ///
     /// # Panics
     ///
-    /// If they do not.
+    /// Panics if they don't agree, or if more requests are queued or running than the settings allow.
     pub fn assert_consistent(&self) {
         let queued: u64 = self.items.values().map(|item| item.tokens).sum();
         let running: u64 = self.running.values().map(|run| run.tokens).sum();
         let waiting = self.flows.values().filter(|flow| !flow.is_empty());
         assert_eq!(queued, self.queued_tokens, "queued tokens");
         assert_eq!(running, self.running_tokens, "running tokens");
-        assert_eq!(waiting.count(), self.by_tag.len(), "flows in order");
+        assert_eq!(waiting.count(), self.by_tag.len(), "flows by tag");
         assert_eq!(
             self.by_tag.len(),
             self.by_virtual_time.len(),
-            "flows by service"
+            "flows by virtual time"
+        );
+        assert_eq!(self.by_tag.len(), self.by_backlog.len(), "flows by backlog");
+        assert!(
+            self.items.len() <= self.settings.max_queued,
+            "queued requests"
         );
-        assert_eq!(self.by_tag.len(), self.by_backlog.len(), "flows by length");
-        assert!(self.items.len() <= self.settings.max_queued, "queue bound");
         assert!(
             self.running.len() <= self.settings.max_running,
-            "admission bound"
+            "running requests"
         );
         assert!(self.items.keys().all(|key| !self.running.contains_key(key)));
     }
@@ -302,11 +307,11 @@
         }
         let end = now + wait + self.estimator.service_time(request.tokens);
         let excess = end.saturating_sub(request.deadline);
-        let excess = excess.clamp(MIN_RETURN, MAX_RETURN);
+        let excess = excess.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         Some(shed(Kind::Overloaded, Reason::WouldMissDeadline, excess))
     }
 
-    fn full(&self, key: K, tokens: u64) -> Shed<K> {
+    fn refuse_full(&self, key: K, tokens: u64) -> Shed<K> {
         Shed {
             proof: NotStarted::new(key),
             kind: Kind::Overloaded,
@@ -314,25 +319,29 @@
             predicted_wait: self.predict_wait(to_float(self.queued_tokens)),
             retry_after: self
                 .predict_wait(to_float(tokens))
-                .clamp(MIN_RETURN, MAX_RETURN),
+                .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
         }
     }
 
-    /// Frees a place for `request` by shedding the newest of the longest flow.
+    /// Makes room for `request` in a full queue by shedding the last request of the flow with the largest backlog.
+    ///
+    /// Fails unless the request's flow, with the request included, stays smaller than that flow, or both are the same
+    /// flow and the shed request has the lower priority.
     fn make_room(&mut self, now: Monotonic, request: &Waiting<K>) -> Result<Option<Shed<K>>, ()> {
         if self.items.len() < self.settings.max_queued {
             return Ok(None);
         }
-        let Some((length, workspace)) = self.by_backlog.last().cloned() else {
+        let Some((largest_backlog, workspace)) = self.by_backlog.last().cloned() else {
             return Err(());
         };
-        let own = self
+        let own_backlog = self
             .flows
             .get(&request.workspace)
             .map_or(0, Flow::normalized_backlog);
         let longest = &self.flows[&workspace];
         let (position, last) = longest.last();
-        let longer = own + flow::virtual_tokens(request.tokens, request.weight) < length;
+        let longer =
+            own_backlog + flow::virtual_tokens(request.tokens, request.weight) < largest_backlog;
         let lower = workspace == request.workspace && position.priority < request.priority;
         if !longer && !lower {
             return Err(());
@@ -382,7 +391,10 @@
         let excess = end.saturating_sub(item.deadline);
         let (kind, retry_after) = match reason {
             Reason::Draining => (Kind::Leaving, Duration::ZERO),
-            _ => (Kind::Overloaded, excess.clamp(MIN_RETURN, MAX_RETURN)),
+            _ => (
+                Kind::Overloaded,
+                excess.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
+            ),
         };
         Shed {
             proof: NotStarted::new(key.clone()),
