--- a/crates/limits/src/queue/order.rs
+++ b/crates/limits/src/queue/order.rs
@@ -1,4 +1,4 @@
-//! Bookkeeping of what waits: each flow stands in three orders while it has something to wait for.
+//! Bookkeeping of queued requests. A flow is in three ordered sets while it has queued requests.
 
 use auburnline_core::id::WorkspaceId;
 use auburnline_core::time::Monotonic;
@@ -45,14 +45,17 @@
     }
 
     pub(super) fn remove(&mut self, key: &K) -> Item {
-        let item = self.items.remove(key).expect("the caller saw the key");
+        let item = self
+            .items
+            .remove(key)
+            .expect("the caller checked that the key is queued");
         self.unlink(&item.workspace);
         self.queued_tokens -= item.tokens;
         if let Some(flow) = self.flows.get_mut(&item.workspace) {
             flow.remove(item.position, item.tokens);
         }
         self.link(&item.workspace);
-        self.forget_idle(&item.workspace);
+        self.drop_idle(&item.workspace);
         item
     }
 
@@ -63,10 +66,10 @@
             flow.credit(unused, virtual_time);
         }
         self.link(workspace);
-        self.forget_idle(workspace);
+        self.drop_idle(workspace);
     }
 
-    /// Takes a flow out of the orders before it changes.
+    /// Removes a flow from the ordered sets; must be called before the flow changes.
     pub(super) fn unlink(&mut self, workspace: &WorkspaceId) {
         let Some(flow) = self.flows.get(workspace) else {
             return;
@@ -83,7 +86,8 @@
         self.total_weight -= u64::from(flow.weight);
     }
 
-    /// Puts a flow back into the orders, and moves the virtual time on.
+    /// Inserts a flow into the ordered sets after it changed, and advances the queue's virtual time to the smallest
+    /// of the flows with queued requests.
     pub(super) fn link(&mut self, workspace: &WorkspaceId) {
         if let Some(flow) = self.flows.get(workspace).filter(|flow| !flow.is_empty()) {
             let tag = flow.tag(&self.settings);
@@ -99,8 +103,9 @@
         }
     }
 
-    /// Drops flows that no longer matter; all of them once nothing waits.
-    fn forget_idle(&mut self, workspace: &WorkspaceId) {
+    /// Drops the flow of `workspace` if it is empty and not ahead of the queue's virtual time. Drops all flows once
+    /// nothing is queued, and all empty ones when too many are kept.
+    fn drop_idle(&mut self, workspace: &WorkspaceId) {
         if self.items.is_empty() {
             self.flows.clear();
             return;
