--- a/crates/limits/src/queue/outcome.rs
+++ b/crates/limits/src/queue/outcome.rs
@@ -1,4 +1,4 @@
-//! What the queue answers.
+//! Outcomes of the queue's operations.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 /// Proof that a request left the queue, or was refused, without being started.
 ///
-/// It can't be copied, and only the queue makes one.
+/// It can't be cloned, and only the queue constructs one.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct NotStarted<K>(K);
@@ -17,12 +17,12 @@
         NotStarted(key)
     }
 
-    /// Returns the request's name.
+    /// Returns the key of the request.
     pub fn key(&self) -> &K {
         &self.0
     }
 
-    /// Returns the request's name and uses the proof up.
+    /// Consumes the proof and returns the key of the request.
     pub fn into_key(self) -> K {
         self.0
     }
@@ -31,94 +31,95 @@
 /// Why a request was refused or shed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Its deadline had passed on arrival.
+    /// The deadline had passed on arrival.
     DeadlinePassed,
-    /// The backlog before it leaves too little time.
+    /// It was predicted to miss its deadline.
     WouldMissDeadline,
-    /// The queue is full and no workspace has more waiting.
+    /// The queue is full, and no flow has a large enough backlog to displace a request from it.
     QueueFull,
-    /// It was the last of the longest flow when a shorter one needed the place.
+    /// It was the last request of the flow with the largest backlog, and was shed from a full queue for another
+    /// request.
     Displaced,
-    /// The upstream takes no more work.
+    /// The upstream is draining and starts no more requests.
     Draining,
 }
 
-/// A request that the queue gives up, to be answered at once.
+/// Request that was refused or shed, to be answered at once.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Shed<K> {
-    /// Proof that it wasn't started.
+    /// Proof that the request wasn't started, with its key.
     pub proof: NotStarted<K>,
-    /// Kind of the answer.
+    /// Error kind to answer with.
     pub kind: Kind,
-    /// Why.
+    /// Why it was refused or shed.
     pub reason: Reason,
-    /// Predicted time until it would have started.
+    /// Predicted time until it would have started; zero where none was predicted.
     pub predicted_wait: Duration,
-    /// When its caller may come back.
+    /// Time after which the caller may retry; zero if the deadline had passed or the upstream is draining.
     pub retry_after: Duration,
 }
 
-/// Answer to a push.
+/// Outcome of [`Queue::push`](super::Queue::push).
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Pushed<K> {
-    /// It waits.
+    /// The request was queued.
     Queued {
         /// Predicted time until it starts.
         start_in: Duration,
-        /// Request that gave its place.
+        /// Request that was shed from a full queue to make room.
         displaced: Option<Shed<K>>,
     },
-    /// It was refused.
+    /// The request was refused.
     Refused(Shed<K>),
-    /// A request of this name waits or runs; nothing was changed.
+    /// A request with this key is queued or running already; nothing was changed.
     Present,
 }
 
-/// A workspace that was not chosen.
+/// Workspace that was next in order after the chosen one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunnerUp {
-    /// Workspace.
+    /// Workspace of the flow.
     pub workspace: WorkspaceId,
-    /// Virtual time at which its head goes.
+    /// Tag of the flow's first request, in virtual time.
     pub tag: i64,
 }
 
-/// A request that goes to the upstream now.
+/// Request to send to the upstream now.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Started<K> {
-    /// The request's name.
+    /// Key of the request.
     pub key: K,
-    /// Workspace that pays.
+    /// Workspace to whose flow it belongs.
     pub workspace: WorkspaceId,
-    /// Time that it waited.
+    /// Time that it spent in the queue.
     pub waited: Duration,
-    /// Virtual time by which it was chosen, the least of all.
+    /// Tag by which it was chosen, in virtual time: the smallest of all flows.
     pub tag: i64,
-    /// Workspaces that come next.
+    /// Workspaces with the next larger tags, smallest first.
     pub runners_up: Vec<RunnerUp>,
 }
 
-/// Answer to a pop.
+/// Outcome of [`Queue::pop`](super::Queue::pop).
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Popped<K> {
     /// Request to start, if any.
     pub started: Option<Started<K>>,
-    /// Requests found to be too late.
+    /// Requests that were shed because they would miss their deadline even if started now.
     pub shed: Vec<Shed<K>>,
 }
 
-/// Answer to a cancellation.
+/// Outcome of [`Queue::cancel`](super::Queue::cancel).
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Cancelled<K> {
-    /// It waited, and will never start.
+    /// The request was queued and will never start.
     Withdrawn(NotStarted<K>),
-    /// It has started; the queue can't stop it.
+    /// The request is running; the queue can't stop it.
     Started,
-    /// The queue doesn't know it.
+    /// No request with this key is queued or running.
     Absent,
 }
