--- a/crates/limits/src/queue/settings.rs
+++ b/crates/limits/src/queue/settings.rs
@@ -1,10 +1,10 @@
-//! Settings of a queue.
+//! Settings of a queue, with a builder.
 
 use std::time::Duration;
 
 use auburnline_core::request::Priority;
 
-/// Settings of a queue.
+/// Bounds and estimates of a queue.
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub(super) max_running: usize,
@@ -16,7 +16,7 @@
 }
 
 impl Settings {
-    /// Returns a builder with the defaults.
+    /// Returns a builder with default values.
     #[must_use]
     pub fn builder() -> Builder {
         Builder(Settings {
@@ -33,12 +33,13 @@
         })
     }
 
-    /// Tokens per weight by which a priority goes before its flow's turn.
+    /// Returns the head start of a priority over other flows, in tokens per unit of weight.
     pub(super) fn head_start(&self, priority: Priority) -> u64 {
         self.head_starts[priority as usize]
     }
 
-    /// Time by which a priority stands behind urgent work of its own flow.
+    /// Returns the time that is added to the arrival of a request in the order of its own flow; zero for urgent
+    /// requests.
     pub(super) fn delay(&self, priority: Priority) -> Duration {
         self.delays[priority as usize]
     }
@@ -49,42 +50,45 @@
 pub struct Builder(Settings);
 
 impl Builder {
-    /// Most requests that run at once, at least 1.
+    /// Sets the maximum number of requests that run at once, at least 1.
     #[must_use]
     pub fn max_running(mut self, requests: usize) -> Self {
         self.0.max_running = requests.max(1);
         self
     }
 
-    /// Most requests that wait.
+    /// Sets the maximum number of queued requests.
     #[must_use]
     pub fn max_queued(mut self, requests: usize) -> Self {
         self.0.max_queued = requests;
         self
     }
 
-    /// First guess of a running request's time for each token charged.
+    /// Sets the initial estimate of a running request's time per token charged.
     #[must_use]
     pub fn pace(mut self, time: Duration) -> Self {
         self.0.token_time = time;
         self
     }
 
-    /// By how much a waiting request's predicted wait may be overrated before it is shed, from 1.
+    /// Sets the factor by which the predicted wait of a queued request may be too long, at least 1: the request is
+    /// shed only if it would be late after the predicted wait divided by this.
     #[must_use]
     pub fn wait_tolerance(mut self, factor: f64) -> Self {
         self.0.wait_tolerance = factor.max(1.0);
         self
     }
 
-    /// Tokens per weight by which normal and urgent work go before their flow's turn.
+    /// Sets the head starts of normal and urgent requests over other flows, in tokens per unit of weight. Batch
+    /// requests have none.
     #[must_use]
     pub fn head_starts(mut self, normal: u64, urgent: u64) -> Self {
         self.0.head_starts = [0, normal, urgent];
         self
     }
 
-    /// Time by which batch and normal work stand behind urgent work of their own flow.
+    /// Sets the times that are added to the arrival of batch and normal requests in the order of their own flow.
+    /// Urgent requests have none.
     #[must_use]
     pub fn delays(mut self, batch: Duration, normal: Duration) -> Self {
         self.0.delays = [batch, normal, Duration::ZERO];
