--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,9 +1,10 @@
-//! Limits of workspaces and overload, as decisions without input, output or clocks.
+//! Limits of workspaces and overload control, without I/O and without reading a clock.
 //!
-//! [`lease`] shares a workspace's token rate among the entries, in pieces that its home entry
-//! grants. [`bucket`] holds an entry's pieces and charges requests to them. [`queue`] orders what
-//! waits at a slot: fair among workspaces by tokens, with priorities that can't starve and shedding
-//! by deadline. Nothing here sends: each decision yields typed messages or outcomes.
+//! [`lease`] shares a workspace's token rate among the entries, in leases that its home entry grants.
+//! [`bucket`] holds an entry's leases and charges requests to them. [`queue`] orders the requests that
+//! wait at a slot: fairly among workspaces by tokens, with priorities that can't starve other work,
+//! and with load shedding by deadline. Nothing here sends: each decision returns typed messages or
+//! outcomes.
 
 pub mod bucket;
 pub mod lease;
