--- a/crates/limits/tests/reserve.rs
+++ b/crates/limits/tests/reserve.rs
@@ -1,4 +1,4 @@
-//! The part of each limit that no home grants, and that every entry has a share of.
+//! Reserve of each limit that no home grants and of which every entry has a share.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 };
 const ENTRIES: usize = 4;
 const TICK: Duration = Duration::from_millis(100);
-/// Tokens of a request: few beside a share of the reserve (500 in a burst, 250 a second).
+/// Tokens of a request: few compared to an entry's share of the reserve (a burst of 500, and 250 per second).
 const COST: u64 = 50;
 
 fn workspace() -> WorkspaceId {
@@ -34,8 +34,8 @@
     reserve
 }
 
-/// Lets time pass as in a running entry, which ticks many times a second.
-fn pass(reserve: &mut Reserve, from: Monotonic, to: Monotonic) {
+/// Advances time in short ticks, as a running entry does.
+fn advance(reserve: &mut Reserve, from: Monotonic, to: Monotonic) {
     let mut now = from;
     while now < to {
         now += TICK;
@@ -43,8 +43,8 @@
     }
 }
 
-/// Spends requests of `COST` until the reserve has no more; returns the tokens.
-fn drain(reserve: &mut Reserve, now: Monotonic) -> u64 {
+/// Spends requests of `COST` until the reserve refuses one; returns the tokens spent.
+fn spend_all(reserve: &mut Reserve, now: Monotonic) -> u64 {
     let mut spent = 0;
     while reserve.spend(now, &workspace(), LIMIT, COST) {
         spent += COST;
@@ -58,9 +58,9 @@
     let start = Settings::default().hold;
     let mut spent = 0;
     for tick in 0..200 {
-        spent += drain(&mut reserve, start + TICK * tick);
+        spent += spend_all(&mut reserve, start + TICK * tick);
     }
-    // A sixteenth of 16,000 a second over four entries, for twenty seconds.
+    // 20 s at an entry's rate: a sixteenth of 16,000 tokens per second, split over four entries.
     expect_that!(spent, all!(gt(4_500), le(5_500)));
 }
 
@@ -99,12 +99,12 @@
             let grants = home.ask(now, view, &asker, &ask, |_| Some(LIMIT));
             let granted = grants.iter().flat_map(|grants| &grants.grants);
             spent += granted.map(|grant| grant.tokens).sum::<u64>();
-            spent += drain(reserve, now);
+            spent += spend_all(reserve, now);
         }
         let seconds = u64::from(tick) / 10 + 1;
         assert_that!(spent, le(LIMIT.burst + LIMIT.rate * seconds));
     }
-    // Nearly all of it can be used: sixty seconds less the first hold.
+    // The run takes 60 s. Nothing is granted in the first hold time; nearly all of the rest can be used.
     expect_that!(spent, ge(LIMIT.rate * 50));
 }
 
@@ -112,23 +112,23 @@
 fn a_share_that_grows_is_given_a_hold_later() {
     let hold = Settings::default().hold;
     let mut reserve = reserve(ENTRIES);
-    pass(&mut reserve, Monotonic::ZERO, hold / 2);
-    expect_that!(drain(&mut reserve, hold / 2), eq(0));
+    advance(&mut reserve, Monotonic::ZERO, hold / 2);
+    expect_that!(spend_all(&mut reserve, hold / 2), eq(0));
     let now = hold * 10;
-    pass(&mut reserve, hold / 2, now);
-    expect_that!(drain(&mut reserve, now), eq(500));
-    // Half of the entries leave the list, but some may not know it yet.
+    advance(&mut reserve, hold / 2, now);
+    expect_that!(spend_all(&mut reserve, now), eq(500));
+    // Half of the entries are no longer published, but some entries may not know that yet.
     reserve.observe(now, ENTRIES / 2);
-    expect_that!(drain(&mut reserve, now + hold / 2), le(500));
-    pass(&mut reserve, now + hold / 2, now + hold * 10);
-    expect_that!(drain(&mut reserve, now + hold * 10), eq(1_000));
+    expect_that!(spend_all(&mut reserve, now + hold / 2), le(500));
+    advance(&mut reserve, now + hold / 2, now + hold * 10);
+    expect_that!(spend_all(&mut reserve, now + hold * 10), eq(1_000));
 }
 
 #[gtest]
 fn a_request_beyond_the_share_is_never_paid() {
     let mut reserve = reserve(ENTRIES);
     let later = Settings::default().hold * 10;
-    pass(&mut reserve, Monotonic::ZERO, later);
+    advance(&mut reserve, Monotonic::ZERO, later);
     expect_that!(reserve.spend(later, &workspace(), LIMIT, 501), is_false());
     expect_that!(reserve.spend(later, &workspace(), LIMIT, 500), is_true());
 }
