--- a/crates/limits/tests/bucket.rs
+++ b/crates/limits/tests/bucket.rs
@@ -1,4 +1,4 @@
-//! What an entry does with its pieces.
+//! What an entry does with its leases: charges, credits, refusals and returned tokens.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     view
 }
 
-/// Asks for one request of `tokens`.
+/// Charges a request of `tokens`, which must wait for a grant, and returns the ask that is sent for it.
 fn ask(holder: &mut Holder, now: Duration, tokens: u64) -> Ask {
     let verdict = holder.charge(now, &workspace(), tokens);
     assert_true!(matches!(verdict, Verdict::Pending(_)));
@@ -66,7 +66,7 @@
     let asked = ask(&mut holder, START, 500);
     holder.granted(START, &answer(&asked, 0, Duration::from_secs(3)));
     let Verdict::Refused(refusal) = holder.charge(START, &workspace(), 500) else {
-        panic!("the home has nothing");
+        panic!("the home refused the need");
     };
     expect_that!(refusal.kind, eq(Kind::LimitExceeded));
     expect_that!(refusal.retry_after, eq(Duration::from_secs(3)));
@@ -74,14 +74,15 @@
     expect_true!(matches!(smaller, Verdict::Pending(_)));
 }
 
-/// Callers are told whole milliseconds: a part of one would read as none, and so as "at once".
+/// Callers get the retry time in whole milliseconds, so a shorter one would be rounded down to zero and read as "at
+/// once".
 #[gtest]
 fn a_refusal_never_tells_to_come_back_at_once() {
     let mut holder = Holder::new(Settings::default(), 1);
     let asked = ask(&mut holder, START, 500);
     holder.granted(START, &answer(&asked, 0, Duration::from_micros(300)));
     let Verdict::Refused(refusal) = holder.charge(START, &workspace(), 500) else {
-        panic!("the home has nothing");
+        panic!("the home refused the need");
     };
     expect_that!(refusal.retry_after, ge(Duration::from_millis(1)));
 }
@@ -119,7 +120,7 @@
     let charge = admitted(holder.resume(START, &workspace(), 500, START));
     expect_that!(holder.on_hand(START, &workspace()), eq(0));
     let done = START + Duration::from_secs(1);
-    holder.credit(done, charge.expect("a grant for it"), 200);
+    holder.credit(done, charge.expect("the grant covers the request"), 200);
     expect_that!(holder.on_hand(done, &workspace()), eq(300));
     let asks = holder.asks(done + Duration::from_millis(1_600), &view());
     expect_that!(asks[0].1.wants[0].returned, eq(300));
