--- a/crates/limits/tests/lease.rs
+++ b/crates/limits/tests/lease.rs
@@ -1,4 +1,5 @@
-//! The sum of what all entries spend stays within the limit, whatever happens to them.
+//! Random simulations: the tokens that all entries spend stay within the limit and its declared bound while entries
+//! restart, the network is partitioned, and messages are lost, delayed and duplicated.
 
 use std::env;
 use std::time::Duration;
