--- a/crates/limits/tests/queue.rs
+++ b/crates/limits/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Random runs of the queue, and the promises that they check.
+//! Random runs of the queue that check its invariants, and cases of single rules.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -39,11 +39,11 @@
     }
 }
 
-fn small() -> Queue<u64> {
+fn small_queue() -> Queue<u64> {
     Queue::new(Settings::builder().max_running(1).max_queued(4).build())
 }
 
-/// What a run did to each key.
+/// Keys that a run started and gave up, with a log of the outcomes of all pops.
 #[derive(Default)]
 struct Trace {
     started: BTreeSet<u64>,
@@ -147,7 +147,7 @@
 
 #[gtest]
 fn a_cancelled_request_is_withdrawn_once_and_a_started_one_is_not() {
-    let mut queue = small();
+    let mut queue = small_queue();
     let _ = queue.push(Duration::ZERO, request(1, "a", 10));
     let _ = queue.push(Duration::ZERO, request(2, "a", 10));
     expect_true!(queue.pop(Duration::ZERO).started.is_some());
@@ -160,7 +160,7 @@
 
 #[gtest]
 fn a_present_key_is_never_proved_unstarted() {
-    let mut queue = small();
+    let mut queue = small_queue();
     let _ = queue.push(Duration::ZERO, request(1, "a", 10));
     expect_that!(
         queue.push(Duration::ZERO, request(1, "a", 10)),
@@ -175,38 +175,38 @@
 
 #[gtest]
 fn a_full_queue_takes_the_place_of_the_longest_flow() {
-    let mut queue = small();
+    let mut queue = small_queue();
     for key in 0..4 {
         let _ = queue.push(Duration::ZERO, request(key, "big", 100));
     }
     let Pushed::Queued { displaced, .. } = queue.push(Duration::ZERO, request(9, "new", 100))
     else {
-        panic!("the new workspace gets a place");
+        panic!("the new workspace's request is queued");
     };
-    let displaced = displaced.expect("someone gave the place");
+    let displaced = displaced.expect("a request was displaced");
     expect_that!(displaced.reason, eq(Reason::Displaced));
     expect_that!(*displaced.proof.key(), eq(3));
     let Pushed::Refused(refused) = queue.push(Duration::ZERO, request(10, "big", 100)) else {
-        panic!("the longest flow gets no more");
+        panic!("the flow with the largest backlog is refused");
     };
     expect_that!(refused.reason, eq(Reason::QueueFull));
 }
 
 #[gtest]
 fn a_request_that_would_be_late_is_refused_at_once() {
-    let mut queue = small();
+    let mut queue = small_queue();
     let _ = queue.push(Duration::ZERO, request(1, "a", 10_000));
     let _ = queue.pop(Duration::ZERO);
     let mut late = request(2, "b", 100);
     late.deadline = Duration::from_secs(2);
     let Pushed::Refused(refused) = queue.push(Duration::ZERO, late) else {
-        panic!("ten seconds stand before it");
+        panic!("the predicted wait of 10 s exceeds the deadline");
     };
     expect_that!(refused.reason, eq(Reason::WouldMissDeadline));
     expect_that!(refused.retry_after, gt(Duration::from_secs(2)));
 }
 
-/// Tokens that each workspace was served while all of them kept the queue full.
+/// Returns the tokens that each workspace was served while all of them had requests queued all the time.
 fn served(weights: &[u32], priorities: &[Priority]) -> BTreeMap<usize, u64> {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let settings = Settings::builder().max_running(4).max_queued(1000);
@@ -236,7 +236,10 @@
             let key: u64 = running.remove(rng.random_range(0..4));
             queue.finish(now, &key, keys[&key].1);
         }
-        let started = queue.pop(now).started.expect("a place and work");
+        let started = queue
+            .pop(now)
+            .started
+            .expect("a free place and a queued request");
         let (flow, tokens) = keys[&started.key];
         waiting[flow] -= 1;
         running.push(started.key);
@@ -276,7 +279,7 @@
         let mut urgent = request(key, "a", 10);
         urgent.priority = Priority::Urgent;
         let _ = queue.push(now, urgent);
-        let started = queue.pop(now).started.expect("work waits").key;
+        let started = queue.pop(now).started.expect("requests are queued").key;
         queue.finish(now, &started, 10);
         if started == 0 {
             expect_that!(key, le(9));
@@ -286,7 +289,8 @@
     panic!("the batch request starved");
 }
 
-/// Starts of 400 requests, one each 200 ms, after every place had stalled.
+/// Returns how many of 400 requests, one every 200 ms, are started after 40 earlier requests took two minutes each,
+/// which leaves a service time in the estimate that no deadline allows.
 fn starts_after_a_stall(max_running: usize) -> usize {
     let mut queue = Queue::new(Settings::builder().max_running(max_running).build());
     let mut now = Duration::ZERO;
