--- a/crates/limits/examples/cost.rs
+++ b/crates/limits/examples/cost.rs
@@ -1,9 +1,9 @@
-//! Prints time and memory of each operation against the number of workspaces.
+//! Prints the time of each operation, and the memory of each component, by number of workspaces.
 //!
 //! `cargo run --release -p auburnline-limits --example cost [-- --csv]`
 //!
-//! Memory is the growth of the resident set over several copies, so it holds the allocator's loss;
-//! it is taken first, and nothing is freed, so that no copy takes the place of another.
+//! Memory is the growth of the resident set over several copies, so it includes the allocator's
+//! overhead. It is measured first and nothing is freed, so that no copy reuses freed memory.
 
 use std::collections::BTreeSet;
 use std::env;
@@ -28,21 +28,21 @@
 use auburnline_limits::queue::Queue;
 use auburnline_limits::queue::Waiting;
 
-/// Workspaces of each row.
+/// Numbers of workspaces, one for each column.
 const SIZES: [usize; 4] = [10, 100, 650, 2_600];
-/// Published entries.
+/// Number of published entries.
 const ENTRIES: usize = 340;
-/// Calls that one figure is the mean of.
+/// Number of calls over which the shorter operations are averaged.
 const ROUNDS: usize = 20_000;
-/// Copies that memory is the mean of.
+/// Number of copies over which memory is averaged at the largest size; smaller sizes have more.
 const COPIES: usize = 40;
-/// Mean nanoseconds of an operation with so many workspaces.
+/// Returns the mean nanoseconds of an operation with a number of workspaces.
 type Measure = fn(usize) -> f64;
 
-/// Bytes of a page.
+/// Bytes of a memory page.
 const PAGE: f64 = 4_096.0;
 
-/// Limit that is never reached.
+/// Limit that no measurement reaches.
 const LIMIT: Limit = Limit {
     rate: 1_000_000_000,
     burst: 1_000_000_000,
@@ -51,8 +51,8 @@
 fn main() {
     let csv = env::args().any(|argument| argument == "--csv");
     print(csv, "operation", &SIZES.map(|size| size.to_string()));
-    for (what, name) in ["queue B", "holder B", "home B"].into_iter().enumerate() {
-        let cells = SIZES.map(|size| format!("{:.0}", memory(what, size)));
+    for (component, name) in ["queue B", "holder B", "home B"].into_iter().enumerate() {
+        let cells = SIZES.map(|size| format!("{:.0}", memory(component, size)));
         print(csv, &format!("{name}/workspace"), &cells);
     }
     let rows: [(&str, Measure); 7] = [
@@ -82,7 +82,7 @@
     println!("{name:<28}{}", cells.join(""));
 }
 
-/// Mean nanoseconds of `rounds` calls.
+/// Returns the mean nanoseconds of `rounds` calls.
 #[expect(clippy::cast_precision_loss, reason = "a mean")]
 fn time(rounds: usize, mut call: impl FnMut(usize)) -> f64 {
     let start = Instant::now();
@@ -111,7 +111,7 @@
     }
 }
 
-/// A queue in which one request of each workspace waits.
+/// Returns a queue that holds one request of each workspace.
 fn full_queue(size: usize) -> Queue<u64> {
     let settings = queue::Settings::builder().max_queued(size + 1);
     let settings = settings.pace(Duration::from_nanos(1)).build();
@@ -153,7 +153,7 @@
     view
 }
 
-/// A view of one entry, which is the home of all.
+/// Returns a view with a single entry, which is the home of every workspace.
 fn lone_view() -> View {
     let alone = BTreeSet::from([entry(0)]);
     let mut view = View::new(Duration::ZERO, entry(0), Settings::default().hold);
@@ -162,7 +162,7 @@
     view
 }
 
-/// An entry that holds a piece of each workspace.
+/// Returns a holder with a lease of each workspace.
 fn full_holder(size: usize) -> Holder {
     let now = Duration::from_mins(2);
     let view = lone_view();
@@ -225,7 +225,7 @@
     whole / f64::from(u32::try_from(size).unwrap_or(u32::MAX))
 }
 
-/// A home that keeps a bucket of each workspace.
+/// Returns a home with a bucket of each workspace.
 fn full_home(size: usize) -> Home {
     let view = lone_view();
     let mut home = Home::new(Settings::default());
@@ -262,28 +262,30 @@
     })
 }
 
+/// Returns the bytes of this process's resident set.
 fn resident() -> f64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|field| field.parse().ok());
     pages.unwrap_or(0.0) * PAGE
 }
 
-/// Resident bytes of one workspace's state: queue, holder or home.
-fn memory(what: usize, size: usize) -> f64 {
+/// Returns the resident bytes per workspace of a component: 0 is the queue, 1 the holder, 2 the home.
+fn memory(component: usize, size: usize) -> f64 {
     let before = resident();
     let copies = COPIES * 2_600 / size;
-    match what {
-        0 => keep((0..copies).map(|_| full_queue(size)), before, size),
-        1 => keep((0..copies).map(|_| full_holder(size)), before, size),
-        _ => keep((0..copies).map(|_| full_home(size)), before, size),
+    match component {
+        0 => measure_growth((0..copies).map(|_| full_queue(size)), before, size),
+        1 => measure_growth((0..copies).map(|_| full_holder(size)), before, size),
+        _ => measure_growth((0..copies).map(|_| full_home(size)), before, size),
     }
 }
 
+/// Returns the resident bytes per workspace of `copies`, and leaks them.
 #[expect(clippy::cast_precision_loss, reason = "a mean")]
-fn keep<T>(copies: impl Iterator<Item = T>, before: f64, size: usize) -> f64 {
-    let kept: Vec<T> = copies.collect();
-    let grown = resident() - before;
-    let bytes = grown / (kept.len() * size) as f64;
-    mem::forget(kept);
+fn measure_growth<T>(copies: impl Iterator<Item = T>, before: f64, size: usize) -> f64 {
+    let leaked: Vec<T> = copies.collect();
+    let growth = resident() - before;
+    let bytes = growth / (leaked.len() * size) as f64;
+    mem::forget(leaked);
     bytes
 }
