--- a/crates/limits/examples/table/main.rs
+++ b/crates/limits/examples/table/main.rs
@@ -1,4 +1,5 @@
-//! Prints how well each way to share limits holds them, and what a queue keeps under overload.
+//! Prints how well each policy of sharing limits keeps within them, and what share of requests a queue serves in
+//! time under overload.
 //!
 //! `cargo run --release -p auburnline-limits --example table -- [--csv] [--overload | --limits | --full] [seed]`
 
@@ -25,7 +26,7 @@
 use world::Policy;
 use world::World;
 
-/// Prints one row, aligned or separated by commas.
+/// Prints one row, in aligned columns or as CSV.
 fn print(csv: bool, cells: &[String]) {
     if csv {
         println!("{}", cells.join(","));
@@ -35,7 +36,7 @@
     println!("{}", line.join(" "));
 }
 
-fn titles(csv: bool, titles: &[&str]) {
+fn print_titles(csv: bool, titles: &[&str]) {
     let cells: Vec<String> = titles.iter().map(ToString::to_string).collect();
     print(csv, &cells);
 }
@@ -59,7 +60,7 @@
 }
 
 fn limits(csv: bool, seed: u64, full_only: bool) {
-    titles(
+    print_titles(
         csv,
         &[
             "callers",
@@ -129,7 +130,7 @@
 }
 
 fn overload(csv: bool, seed: u64) {
-    titles(
+    print_titles(
         csv,
         &[
             "load",
