--- a/crates/limits/examples/table/overload.rs
+++ b/crates/limits/examples/table/overload.rs
@@ -1,4 +1,4 @@
-//! One upstream under load: the fair queue against a plain queue that sheds nothing.
+//! Simulation of one upstream under load, with the fair queue or with a FIFO queue that sheds nothing.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -14,43 +14,44 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Requests that the upstream runs at once.
-const PLACES: usize = 32;
-/// Time for a token that is used.
-const TOKEN: Duration = Duration::from_millis(3);
-/// Workspaces; the first sends half of all work.
+/// Maximum number of requests that the upstream runs at once.
+const MAX_RUNNING: usize = 32;
+/// Service time of each token used.
+const TOKEN_TIME: Duration = Duration::from_millis(3);
+/// Number of workspaces; the first sends half of all requests.
 const WORKSPACES: usize = 50;
-/// Length of a run and the part before the measurement.
+/// Length of a run, in seconds.
 const SECONDS: u64 = 130;
+/// Time before the measurement starts.
 const WARM_UP: Duration = Duration::from_secs(10);
-/// Mean tokens that a request uses.
-const MEAN_USED: f64 = 550.0 * 2.0 / 3.0;
+/// Mean number of tokens that a request uses: two thirds of the mean of 550 charged.
+const MEAN_USED_TOKENS: f64 = 550.0 * 2.0 / 3.0;
 
-/// Order of service.
+/// Order in which requests are served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Order {
-    /// The fair queue.
+    /// The fair queue, which sheds by deadline.
     Fair,
-    /// First come, first served; nothing is shed.
+    /// FIFO; nothing is shed.
     Plain,
 }
 
-/// What a run showed.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
-    /// Used tokens of requests that ended in time, over what the upstream can do.
+    /// Used tokens of requests that finished in time, divided by the upstream's capacity.
     pub(crate) in_time_share: f64,
-    /// Used tokens of requests that ended late, over what the upstream can do.
+    /// Used tokens of requests that finished late, divided by the upstream's capacity.
     pub(crate) late_share: f64,
-    /// Share of small workspaces' tokens that ended in time; the least served of them.
+    /// Smallest share, over the small workspaces, of a workspace's tokens that finished in time.
     pub(crate) least_served_share: f64,
-    /// Share of the large workspace's tokens that ended in time.
+    /// Share of the large workspace's tokens that finished in time.
     pub(crate) large_share: f64,
-    /// Share of the requests given up that were answered on arrival.
+    /// Share of the refused and shed requests that were answered on arrival.
     pub(crate) immediate_share: f64,
-    /// Time until 99 of 100 requests given up were answered, in ms.
+    /// 99th percentile of the time until a refused or shed request was answered, in milliseconds.
     pub(crate) p99_answer_ms: f64,
-    /// Share of urgent requests that ended in time.
+    /// Share of urgent requests that finished in time.
     pub(crate) urgent_share: f64,
 }
 
@@ -120,7 +121,7 @@
     }
 
     fn start(&mut self, now: Duration) {
-        while self.running.len() < PLACES {
+        while self.running.len() < MAX_RUNNING {
             let next = match self.order {
                 Order::Plain => self.plain.pop_front(),
                 Order::Fair => {
@@ -132,17 +133,17 @@
             let Some(key) = next else {
                 return;
             };
-            let takes = TOKEN * self.jobs[key as usize].used as u32;
-            self.running.insert((now + takes, key), key);
+            let service_time = TOKEN_TIME * self.jobs[key as usize].used as u32;
+            self.running.insert((now + service_time, key), key);
         }
     }
 }
 
-/// Runs one upstream at `load` times what it can do.
+/// Simulates one upstream at `load` times its capacity.
 pub(crate) fn run(seed: u64, order: Order, load: f64, wait_tolerance: f64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let settings = Settings::builder()
-        .max_running(PLACES)
+        .max_running(MAX_RUNNING)
         .wait_tolerance(wait_tolerance)
         .build();
     let mut upstream = Upstream {
@@ -154,8 +155,8 @@
         done: BTreeMap::new(),
         answers: Vec::new(),
     };
-    let capacity = PLACES as f64 / TOKEN.as_secs_f64();
-    let gap = MEAN_USED / (capacity * load);
+    let capacity = MAX_RUNNING as f64 / TOKEN_TIME.as_secs_f64();
+    let gap = MEAN_USED_TOKENS / (capacity * load);
     let mut next = 0.0;
     for millis in 0..SECONDS * 1_000 {
         let now = Duration::from_millis(millis);
@@ -218,15 +219,15 @@
             urgent_served += u32::from(is_urgent && in_time);
         }
     }
-    let able = capacity * (end.saturating_sub(WARM_UP)).as_secs_f64();
+    let capacity_tokens = capacity * (end.saturating_sub(WARM_UP)).as_secs_f64();
     let share = |index: usize| served[index] as f64 / (asked[index] as f64).max(1.0);
     let mut answers = upstream.answers.clone();
     answers.sort_unstable();
     let at_once = answers.iter().filter(|time| time.is_zero()).count();
     let answer = answers.get(answers.len() * 99 / 100).copied();
     Outcome {
-        in_time_share: useful as f64 / able,
-        late_share: late as f64 / able,
+        in_time_share: useful as f64 / capacity_tokens,
+        late_share: late as f64 / capacity_tokens,
         least_served_share: (1..WORKSPACES).map(share).fold(1.0, f64::min),
         large_share: share(0),
         immediate_share: at_once as f64 / answers.len().max(1) as f64,
