--- a/crates/limits/examples/table/world.rs
+++ b/crates/limits/examples/table/world.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet of entries: views with skew, messages with delay, loss and doubling.
+//! Simulation of entries: their views change at different times, and messages are delayed, lost and duplicated.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,45 +20,46 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Step of simulated time.
+/// Simulated time of one step.
 pub(crate) const STEP: Duration = Duration::from_millis(10);
-/// Least and most time until an entry sees a change of the fleet, in milliseconds.
+/// Minimum and maximum time until an entry detects a change of the other entries, in milliseconds.
 const DETECTION: [u64; 2] = [500, 2_000];
-/// Time before use and refusals are counted.
+/// Time before the measurement of use and refusals starts.
 const WARM_UP: Duration = Duration::from_secs(10);
-/// Least and most cost of a request in tokens.
+/// Minimum and maximum tokens charged for a request.
 pub(crate) const COST: [u64; 2] = [100, 1_000];
-/// Bytes of a message's frame and head, and of one workspace in it.
+/// Bytes of a message's frame and header.
 const MESSAGE_BYTES: u64 = 90;
+/// Bytes of one workspace in a message.
 const WANT_BYTES: u64 = 40;
 
 /// How entries share a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Policy {
-    /// Leases from a home.
+    /// Homes grant leases.
     Leases,
-    /// The same part of the limit at each entry.
+    /// Each entry enforces an equal fraction of the limit.
     Split,
-    /// The whole limit at each entry.
+    /// Each entry enforces the whole limit by itself.
     Alone,
 }
 
-/// What goes wrong in a run.
+/// Faults that are injected into a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Nothing.
+    /// No faults.
     Calm,
-    /// An entry is killed or comes back every four seconds.
+    /// Every four seconds an entry is killed, and the one killed before is restarted.
     Churn,
-    /// Two fifths of the entries are cut off from 20 s to 40 s.
+    /// Two fifths of the entries are partitioned from the rest from 20 s to 40 s.
     Partition,
-    /// Both.
+    /// Churn and a partition.
     Both,
-    /// From 20 s to 40 s two fifths of the entries don't see the rest, which see them.
+    /// From 20 s to 40 s two fifths of the entries don't see the rest, but the rest sees them.
     OneSided,
 }
 
-/// One run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub(crate) seed: u64,
@@ -68,35 +69,36 @@
     pub(crate) requests_per_second: f64,
     pub(crate) policy: Policy,
     pub(crate) fault: Fault,
-    /// Share of a workspace's requests that come through one entry.
+    /// Share of a workspace's requests that always go to its preferred entry.
     pub(crate) skew: f64,
-    /// Entries that a workspace's callers use, from its favourite on.
+    /// Number of entries that a workspace's other requests go to, starting at the preferred one.
     pub(crate) entries_per_workspace: usize,
     pub(crate) settings: Settings,
-    /// Messages lost and doubled, of a hundred.
+    /// Probability that a message is lost, that it is duplicated, and that it is delayed for up to 3 s, in percent
+    /// each.
     pub(crate) message_fault_percent: u32,
-    /// Planted fault: a home takes what it sees for all that is published.
+    /// Injected defect: an entry takes the entries that it sees for all published ones.
     pub(crate) ignores_published: bool,
-    /// Whether the sum of parts is looked at.
+    /// Whether the sum of the homes' shares is computed at each step.
     pub(crate) audit: bool,
 }
 
-/// What a run showed.
+/// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Outcome {
-    /// Worst use beyond a token bucket of the limit, in seconds of the rate.
+    /// Largest use beyond a token bucket of the limit, in seconds at the limit's rate.
     pub(crate) overshoot: f64,
-    /// Worst use beyond the bucket and the declared bound, in tokens.
+    /// Largest use beyond that bucket and the declared bound (the tokens of one lease time), in tokens.
     pub(crate) beyond_bound: f64,
-    /// Worst sum of all homes' grants beyond the bucket, in tokens.
+    /// Largest sum of grants of all homes, and of tokens spent from reserves, beyond the bucket, in tokens.
     pub(crate) beyond_grants: f64,
-    /// Worst sum of the parts of one limit that homes may grant at one instant, in millionths.
+    /// Largest sum of the shares of one limit that homes may grant at the same time, in millionths.
     pub(crate) max_share_ppm: u64,
-    /// Share of the usable limit that was not used by workspaces that asked for more.
+    /// Share of the limits of overloaded workspaces that was not used.
     pub(crate) unused: f64,
-    /// Share of requests refused to workspaces that asked for less than their limit.
+    /// Share of the tokens requested by other workspaces, which stay below their limit, that was refused.
     pub(crate) wrongly_refused: f64,
-    /// Bytes a second that an entry sends and receives for leases: mean and worst.
+    /// Bytes per second that an entry sends and receives for leases: mean and maximum over entries.
     pub(crate) bytes: [f64; 2],
 }
 
@@ -108,7 +110,7 @@
 struct Node {
     id: InstanceId,
     up: bool,
-    side: u8,
+    partition: u8,
     view: View,
     home: Home,
     holder: Holder,
@@ -119,36 +121,42 @@
     bytes: u64,
 }
 
-/// A workspace's account in truth: a token bucket that all entries together must respect.
-struct Truth {
+/// Reference state of one workspace: token buckets that the use of all entries together is checked against.
+struct Reference {
     name: WorkspaceId,
     limit: Limit,
+    /// Whether requests need twice the limit rather than half of it.
     hot: bool,
-    favourite: usize,
+    preferred: usize,
+    /// Mean requests per second.
     arrivals: f64,
+    /// Bucket of the limit; negative where use exceeds it.
     level: f64,
-    bounded: f64,
-    net: f64,
+    /// Bucket of the limit plus the declared bound.
+    bounded_level: f64,
+    /// Tokens charged less tokens credited.
+    net_use: f64,
     offered: u64,
     refused: u64,
-    /// Bucket of what homes grant and take back.
-    granted: f64,
+    /// Bucket of what homes grant and get back, and of what is spent from reserves.
+    granted_level: f64,
     worst: f64,
     worst_bounded: f64,
     worst_granted: f64,
-    /// Use before the measurement starts.
+    /// `net_use` at the start of the measurement.
     before: f64,
 }
 
-/// A simulated fleet.
+/// Simulation of all entries and workspaces.
 pub(crate) struct World {
     plan: Plan,
     rng: ChaCha8Rng,
     now: Duration,
     nodes: Vec<Node>,
-    truths: Vec<Truth>,
-    mail: BTreeMap<(Duration, u64), (usize, usize, Body)>,
-    posted: u64,
+    references: Vec<Reference>,
+    messages: BTreeMap<(Duration, u64), (usize, usize, Body)>,
+    /// Number of messages and credits so far; makes their keys unique.
+    sequence: u64,
     credits: BTreeMap<(Duration, u64), (usize, usize, Paid, u64)>,
     published: BTreeSet<InstanceId>,
     max_share_ppm: u64,
@@ -172,40 +180,40 @@
             .iter()
             .map(|id| Node::new(id, Duration::ZERO, &plan, rng.random()))
             .collect();
-        let truths = (0..plan.workspaces)
-            .map(|index| Truth::new(index, &plan, &mut rng))
+        let references = (0..plan.workspaces)
+            .map(|index| Reference::new(index, &plan, &mut rng))
             .collect();
         let mut world = World {
             plan,
             rng,
             now: Duration::ZERO,
             nodes,
-            truths,
-            mail: BTreeMap::new(),
-            posted: 0,
+            references,
+            messages: BTreeMap::new(),
+            sequence: 0,
             credits: BTreeMap::new(),
             published,
             max_share_ppm: 0,
             one_sided: false,
         };
         for index in 0..world.nodes.len() {
-            world.see(index, Duration::ZERO);
+            world.schedule_view(index, Duration::ZERO);
         }
         world
     }
 
-    /// Runs the plan to its end.
+    /// Runs the simulation to the end of the plan.
     pub(crate) fn run(mut self) -> Outcome {
         let end = Duration::from_secs(self.plan.seconds);
         while self.now < end {
             self.now += STEP;
-            self.disturb();
+            self.inject_faults();
             self.refill();
             self.deliver();
-            self.repay();
-            self.arrive();
+            self.apply_credits();
+            self.generate_requests();
             for index in 0..self.nodes.len() {
-                self.turn(index);
+                self.step(index);
             }
             if self.plan.audit {
                 self.audit();
@@ -214,17 +222,18 @@
         self.outcome()
     }
 
-    /// Adds up what all homes may grant of each limit.
+    /// Records the sum of the shares that all homes may grant of each limit now.
     fn audit(&mut self) {
-        for truth in &self.truths {
+        for reference in &self.references {
             let up = self.nodes.iter().filter(|node| node.up);
-            let homes = up.filter(|node| node.view.share() > 0 && node.view.is_home(&truth.name));
+            let homes =
+                up.filter(|node| node.view.share() > 0 && node.view.is_home(&reference.name));
             let share_ppm = homes.map(|node| node.view.share()).sum();
             self.max_share_ppm = self.max_share_ppm.max(share_ppm);
         }
     }
 
-    fn disturb(&mut self) {
+    fn inject_faults(&mut self) {
         let tick = self.now.as_millis() / STEP.as_millis();
         let churns = matches!(self.plan.fault, Fault::Churn | Fault::Both);
         let splits = matches!(self.plan.fault, Fault::Partition | Fault::Both);
@@ -239,42 +248,42 @@
             changed = true;
         }
         if splits && (tick == 2_000 || tick == 4_000) {
-            let cut = self.nodes.len() * 2 / 5;
-            for node in &mut self.nodes[..cut] {
-                node.side ^= 1;
+            let minority = self.nodes.len() * 2 / 5;
+            for node in &mut self.nodes[..minority] {
+                node.partition ^= 1;
             }
             changed = true;
         }
         if changed {
             for index in 0..self.nodes.len() {
                 let delay = self.rng.random_range(DETECTION[0]..DETECTION[1]);
-                self.see(index, Duration::from_millis(delay));
+                self.schedule_view(index, Duration::from_millis(delay));
             }
         }
     }
 
-    /// Brings back the entry that is down, and kills another.
+    /// Restarts the entry that is down, and kills a random one.
     fn restart(&mut self) {
         let chosen = self.rng.random_range(0..self.nodes.len());
         for index in 0..self.nodes.len() {
             if index == chosen || !self.nodes[index].up {
-                let side = self.nodes[index].side;
+                let partition = self.nodes[index].partition;
                 let id = self.nodes[index].id.clone();
                 self.nodes[index] = Node::new(&id, self.now, &self.plan, self.rng.random());
                 self.nodes[index].up = index != chosen;
-                self.nodes[index].side = side;
+                self.nodes[index].partition = partition;
             }
         }
     }
 
-    /// Plans the entry's next view: all that are up on its side.
-    fn see(&mut self, index: usize, delay: Duration) {
-        let side = self.nodes[index].side;
-        let cut = self.nodes.len() * 2 / 5;
-        let hidden = self.one_sided && index < cut;
-        let last = if hidden { cut } else { self.nodes.len() };
+    /// Schedules an entry's next view: the entries that are up in its partition and not hidden from it.
+    fn schedule_view(&mut self, index: usize, delay: Duration) {
+        let partition = self.nodes[index].partition;
+        let minority = self.nodes.len() * 2 / 5;
+        let hidden = self.one_sided && index < minority;
+        let last = if hidden { minority } else { self.nodes.len() };
         let nodes = self.nodes[..last].iter();
-        let seen = nodes.filter(|node| node.up && node.side == side);
+        let seen = nodes.filter(|node| node.up && node.partition == partition);
         let live = seen.map(|node| node.id.clone()).collect();
         let at = self.now + delay;
         self.nodes[index].views.push((at, live));
@@ -283,27 +292,28 @@
     fn refill(&mut self) {
         let step = STEP.as_secs_f64();
         let lease = self.plan.settings.lease.as_secs_f64();
-        for truth in &mut self.truths {
-            let rate = truth.limit.rate as f64;
-            let cap = truth.limit.burst as f64;
-            truth.level = (truth.level + rate * step).min(cap);
-            truth.bounded = (truth.bounded + rate * step).min(cap + rate * lease);
-            truth.granted = (truth.granted + rate * step).min(cap);
+        for reference in &mut self.references {
+            let rate = reference.limit.rate as f64;
+            let cap = reference.limit.burst as f64;
+            reference.level = (reference.level + rate * step).min(cap);
+            reference.bounded_level =
+                (reference.bounded_level + rate * step).min(cap + rate * lease);
+            reference.granted_level = (reference.granted_level + rate * step).min(cap);
             if self.now == WARM_UP {
-                truth.before = truth.net;
-                truth.offered = 0;
-                truth.refused = 0;
+                reference.before = reference.net_use;
+                reference.offered = 0;
+                reference.refused = 0;
             }
         }
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.mail.first_entry() {
+        while let Some(entry) = self.messages.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
             let (from, to, body) = entry.remove();
-            let reachable = self.nodes[from].side == self.nodes[to].side;
+            let reachable = self.nodes[from].partition == self.nodes[to].partition;
             if reachable && self.nodes[to].up {
                 self.receive(from, to, &body);
             }
@@ -317,74 +327,74 @@
         match body {
             Body::Grants(grants) => node.holder.granted(self.now, grants),
             Body::Ask(ask) => {
-                let truths = &self.truths;
-                let limit = |name: &WorkspaceId| Some(truths[index_of(name)].limit);
+                let references = &self.references;
+                let limit = |name: &WorkspaceId| Some(references[index_of(name)].limit);
                 node.view.tick(self.now);
                 let grants = node.home.ask(self.now, &node.view, &sender, ask, limit);
                 if let Some(grants) = &grants {
-                    self.count(ask, grants);
+                    self.count_grants(ask, grants);
                 }
                 if let Some(grants) = grants.filter(|grants| !grants.grants.is_empty()) {
-                    self.post(to, from, Body::Grants(grants));
+                    self.send(to, from, Body::Grants(grants));
                 }
             }
         }
     }
 
-    fn count(&mut self, ask: &Ask, grants: &Grants) {
+    fn count_grants(&mut self, ask: &Ask, grants: &Grants) {
         for want in &ask.wants {
-            let truth = &mut self.truths[index_of(&want.workspace)];
-            let level = truth.granted + want.returned as f64;
-            truth.granted = level.min(truth.limit.burst as f64);
+            let reference = &mut self.references[index_of(&want.workspace)];
+            let level = reference.granted_level + want.returned as f64;
+            reference.granted_level = level.min(reference.limit.burst as f64);
         }
         for grant in &grants.grants {
-            let truth = &mut self.truths[index_of(&grant.workspace)];
-            truth.granted -= grant.tokens as f64;
-            truth.worst_granted = truth.worst_granted.max(-truth.granted);
+            let reference = &mut self.references[index_of(&grant.workspace)];
+            reference.granted_level -= grant.tokens as f64;
+            reference.worst_granted = reference.worst_granted.max(-reference.granted_level);
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, body: Body) {
+    fn send(&mut self, from: usize, to: usize, body: Body) {
         self.nodes[from].bytes += body.bytes();
         if self.rng.random_range(0..100) < self.plan.message_fault_percent {
             return;
         }
-        let twice = self.rng.random_range(0..100) < self.plan.message_fault_percent;
-        if twice {
+        let is_duplicated = self.rng.random_range(0..100) < self.plan.message_fault_percent;
+        if is_duplicated {
             self.enqueue(from, to, body.copy());
         }
         self.enqueue(from, to, body);
     }
 
     fn enqueue(&mut self, from: usize, to: usize, body: Body) {
-        let late = self.rng.random_range(0..100) < self.plan.message_fault_percent;
-        let most = if late { 3_000 } else { 30 };
+        let is_delayed = self.rng.random_range(0..100) < self.plan.message_fault_percent;
+        let most = if is_delayed { 3_000 } else { 30 };
         let at = self.now + Duration::from_millis(self.rng.random_range(1..most));
-        self.posted += 1;
-        self.mail.insert((at, self.posted), (from, to, body));
+        self.sequence += 1;
+        self.messages.insert((at, self.sequence), (from, to, body));
     }
 
-    fn repay(&mut self) {
+    fn apply_credits(&mut self) {
         while let Some(entry) = self.credits.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
             let (index, workspace, paid, used) = entry.remove();
-            let truth = &mut self.truths[workspace];
+            let reference = &mut self.references[workspace];
             let tokens = match &paid {
                 Paid::Leased(charge) => charge.tokens(),
                 Paid::Reserved(tokens) | Paid::Local(tokens) => *tokens,
             };
             let unused = (tokens - used) as f64;
-            truth.net -= unused;
-            let cap = truth.limit.burst as f64;
-            let lease = self.plan.settings.lease.as_secs_f64() * truth.limit.rate as f64;
-            truth.level = (truth.level + unused).min(cap);
-            truth.bounded = (truth.bounded + unused).min(cap + lease);
+            reference.net_use -= unused;
+            let cap = reference.limit.burst as f64;
+            let lease = self.plan.settings.lease.as_secs_f64() * reference.limit.rate as f64;
+            reference.level = (reference.level + unused).min(cap);
+            reference.bounded_level = (reference.bounded_level + unused).min(cap + lease);
             let node = &mut self.nodes[index];
             match paid {
                 Paid::Leased(charge) => node.holder.credit(self.now, charge, used),
-                // The reserve fills by itself.
+                // The reserve takes no credits; it refills over time.
                 Paid::Reserved(_) => {}
                 Paid::Local(_) => {
                     let local = node.local.entry(workspace).or_insert((0.0, self.now));
@@ -394,11 +404,11 @@
         }
     }
 
-    fn arrive(&mut self) {
-        for workspace in 0..self.truths.len() {
-            let truth = &self.truths[workspace];
-            let mean = truth.arrivals * STEP.as_secs_f64();
-            let favourite = truth.favourite;
+    fn generate_requests(&mut self) {
+        for workspace in 0..self.references.len() {
+            let reference = &self.references[workspace];
+            let mean = reference.arrivals * STEP.as_secs_f64();
+            let preferred = reference.preferred;
             let mut count = mean.floor();
             if self.rng.random_bool(mean.fract()) {
                 count += 1.0;
@@ -407,13 +417,13 @@
                 let near = self
                     .rng
                     .random_range(0..self.plan.entries_per_workspace.min(self.nodes.len()));
-                let anyone = (favourite + near) % self.nodes.len();
+                let anyone = (preferred + near) % self.nodes.len();
                 let skewed = self.rng.random_bool(self.plan.skew);
-                let index = if skewed { favourite } else { anyone };
+                let index = if skewed { preferred } else { anyone };
                 let index = if self.nodes[index].up { index } else { anyone };
                 let cost = self.rng.random_range(COST[0]..COST[1]);
                 if self.nodes[index].up {
-                    self.truths[workspace].offered += cost;
+                    self.references[workspace].offered += cost;
                     self.request(index, workspace, cost);
                 }
             }
@@ -424,12 +434,12 @@
         if self.plan.policy != Policy::Leases {
             return self.request_local(index, workspace, cost);
         }
-        let name = self.truths[workspace].name.clone();
+        let name = self.references[workspace].name.clone();
         let verdict = self.nodes[index].holder.charge(self.now, &name, cost);
-        self.settle(index, workspace, cost, self.now, verdict);
+        self.handle_verdict(index, workspace, cost, self.now, verdict);
     }
 
-    fn settle(
+    fn handle_verdict(
         &mut self,
         index: usize,
         workspace: usize,
@@ -438,29 +448,29 @@
         verdict: Verdict,
     ) {
         match verdict {
-            Verdict::Admitted(charge) => self.pay(index, workspace, Paid::Leased(charge), cost),
+            Verdict::Admitted(charge) => self.spend(index, workspace, Paid::Leased(charge), cost),
             Verdict::Pending(_) => self.nodes[index].pending.push((workspace, cost, since)),
-            Verdict::Refused(_) if self.reserved(index, workspace, cost) => {
-                self.pay(index, workspace, Paid::Reserved(cost), cost);
+            Verdict::Refused(_) if self.spend_reserve(index, workspace, cost) => {
+                self.spend(index, workspace, Paid::Reserved(cost), cost);
             }
-            Verdict::Refused(_) => self.truths[workspace].refused += cost,
+            Verdict::Refused(_) => self.references[workspace].refused += cost,
         }
     }
 
-    /// Spends from an entry's own part of the limit; what it gives counts like a home's grants.
-    fn reserved(&mut self, index: usize, workspace: usize, cost: u64) -> bool {
-        let truth = &mut self.truths[workspace];
+    /// Spends from an entry's share of the reserve, and counts the tokens like a home's grants.
+    fn spend_reserve(&mut self, index: usize, workspace: usize, cost: u64) -> bool {
+        let reference = &mut self.references[workspace];
         let reserve = &mut self.nodes[index].reserve;
-        let is_paid = reserve.spend(self.now, &truth.name, truth.limit, cost);
+        let is_paid = reserve.spend(self.now, &reference.name, reference.limit, cost);
         if is_paid {
-            truth.granted -= cost as f64;
-            truth.worst_granted = truth.worst_granted.max(-truth.granted);
+            reference.granted_level -= cost as f64;
+            reference.worst_granted = reference.worst_granted.max(-reference.granted_level);
         }
         is_paid
     }
 
     fn request_local(&mut self, index: usize, workspace: usize, cost: u64) {
-        let limit = self.truths[workspace].limit;
+        let limit = self.references[workspace].limit;
         let parts = match self.plan.policy {
             Policy::Split => self.nodes.len() as f64,
             _ => 1.0,
@@ -471,29 +481,29 @@
         *level = (*level + rate * self.now.saturating_sub(*updated).as_secs_f64()).min(burst);
         *updated = self.now;
         if *level <= 0.0 {
-            self.truths[workspace].refused += cost;
+            self.references[workspace].refused += cost;
             return;
         }
         *level -= cost as f64;
-        self.pay(index, workspace, Paid::Local(cost), cost);
+        self.spend(index, workspace, Paid::Local(cost), cost);
     }
 
-    fn pay(&mut self, index: usize, workspace: usize, paid: Paid, cost: u64) {
-        let truth = &mut self.truths[workspace];
-        truth.net += cost as f64;
-        truth.level -= cost as f64;
-        truth.bounded -= cost as f64;
-        truth.worst = truth.worst.max(-truth.level);
-        truth.worst_bounded = truth.worst_bounded.max(-truth.bounded);
+    fn spend(&mut self, index: usize, workspace: usize, paid: Paid, cost: u64) {
+        let reference = &mut self.references[workspace];
+        reference.net_use += cost as f64;
+        reference.level -= cost as f64;
+        reference.bounded_level -= cost as f64;
+        reference.worst = reference.worst.max(-reference.level);
+        reference.worst_bounded = reference.worst_bounded.max(-reference.bounded_level);
         let used = self.rng.random_range(cost / 3..=cost);
         let at = self.now + Duration::from_millis(self.rng.random_range(300..3_000));
-        self.posted += 1;
+        self.sequence += 1;
         self.credits
-            .insert((at, self.posted), (index, workspace, paid, used));
+            .insert((at, self.sequence), (index, workspace, paid, used));
     }
 
-    /// One entry's turn: new views, what is pending, what to ask.
-    fn turn(&mut self, index: usize) {
+    /// Runs one step of an entry: applies new views, retries pending requests and sends asks.
+    fn step(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
         if !node.up {
@@ -513,14 +523,14 @@
         node.reserve.tick(now);
         node.home.tick(now, &node.view);
         for (workspace, cost, since) in std::mem::take(&mut node.pending) {
-            let name = &self.truths[workspace].name;
+            let name = &self.references[workspace].name;
             let verdict = self.nodes[index].holder.resume(now, name, cost, since);
-            self.settle(index, workspace, cost, since, verdict);
+            self.handle_verdict(index, workspace, cost, since, verdict);
         }
         let node = &mut self.nodes[index];
         for (home, ask) in node.holder.asks(now, &node.view) {
             let to = home.trim_start_matches("entry-").parse().unwrap_or(0);
-            self.post(index, to, Body::Ask(ask));
+            self.send(index, to, Body::Ask(ask));
         }
     }
 
@@ -531,18 +541,18 @@
             ..Outcome::default()
         };
         let (mut usable, mut used, mut offered, mut refused) = (0.0, 0.0, 0, 0);
-        for truth in &self.truths {
-            let rate = truth.limit.rate as f64;
-            outcome.overshoot = outcome.overshoot.max(truth.worst / rate);
-            outcome.beyond_bound = outcome.beyond_bound.max(truth.worst_bounded);
-            outcome.beyond_grants = outcome.beyond_grants.max(truth.worst_granted);
-            if truth.hot {
+        for reference in &self.references {
+            let rate = reference.limit.rate as f64;
+            outcome.overshoot = outcome.overshoot.max(reference.worst / rate);
+            outcome.beyond_bound = outcome.beyond_bound.max(reference.worst_bounded);
+            outcome.beyond_grants = outcome.beyond_grants.max(reference.worst_granted);
+            if reference.hot {
                 let usable_here = rate * (seconds - WARM_UP.as_secs_f64());
                 usable += usable_here;
-                used += (truth.net - truth.before).min(usable_here);
+                used += (reference.net_use - reference.before).min(usable_here);
             } else {
-                offered += truth.offered;
-                refused += truth.refused;
+                offered += reference.offered;
+                refused += reference.refused;
             }
         }
         outcome.unused = 1.0 - used / usable;
@@ -559,7 +569,7 @@
         Node {
             id: id.clone(),
             up: true,
-            side: 0,
+            partition: 0,
             view: View::new(now, id.clone(), plan.settings.hold),
             home: Home::new(plan.settings),
             holder: Holder::new(plan.settings, incarnation),
@@ -572,7 +582,7 @@
     }
 }
 
-impl Truth {
+impl Reference {
     fn new(index: usize, plan: &Plan, rng: &mut ChaCha8Rng) -> Self {
         let mean_cost = (COST[0] + COST[1]) as f64 / 2.0;
         let used = mean_cost * 2.0 / 3.0;
@@ -586,18 +596,18 @@
         let rate = ((arrivals * used / load) as u64).max(1);
         let burst = (rate * 4).max(2 * COST[1]);
         let lease = plan.settings.lease.as_secs_f64();
-        Truth {
+        Reference {
             name: format!("w{index}").into(),
             limit: Limit { rate, burst },
             hot,
-            favourite: rng.random_range(0..plan.entries),
+            preferred: rng.random_range(0..plan.entries),
             arrivals,
             level: burst as f64,
-            bounded: burst as f64 + rate as f64 * lease,
-            net: 0.0,
+            bounded_level: burst as f64 + rate as f64 * lease,
+            net_use: 0.0,
             offered: 0,
             refused: 0,
-            granted: burst as f64,
+            granted_level: burst as f64,
             worst: 0.0,
             worst_bounded: 0.0,
             worst_granted: 0.0,
@@ -623,7 +633,7 @@
     }
 }
 
-/// Index in a workspace's name.
+/// Returns the index that a workspace's name contains.
 fn index_of(name: &WorkspaceId) -> usize {
     name[1..].parse().unwrap_or(0)
 }
