--- a/crates/limits/examples/table/world.rs
+++ b/crates/limits/examples/table/world.rs
@@ -291,13 +291,13 @@
 
     fn refill(&mut self) {
         let step = STEP.as_secs_f64();
-        let lease = self.plan.settings.lease.as_secs_f64();
+        let lease_time = self.plan.settings.lease_time.as_secs_f64();
         for reference in &mut self.references {
             let rate = reference.limit.rate as f64;
             let cap = reference.limit.burst as f64;
             reference.level = (reference.level + rate * step).min(cap);
             reference.bounded_level =
-                (reference.bounded_level + rate * step).min(cap + rate * lease);
+                (reference.bounded_level + rate * step).min(cap + rate * lease_time);
             reference.granted_level = (reference.granted_level + rate * step).min(cap);
             if self.now == WARM_UP {
                 reference.before = reference.net_use;
@@ -388,9 +388,10 @@
             let unused = (tokens - used) as f64;
             reference.net_use -= unused;
             let cap = reference.limit.burst as f64;
-            let lease = self.plan.settings.lease.as_secs_f64() * reference.limit.rate as f64;
+            let lease_tokens =
+                self.plan.settings.lease_time.as_secs_f64() * reference.limit.rate as f64;
             reference.level = (reference.level + unused).min(cap);
-            reference.bounded_level = (reference.bounded_level + unused).min(cap + lease);
+            reference.bounded_level = (reference.bounded_level + unused).min(cap + lease_tokens);
             let node = &mut self.nodes[index];
             match paid {
                 Paid::Leased(charge) => node.holder.credit(self.now, charge, used),
@@ -595,7 +596,7 @@
         let load = if hot { 2.0 } else { 0.5 };
         let rate = ((arrivals * used / load) as u64).max(1);
         let burst = (rate * 4).max(2 * COST[1]);
-        let lease = plan.settings.lease.as_secs_f64();
+        let lease_time = plan.settings.lease_time.as_secs_f64();
         Reference {
             name: format!("w{index}").into(),
             limit: Limit { rate, burst },
@@ -603,7 +604,7 @@
             preferred: rng.random_range(0..plan.entries),
             arrivals,
             level: burst as f64,
-            bounded_level: burst as f64 + rate as f64 * lease,
+            bounded_level: burst as f64 + rate as f64 * lease_time,
             net_use: 0.0,
             offered: 0,
             refused: 0,
--- a/crates/limits/src/bucket.rs
+++ b/crates/limits/src/bucket.rs
@@ -99,12 +99,12 @@
         if !self.buckets.contains_key(workspace) && self.buckets.len() >= MAX_BUCKETS {
             return refused(GRANT_TIMEOUT);
         }
-        let lease = self.settings.lease;
+        let lease_time = self.settings.lease_time;
         let bucket = self
             .buckets
             .entry(workspace.clone())
             .or_insert_with(|| Bucket::new(now));
-        bucket.demand.record(now, tokens, lease);
+        bucket.demand.record(now, tokens, lease_time);
         let verdict = self.resume(now, workspace, tokens, now);
         if let (Verdict::Pending(_), Some(bucket)) = (&verdict, self.buckets.get_mut(workspace)) {
             bucket.add_pending(tokens);
@@ -152,14 +152,15 @@
             .buckets
             .entry(charge.workspace)
             .or_insert_with(|| Bucket::new(now));
-        bucket.put(now, unused, now + self.settings.lease);
+        bucket.put(now, unused, now + self.settings.lease_time);
     }
 
     /// Returns the asks that are due, one for each home. Must be called every few milliseconds.
     pub fn asks(&mut self, now: Monotonic, view: &View) -> Vec<(InstanceId, Ask)> {
         let mut wants: BTreeMap<InstanceId, Vec<Want>> = BTreeMap::new();
         for (workspace, bucket) in &mut self.buckets {
-            let Some((need, want, returned)) = bucket.due(now, self.settings.lease, GRANT_TIMEOUT)
+            let Some((need, want, returned)) =
+                bucket.due(now, self.settings.lease_time, GRANT_TIMEOUT)
             else {
                 continue;
             };
--- a/crates/limits/src/lease/home.rs
+++ b/crates/limits/src/lease/home.rs
@@ -119,11 +119,11 @@
         limit: Option<Limit>,
     ) -> Option<Grant> {
         let workspace = want.workspace.clone();
-        let lease = self.settings.lease;
+        let lease_time = self.settings.lease_time;
         let grant = |tokens, retry_after, scarce| Grant {
             workspace,
             tokens,
-            valid: lease,
+            valid: lease_time,
             retry_after,
             scarce,
         };
--- a/crates/limits/src/lease/mod.rs
+++ b/crates/limits/src/lease/mod.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Time for which a lease is valid, counted from when the entry sent its ask.
-    pub lease: Duration,
+    pub lease_time: Duration,
     /// Hold time: how long a view must be unchanged before a home grants more because of it. Covers a lease and
     /// the time by which the entries' views may differ.
     pub hold: Duration,
@@ -49,7 +49,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            lease: Duration::from_secs(2),
+            lease_time: Duration::from_secs(2),
             hold: Duration::from_secs(4),
             max_need: 1 << 17,
         }
