--- a/crates/limits/src/lease/home.rs
+++ b/crates/limits/src/lease/home.rs
@@ -127,7 +127,7 @@
             retry_after,
             scarce,
         };
-        let max_need = self.settings.max_need;
+        let max_request_tokens = self.settings.max_request_tokens;
         let hold = view.hold();
         let share_ppm = self.share_ppm;
         let full = self.accounts.len() >= MAX_ACCOUNTS;
@@ -139,7 +139,7 @@
         if want.need == 0 {
             return None;
         }
-        if want.need > max_need {
+        if want.need > max_request_tokens {
             return Some(grant(0, hold, true));
         }
         match account.take(want.need, want.want, share_ppm) {
--- a/crates/limits/src/lease/mod.rs
+++ b/crates/limits/src/lease/mod.rs
@@ -43,7 +43,7 @@
     /// the time by which the entries' views may differ.
     pub hold: Duration,
     /// Maximum tokens of one request; a home refuses a larger need.
-    pub max_need: u64,
+    pub max_request_tokens: u64,
 }
 
 impl Default for Settings {
@@ -51,7 +51,7 @@
         Settings {
             lease_time: Duration::from_secs(2),
             hold: Duration::from_secs(4),
-            max_need: 1 << 17,
+            max_request_tokens: 1 << 17,
         }
     }
 }
