--- a/crates/limits/src/lease/home.rs
+++ b/crates/limits/src/lease/home.rs
@@ -57,7 +57,7 @@
         if self.epoch != view.epoch() {
             self.epoch = view.epoch();
             self.accounts.retain(|workspace, _| view.is_home(workspace));
-            self.last_asks.retain(|entry, _| view.knows(entry));
+            self.last_asks.retain(|entry, _| view.is_known(entry));
         }
         if self.accounts.len() > MAX_ACCOUNTS / 2 {
             self.accounts
--- a/crates/limits/src/lease/view.rs
+++ b/crates/limits/src/lease/view.rs
@@ -110,7 +110,7 @@
 
     /// Returns whether `entry` is believed live or left within the hold time.
     #[must_use]
-    pub fn knows(&self, entry: &InstanceId) -> bool {
+    pub fn is_known(&self, entry: &InstanceId) -> bool {
         self.seen.contains_key(entry)
     }
 
