--- a/crates/limits/examples/table/main.rs
+++ b/crates/limits/examples/table/main.rs
@@ -1,4 +1,5 @@
-//! Prints how well each way to share limits holds them, and what a queue keeps under overload.
+//! Prints how well each policy of sharing limits keeps within them, and what share of requests a queue serves in
+//! time under overload.
 //!
 //! `cargo run --release -p auburnline-limits --example table -- [--csv] [--overload | --limits | --full] [seed]`
 
@@ -20,12 +21,12 @@
 
 use auburnline_limits::lease::Settings;
 use overload::Order;
+use world::Fault;
 use world::Plan;
 use world::Policy;
-use world::Trouble;
 use world::World;
 
-/// Prints one row, aligned or separated by commas.
+/// Prints one row, in aligned columns or as CSV.
 fn print(csv: bool, cells: &[String]) {
     if csv {
         println!("{}", cells.join(","));
@@ -35,12 +36,12 @@
     println!("{}", line.join(" "));
 }
 
-fn titles(csv: bool, titles: &[&str]) {
+fn print_titles(csv: bool, titles: &[&str]) {
     let cells: Vec<String> = titles.iter().map(ToString::to_string).collect();
     print(csv, &cells);
 }
 
-fn fleet(seed: u64, policy: Policy, trouble: Trouble, skew: f64) -> Plan {
+fn fleet(seed: u64, policy: Policy, fault: Fault, skew: f64) -> Plan {
     Plan {
         seed,
         entries: 40,
@@ -48,18 +49,18 @@
         seconds: 70,
         requests_per_second: 800.0,
         policy,
-        trouble,
+        fault,
         skew,
-        spread: usize::MAX,
+        entries_per_workspace: usize::MAX,
         settings: Settings::default(),
-        lossy: 1,
-        blind: false,
+        message_fault_percent: 1,
+        ignores_published: false,
         audit: policy == Policy::Leases,
     }
 }
 
 fn limits(csv: bool, seed: u64, full_only: bool) {
-    titles(
+    print_titles(
         csv,
         &[
             "callers",
@@ -76,18 +77,13 @@
     );
     let callers = [("even", 0.0), ("skewed", 0.9)];
     for (callers, skew) in callers.into_iter().filter(|_| !full_only) {
-        for trouble in [
-            Trouble::Calm,
-            Trouble::Churn,
-            Trouble::Partition,
-            Trouble::Both,
-        ] {
+        for fault in [Fault::Calm, Fault::Churn, Fault::Partition, Fault::Both] {
             for policy in [Policy::Leases, Policy::Split, Policy::Alone] {
-                row(csv, callers, fleet(seed, policy, trouble, skew));
+                row(csv, callers, fleet(seed, policy, fault, skew));
             }
         }
     }
-    let one_sided = fleet(seed, Policy::Leases, Trouble::OneSided, 0.0);
+    let one_sided = fleet(seed, Policy::Leases, Fault::OneSided, 0.0);
     if !full_only {
         row(csv, "even", one_sided);
     }
@@ -97,26 +93,33 @@
         seconds: 40,
         requests_per_second: 4_000.0,
         audit: false,
-        ..fleet(seed, Policy::Leases, Trouble::Calm, 0.5)
+        ..fleet(seed, Policy::Leases, Fault::Calm, 0.5)
     };
     row(csv, "full size", full.clone());
-    row(csv, "full, 8 each", Plan { spread: 8, ..full });
+    row(
+        csv,
+        "full, 8 each",
+        Plan {
+            entries_per_workspace: 8,
+            ..full
+        },
+    );
 }
 
 fn row(csv: bool, callers: &str, plan: Plan) {
-    let (trouble, policy) = (plan.trouble, plan.policy);
+    let (fault, policy) = (plan.fault, plan.policy);
     let outcome = World::new(plan).run();
     print(
         csv,
         &[
             callers.to_string(),
-            format!("{trouble:?}"),
+            format!("{fault:?}"),
             format!("{policy:?}"),
             format!("{:.2}", outcome.overshoot),
             format!("{:.0}", outcome.beyond_bound),
             format!(
                 "{:.3}",
-                f64::from(u32::try_from(outcome.parts).unwrap_or(u32::MAX)) / 1e6
+                f64::from(u32::try_from(outcome.max_share_ppm).unwrap_or(u32::MAX)) / 1e6
             ),
             format!("{:.1}", outcome.unused * 100.0),
             format!("{:.1}", outcome.wrongly_refused * 100.0),
@@ -127,7 +130,7 @@
 }
 
 fn overload(csv: bool, seed: u64) {
-    titles(
+    print_titles(
         csv,
         &[
             "load",
@@ -144,28 +147,28 @@
     );
     for load in [1.0, 2.0, 10.0] {
         overload_row(csv, load, Order::Plain, 1.0, seed);
-        for patience in [1.0, 1.5, 2.0, 1e6] {
-            overload_row(csv, load, Order::Fair, patience, seed);
+        for wait_tolerance in [1.0, 1.5, 2.0, 1e6] {
+            overload_row(csv, load, Order::Fair, wait_tolerance, seed);
         }
     }
 }
 
-fn overload_row(csv: bool, load: f64, order: Order, patience: f64, seed: u64) {
-    let outcome = overload::run(seed, order, load, patience);
+fn overload_row(csv: bool, load: f64, order: Order, wait_tolerance: f64, seed: u64) {
+    let outcome = overload::run(seed, order, load, wait_tolerance);
     let percent = |share: f64| format!("{:.1}", share * 100.0);
     print(
         csv,
         &[
             format!("{load}x"),
             format!("{order:?}"),
-            format!("{patience}"),
-            percent(outcome.useful),
-            percent(outcome.late),
-            percent(outcome.least),
-            percent(outcome.large),
-            percent(outcome.urgent),
-            percent(outcome.at_once),
-            format!("{:.0}", outcome.answer),
+            format!("{wait_tolerance}"),
+            percent(outcome.in_time_share),
+            percent(outcome.late_share),
+            percent(outcome.least_served_share),
+            percent(outcome.large_share),
+            percent(outcome.urgent_share),
+            percent(outcome.immediate_share),
+            format!("{:.0}", outcome.p99_answer_ms),
         ],
     );
 }
--- a/crates/limits/src/lease/home.rs
+++ b/crates/limits/src/lease/home.rs
@@ -1,4 +1,4 @@
-//! The home's side: token buckets of the workspaces that have their home here.
+//! Home side of leases: token buckets of the workspaces whose home is this entry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,52 +19,56 @@
 use super::account::MAX_ACCOUNTS;
 use super::reserve;
 
-/// The home's side of leases.
+/// Grants leases of the workspaces whose home is this entry.
 #[derive(Clone, Debug)]
 pub struct Home {
     settings: Settings,
     accounts: BTreeMap<WorkspaceId, Account>,
-    /// Last ask of each entry, so that a doubled one is not taken twice.
-    last: BTreeMap<InstanceId, (Incarnation, u64)>,
-    parts: u64,
+    /// Last ask of each entry, to ignore asks that are delivered twice.
+    last_asks: BTreeMap<InstanceId, (Incarnation, u64)>,
+    /// Share of limits that is granted here, in millionths.
+    share_ppm: u64,
+    /// Epoch of the view that was applied last.
     epoch: u64,
 }
 
 impl Home {
-    /// Returns a home that has granted nothing.
+    /// Returns a home without buckets.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Home {
             settings,
             accounts: BTreeMap::new(),
-            last: BTreeMap::new(),
-            parts: 0,
+            last_asks: BTreeMap::new(),
+            share_ppm: 0,
             epoch: 0,
         }
     }
 
-    /// Follows a view that was ticked or changed: settles all buckets and drops those that are no
-    /// longer this home's. To be called after each tick of the view.
+    /// Applies a view that was ticked or changed: refills all buckets and drops those of workspaces whose home
+    /// is another entry now. Must be called after each tick of the view.
     pub fn tick(&mut self, now: Monotonic, view: &View) {
-        let granted = reserve::beyond(view.share());
-        let parts = self.parts.min(granted);
+        let grantable_ppm = reserve::grantable(view.share());
+        let share_ppm = self.share_ppm.min(grantable_ppm);
         for account in self.accounts.values_mut() {
-            account.refill(now, parts);
+            account.refill(now, share_ppm);
         }
-        self.parts = granted;
+        self.share_ppm = grantable_ppm;
         if self.epoch != view.epoch() {
             self.epoch = view.epoch();
             self.accounts.retain(|workspace, _| view.is_home(workspace));
-            self.last.retain(|entry, _| view.knows(entry));
+            self.last_asks.retain(|entry, _| view.is_known(entry));
         }
         if self.accounts.len() > MAX_ACCOUNTS / 2 {
-            self.accounts.retain(|_, account| !account.is_full(parts));
+            self.accounts
+                .retain(|_, account| !account.is_full(share_ppm));
         }
     }
 
-    /// Answers an ask; `limit` gives the limit in force of a published workspace.
+    /// Answers an ask. `limit` returns the limit in force of a workspace, or none if the workspace isn't
+    /// published.
     ///
-    /// An ask that was answered before yields nothing.
+    /// Returns none for an ask that is not newer than the last one of the same process.
     pub fn ask(
         &mut self,
         now: Monotonic,
@@ -89,22 +93,22 @@
         })
     }
 
-    /// Returns how many workspaces have a bucket here.
+    /// Returns the number of workspaces with a bucket.
     #[must_use]
     pub fn accounts(&self) -> usize {
         self.accounts.len()
     }
 
     fn is_new(&mut self, from: &InstanceId, ask: &Ask) -> bool {
-        let last = self.last.get(from);
-        let known = last.is_some_and(|&(incarnation, number)| {
+        let last = self.last_asks.get(from);
+        let is_known = last.is_some_and(|&(incarnation, number)| {
             incarnation == ask.incarnation && ask.number <= number
         });
-        if !known {
-            self.last
+        if !is_known {
+            self.last_asks
                 .insert(from.clone(), (ask.incarnation, ask.number));
         }
-        !known
+        !is_known
     }
 
     fn answer(
@@ -115,31 +119,31 @@
         limit: Option<Limit>,
     ) -> Option<Grant> {
         let workspace = want.workspace.clone();
-        let lease = self.settings.lease;
+        let lease_time = self.settings.lease_time;
         let grant = |tokens, retry_after, scarce| Grant {
             workspace,
             tokens,
-            valid: lease,
+            valid: lease_time,
             retry_after,
             scarce,
         };
-        let max_need = self.settings.max_need;
+        let max_request_tokens = self.settings.max_request_tokens;
         let hold = view.hold();
-        let parts = self.parts;
+        let share_ppm = self.share_ppm;
         let full = self.accounts.len() >= MAX_ACCOUNTS;
         let Some(account) = limit.and_then(|limit| self.account(now, view, want, limit, full))
         else {
             return (want.need > 0).then(|| grant(0, hold, true));
         };
-        account.put_back(want.returned, parts);
+        account.put_back(want.returned, share_ppm);
         if want.need == 0 {
             return None;
         }
-        if want.need > max_need {
+        if want.need > max_request_tokens {
             return Some(grant(0, hold, true));
         }
-        match account.take(want.need, want.want, parts) {
-            Ok(tokens) => Some(grant(tokens, Duration::ZERO, account.is_scarce(parts))),
+        match account.take(want.need, want.want, share_ppm) {
+            Ok(tokens) => Some(grant(tokens, Duration::ZERO, account.is_scarce(share_ppm))),
             Err(retry_after) => Some(grant(0, retry_after, true)),
         }
     }
@@ -157,7 +161,7 @@
                 return None;
             }
             let mut account = Account::new(limit, view.steady_since());
-            account.refill(now, self.parts);
+            account.refill(now, self.share_ppm);
             self.accounts.insert(want.workspace.clone(), account);
         }
         let account = self.accounts.get_mut(&want.workspace)?;
--- a/crates/limits/src/queue/mod.rs
+++ b/crates/limits/src/queue/mod.rs
@@ -1,16 +1,16 @@
-//! Fair queue of requests before one upstream.
+//! Fair queue of requests in front of one upstream.
 //!
 //! Each workspace is a flow of start-time fair queueing: a request advances its flow's virtual time
-//! by its tokens over the workspace's weight, and the flow that is furthest behind goes next. A
-//! priority gives a bounded head start in virtual time and no larger share, so no priority and no
-//! workspace can starve another. A request that is predicted to miss its deadline is refused or
-//! shed at once with a time to come back. What leaves the queue unstarted carries a [`NotStarted`],
-//! which only this module can make; what was popped can't be made into one.
+//! by its tokens divided by the workspace's weight, and the flow with the smallest tag is served next.
+//! A priority gives a bounded head start in virtual time but no larger share, so no priority and no
+//! workspace can starve another. A request that is predicted to miss its deadline is refused or shed
+//! at once, with a retry time. A request that leaves the queue without being started comes with a
+//! [`NotStarted`], which only this module can construct, and never for a request that was started.
 
+mod estimator;
 mod flow;
 mod order;
 mod outcome;
-mod pace;
 mod predict;
 mod settings;
 
@@ -19,7 +19,7 @@
 pub use outcome::Popped;
 pub use outcome::Pushed;
 pub use outcome::Reason;
-pub use outcome::Rival;
+pub use outcome::RunnerUp;
 pub use outcome::Shed;
 pub use outcome::Started;
 pub use settings::Builder;
@@ -34,39 +34,39 @@
 use auburnline_core::request::Priority;
 use auburnline_core::time::Monotonic;
 
+use self::estimator::Estimator;
 use self::flow::Flow;
-use self::flow::Slice;
-use self::pace::Pace;
+use self::flow::Position;
 use self::predict::to_float;
 
-/// Runners-up that a decision names.
-const RIVALS: usize = 2;
-/// Shortest time to come back that a refusal gives.
-const MIN_RETURN: Duration = Duration::from_millis(100);
-/// Longest time to come back that a refusal gives.
-const MAX_RETURN: Duration = Duration::from_secs(30);
+/// Maximum number of runners-up that a decision reports.
+const MAX_RUNNERS_UP: usize = 2;
+/// Lower bound of the retry time of a refusal for overload.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Upper bound of the retry time of a refusal for overload.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// A request that asks to wait.
+/// Request to be queued.
 #[derive(Clone, Debug)]
 pub struct Waiting<K> {
-    /// Name of the request, unique among waiting and running ones.
+    /// Identifier, unique among queued and running requests.
     pub key: K,
-    /// Workspace that pays.
+    /// Workspace to whose flow the request belongs.
     pub workspace: WorkspaceId,
-    /// The workspace's published weight.
+    /// Published weight of the workspace; zero counts as one.
     pub weight: u32,
-    /// Order among waiting requests.
+    /// Gives a head start over other flows, and an earlier position in the request's own flow.
     pub priority: Priority,
-    /// Prompt tokens and most tokens to generate.
+    /// Prompt tokens plus the maximum number of tokens to generate.
     pub tokens: u64,
-    /// When the answer becomes worthless.
+    /// Time by which the request must have finished.
     pub deadline: Monotonic,
 }
 
 #[derive(Clone, Debug)]
 struct Item {
     workspace: WorkspaceId,
-    slice: Slice,
+    position: Position,
     tokens: u64,
     deadline: Monotonic,
     since: Monotonic,
@@ -77,30 +77,31 @@
     workspace: WorkspaceId,
     tokens: u64,
     since: Monotonic,
-    /// Whether it tries how fast an idle upstream is.
+    /// Whether it was started to measure how fast an idle upstream is now.
     probe: bool,
 }
 
-/// Fair queue before one upstream.
+/// Fair queue in front of one upstream.
 #[derive(Clone, Debug)]
 pub struct Queue<K> {
     settings: Settings,
     items: BTreeMap<K, Item>,
     running: BTreeMap<K, Running>,
     flows: BTreeMap<WorkspaceId, Flow<K>>,
-    /// Flows that wait, by the virtual time at which their head goes.
-    order: BTreeSet<(i64, WorkspaceId)>,
-    /// Flows that wait, by their own virtual time.
-    served: BTreeSet<(i64, WorkspaceId)>,
-    /// Flows that wait, by tokens over weight.
-    longest: BTreeSet<(i64, WorkspaceId)>,
-    pace: Pace,
+    /// Flows with queued requests, by the tag of their first request.
+    by_tag: BTreeSet<(i64, WorkspaceId)>,
+    /// Flows with queued requests, by their virtual time.
+    by_virtual_time: BTreeSet<(i64, WorkspaceId)>,
+    /// Flows with queued requests, by queued tokens divided by weight.
+    by_backlog: BTreeSet<(i64, WorkspaceId)>,
+    estimator: Estimator,
     last_finish: Monotonic,
     virtual_time: i64,
     sequence: u64,
     queued_tokens: u64,
     running_tokens: u64,
-    weights: u64,
+    /// Sum of weights of the flows with queued requests.
+    total_weight: u64,
 }
 
 impl<K: Ord + Clone> Queue<K> {
@@ -108,24 +109,24 @@
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Queue {
-            pace: Pace::new(settings.pace),
+            estimator: Estimator::new(settings.token_time),
             settings,
             items: BTreeMap::new(),
             running: BTreeMap::new(),
             flows: BTreeMap::new(),
-            order: BTreeSet::new(),
-            served: BTreeSet::new(),
-            longest: BTreeSet::new(),
+            by_tag: BTreeSet::new(),
+            by_virtual_time: BTreeSet::new(),
+            by_backlog: BTreeSet::new(),
             last_finish: Monotonic::ZERO,
             virtual_time: 0,
             sequence: 0,
             queued_tokens: 0,
             running_tokens: 0,
-            weights: 0,
+            total_weight: 0,
         }
     }
 
-    /// Queues `request`, or refuses it at once if it can't be served in time.
+    /// Queues `request`, or refuses it if it is predicted to miss its deadline or the queue is full.
     pub fn push(&mut self, now: Monotonic, request: Waiting<K>) -> Pushed<K> {
         if self.items.contains_key(&request.key) || self.running.contains_key(&request.key) {
             return Pushed::Present;
@@ -135,7 +136,7 @@
             return Pushed::Refused(refused);
         }
         let Ok(displaced) = self.make_room(now, &request) else {
-            return Pushed::Refused(self.full(request.key, request.tokens));
+            return Pushed::Refused(self.refuse_full(request.key, request.tokens));
         };
         self.insert(now, request);
         Pushed::Queued {
@@ -144,15 +145,16 @@
         }
     }
 
-    /// Starts the next request if the upstream has room; sheds what can't end in time on the way.
+    /// Starts the next request if fewer than the maximum are running. Sheds requests at the head of the order that
+    /// can no longer finish by their deadline.
     pub fn pop(&mut self, now: Monotonic) -> Popped<K> {
         let mut shed = Vec::new();
         while self.running.len() < self.settings.max_running {
-            let Some((tag, workspace)) = self.order.first().cloned() else {
+            let Some((tag, workspace)) = self.by_tag.first().cloned() else {
                 break;
             };
             let key = self.head(&workspace);
-            if self.too_late(now, &self.items[&key]) {
+            if self.is_too_late(now, &self.items[&key]) {
                 shed.push(self.shed(now, &key, Reason::WouldMissDeadline, Duration::ZERO));
                 continue;
             }
@@ -168,9 +170,10 @@
         }
     }
 
-    /// Frees the place of a started request that used `tokens`, and learns from it.
+    /// Records that a started request has finished and used `tokens`. Updates the estimate of service times and
+    /// credits the tokens that were not used.
     ///
-    /// Returns false if no such request runs.
+    /// Returns false if no such request is running.
     pub fn finish(&mut self, now: Monotonic, key: &K, tokens: u64) -> bool {
         let Some(running) = self.running.remove(key) else {
             return false;
@@ -179,14 +182,14 @@
         self.last_finish = now;
         let took = now.saturating_sub(running.since);
         if running.probe {
-            self.pace.restart_if_faster(took, running.tokens);
+            self.estimator.restart_if_faster(took, running.tokens);
         }
-        self.pace.record(took, running.tokens);
+        self.estimator.record(took, running.tokens);
         self.credit(&running.workspace, running.tokens.saturating_sub(tokens));
         true
     }
 
-    /// Takes a request out of the queue; one that has started stays as it is.
+    /// Removes a request from the queue. A request that has started is left alone.
     pub fn cancel(&mut self, key: &K) -> Cancelled<K> {
         if self.items.contains_key(key) {
             self.remove(key);
@@ -198,33 +201,32 @@
         Cancelled::Absent
     }
 
-    /// Sheds what is no longer predicted to end in time.
+    /// Sheds queued requests that are now predicted to miss their deadline.
     pub fn tick(&mut self, now: Monotonic) -> Vec<Shed<K>> {
-        let mut doomed = Vec::new();
+        let mut late = Vec::new();
         let mut kept_tokens = self.queued_tokens;
         for flow in self.flows.values() {
             let mut ahead = 0;
             for key in flow.keys() {
                 let item = &self.items[key];
-                let fluid = self.fluid(flow, ahead, item.tokens, item.slice.priority);
-                let wait = self.wait(fluid.min(to_float(kept_tokens)));
-                let patience = self.settings.patience;
-                let sure = wait.div_f64(patience);
-                if self.is_late(now, sure, item.tokens, item.deadline) {
+                let fluid = self.fluid(flow, ahead, item.tokens, item.position.priority);
+                let wait = self.predict_wait(fluid.min(to_float(kept_tokens)));
+                let wait_tolerance = self.settings.wait_tolerance;
+                let discounted = wait.div_f64(wait_tolerance);
+                if self.is_late(now, discounted, item.tokens, item.deadline) {
                     kept_tokens -= item.tokens;
-                    doomed.push((key.clone(), wait));
+                    late.push((key.clone(), wait));
                 } else {
                     ahead += item.tokens;
                 }
             }
         }
-        doomed
-            .into_iter()
+        late.into_iter()
             .map(|(key, wait)| self.shed(now, &key, Reason::WouldMissDeadline, wait))
             .collect()
     }
 
-    /// Takes every waiting request out, as for a drain.
+    /// Sheds all queued requests, because the upstream is draining.
     pub fn drain(&mut self, now: Monotonic) -> Vec<Shed<K>> {
         let keys: Vec<K> = self.items.keys().cloned().collect();
         keys.iter()
@@ -232,48 +234,55 @@
             .collect()
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of queued requests.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.items.len()
     }
 
-    /// Returns how many requests have started and not finished.
+    /// Returns the number of requests that have started and not finished.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the tokens of waiting and started requests.
+    /// Returns the tokens of queued and running requests.
     #[must_use]
     pub fn backlog_tokens(&self) -> u64 {
         self.queued_tokens + self.running_tokens
     }
 
-    /// Returns how many flows are kept.
+    /// Returns the number of flows kept, including ones without queued requests.
     #[must_use]
     pub fn flows(&self) -> usize {
         self.flows.len()
     }
 
-    /// Checks that the sums and orders agree with the items.
+    /// Checks that the sums and the orders of flows agree with the queued and running requests.
     ///
     /// # Panics
     ///
-    /// If they do not.
+    /// Panics if they don't agree, or if more requests are queued or running than the settings allow.
     pub fn assert_consistent(&self) {
         let queued: u64 = self.items.values().map(|item| item.tokens).sum();
         let running: u64 = self.running.values().map(|run| run.tokens).sum();
         let waiting = self.flows.values().filter(|flow| !flow.is_empty());
         assert_eq!(queued, self.queued_tokens, "queued tokens");
         assert_eq!(running, self.running_tokens, "running tokens");
-        assert_eq!(waiting.count(), self.order.len(), "flows in order");
-        assert_eq!(self.order.len(), self.served.len(), "flows by service");
-        assert_eq!(self.order.len(), self.longest.len(), "flows by length");
-        assert!(self.items.len() <= self.settings.max_queued, "queue bound");
+        assert_eq!(waiting.count(), self.by_tag.len(), "flows by tag");
+        assert_eq!(
+            self.by_tag.len(),
+            self.by_virtual_time.len(),
+            "flows by virtual time"
+        );
+        assert_eq!(self.by_tag.len(), self.by_backlog.len(), "flows by backlog");
+        assert!(
+            self.items.len() <= self.settings.max_queued,
+            "queued requests"
+        );
         assert!(
             self.running.len() <= self.settings.max_running,
-            "admission bound"
+            "running requests"
         );
         assert!(self.items.keys().all(|key| !self.running.contains_key(key)));
     }
@@ -296,38 +305,44 @@
         if !self.is_late(now, wait, request.tokens, request.deadline) {
             return None;
         }
-        let end = now + wait + self.pace.service(request.tokens);
+        let end = now + wait + self.estimator.service_time(request.tokens);
         let excess = end.saturating_sub(request.deadline);
-        let excess = excess.clamp(MIN_RETURN, MAX_RETURN);
+        let excess = excess.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         Some(shed(Kind::Overloaded, Reason::WouldMissDeadline, excess))
     }
 
-    fn full(&self, key: K, tokens: u64) -> Shed<K> {
+    fn refuse_full(&self, key: K, tokens: u64) -> Shed<K> {
         Shed {
             proof: NotStarted::new(key),
             kind: Kind::Overloaded,
             reason: Reason::QueueFull,
-            predicted_wait: self.wait(to_float(self.queued_tokens)),
-            retry_after: self.wait(to_float(tokens)).clamp(MIN_RETURN, MAX_RETURN),
+            predicted_wait: self.predict_wait(to_float(self.queued_tokens)),
+            retry_after: self
+                .predict_wait(to_float(tokens))
+                .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
         }
     }
 
-    /// Frees a place for `request` by shedding the newest of the longest flow.
+    /// Makes room for `request` in a full queue by shedding the last request of the flow with the largest backlog.
+    ///
+    /// Fails unless the request's flow, with the request included, stays smaller than that flow, or both are the same
+    /// flow and the shed request has the lower priority.
     fn make_room(&mut self, now: Monotonic, request: &Waiting<K>) -> Result<Option<Shed<K>>, ()> {
         if self.items.len() < self.settings.max_queued {
             return Ok(None);
         }
-        let Some((length, workspace)) = self.longest.last().cloned() else {
+        let Some((largest_backlog, workspace)) = self.by_backlog.last().cloned() else {
             return Err(());
         };
-        let own = self
+        let own_backlog = self
             .flows
             .get(&request.workspace)
             .map_or(0, Flow::normalized_backlog);
         let longest = &self.flows[&workspace];
-        let (slice, last) = longest.last();
-        let longer = own + flow::virtual_tokens(request.tokens, request.weight) < length;
-        let lower = workspace == request.workspace && slice.priority < request.priority;
+        let (position, last) = longest.last();
+        let longer =
+            own_backlog + flow::virtual_tokens(request.tokens, request.weight) < largest_backlog;
+        let lower = workspace == request.workspace && position.priority < request.priority;
         if !longer && !lower {
             return Err(());
         }
@@ -341,7 +356,7 @@
     }
 
     fn start(&mut self, now: Monotonic, key: K, tag: i64) -> Started<K> {
-        let runners_up = self.rivals();
+        let runners_up = self.runners_up();
         let item = &self.items[&key];
         let (workspace, tokens) = (item.workspace.clone(), item.tokens);
         self.unlink(&workspace);
@@ -351,7 +366,7 @@
         self.link(&workspace);
         let item = self.remove(&key);
         self.running_tokens += tokens;
-        let probe = self.probes(now);
+        let probe = self.may_probe(now);
         self.running.insert(
             key.clone(),
             Running {
@@ -372,11 +387,14 @@
 
     fn shed(&mut self, now: Monotonic, key: &K, reason: Reason, wait: Duration) -> Shed<K> {
         let item = self.remove(key);
-        let end = now + wait + self.pace.service(item.tokens);
+        let end = now + wait + self.estimator.service_time(item.tokens);
         let excess = end.saturating_sub(item.deadline);
         let (kind, retry_after) = match reason {
             Reason::Draining => (Kind::Leaving, Duration::ZERO),
-            _ => (Kind::Overloaded, excess.clamp(MIN_RETURN, MAX_RETURN)),
+            _ => (
+                Kind::Overloaded,
+                excess.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
+            ),
         };
         Shed {
             proof: NotStarted::new(key.clone()),
--- a/crates/limits/src/queue/order.rs
+++ b/crates/limits/src/queue/order.rs
@@ -1,21 +1,21 @@
-//! Bookkeeping of what waits: each flow stands in three orders while it has something to wait for.
+//! Bookkeeping of queued requests. A flow is in three ordered sets while it has queued requests.
 
 use auburnline_core::id::WorkspaceId;
 use auburnline_core::time::Monotonic;
 
 use super::Item;
+use super::MAX_RUNNERS_UP;
 use super::Queue;
-use super::RIVALS;
-use super::Rival;
+use super::RunnerUp;
 use super::Waiting;
 use super::flow::Flow;
-use super::flow::Slice;
+use super::flow::Position;
 
 impl<K: Ord + Clone> Queue<K> {
     pub(super) fn insert(&mut self, now: Monotonic, request: Waiting<K>) {
         self.unlink(&request.workspace);
-        let slice = Slice {
-            rank: now + self.settings.delay(request.priority),
+        let position = Position {
+            effective_arrival: now + self.settings.delay(request.priority),
             sequence: self.sequence,
             priority: request.priority,
         };
@@ -29,13 +29,13 @@
             flow.join(virtual_time);
         }
         flow.weight = request.weight.max(1);
-        flow.push(slice, request.key.clone(), request.tokens);
+        flow.push(position, request.key.clone(), request.tokens);
         self.queued_tokens += request.tokens;
         self.items.insert(
             request.key,
             Item {
                 workspace: request.workspace.clone(),
-                slice,
+                position,
                 tokens: request.tokens,
                 deadline: request.deadline,
                 since: now,
@@ -45,14 +45,17 @@
     }
 
     pub(super) fn remove(&mut self, key: &K) -> Item {
-        let item = self.items.remove(key).expect("the caller saw the key");
+        let item = self
+            .items
+            .remove(key)
+            .expect("the caller checked that the key is queued");
         self.unlink(&item.workspace);
         self.queued_tokens -= item.tokens;
         if let Some(flow) = self.flows.get_mut(&item.workspace) {
-            flow.remove(item.slice, item.tokens);
+            flow.remove(item.position, item.tokens);
         }
         self.link(&item.workspace);
-        self.forget_idle(&item.workspace);
+        self.drop_idle(&item.workspace);
         item
     }
 
@@ -63,10 +66,10 @@
             flow.credit(unused, virtual_time);
         }
         self.link(workspace);
-        self.forget_idle(workspace);
+        self.drop_idle(workspace);
     }
 
-    /// Takes a flow out of the orders before it changes.
+    /// Removes a flow from the ordered sets; must be called before the flow changes.
     pub(super) fn unlink(&mut self, workspace: &WorkspaceId) {
         let Some(flow) = self.flows.get(workspace) else {
             return;
@@ -75,31 +78,34 @@
             return;
         }
         let tag = flow.tag(&self.settings);
-        self.order.remove(&(tag, workspace.clone()));
-        self.served
+        self.by_tag.remove(&(tag, workspace.clone()));
+        self.by_virtual_time
             .remove(&(flow.virtual_time(), workspace.clone()));
-        self.longest
+        self.by_backlog
             .remove(&(flow.normalized_backlog(), workspace.clone()));
-        self.weights -= u64::from(flow.weight);
+        self.total_weight -= u64::from(flow.weight);
     }
 
-    /// Puts a flow back into the orders, and moves the virtual time on.
+    /// Inserts a flow into the ordered sets after it changed, and advances the queue's virtual time to the smallest
+    /// of the flows with queued requests.
     pub(super) fn link(&mut self, workspace: &WorkspaceId) {
         if let Some(flow) = self.flows.get(workspace).filter(|flow| !flow.is_empty()) {
             let tag = flow.tag(&self.settings);
-            self.order.insert((tag, workspace.clone()));
-            self.served.insert((flow.virtual_time(), workspace.clone()));
-            self.longest
+            self.by_tag.insert((tag, workspace.clone()));
+            self.by_virtual_time
+                .insert((flow.virtual_time(), workspace.clone()));
+            self.by_backlog
                 .insert((flow.normalized_backlog(), workspace.clone()));
-            self.weights += u64::from(flow.weight);
+            self.total_weight += u64::from(flow.weight);
         }
-        if let Some(&(least, _)) = self.served.first() {
+        if let Some(&(least, _)) = self.by_virtual_time.first() {
             self.virtual_time = self.virtual_time.max(least);
         }
     }
 
-    /// Drops flows that no longer matter; all of them once nothing waits.
-    fn forget_idle(&mut self, workspace: &WorkspaceId) {
+    /// Drops the flow of `workspace` if it is empty and not ahead of the queue's virtual time. Drops all flows once
+    /// nothing is queued, and all empty ones when too many are kept.
+    fn drop_idle(&mut self, workspace: &WorkspaceId) {
         if self.items.is_empty() {
             self.flows.clear();
             return;
@@ -119,12 +125,12 @@
         key.clone()
     }
 
-    pub(super) fn rivals(&self) -> Vec<Rival> {
-        self.order
+    pub(super) fn runners_up(&self) -> Vec<RunnerUp> {
+        self.by_tag
             .iter()
             .skip(1)
-            .take(RIVALS)
-            .map(|(tag, workspace)| Rival {
+            .take(MAX_RUNNERS_UP)
+            .map(|(tag, workspace)| RunnerUp {
                 workspace: workspace.clone(),
                 tag: *tag,
             })
