--- a/crates/experts/src/coordinator/advance.rs
+++ b/crates/experts/src/coordinator/advance.rs
@@ -20,7 +20,7 @@
 use super::phase::Preparing;
 use super::phase::Releasing;
 use super::view;
-use super::view::Verdict;
+use super::view::Assessment;
 use super::view::View;
 use crate::order::Status;
 
@@ -48,13 +48,13 @@
         }
         let highest = self.next_generation() - 1;
         self.highest = highest;
-        match view::judge(&self.views) {
-            Verdict::Inconsistent => {
+        match view::assess(&self.views) {
+            Assessment::Inconsistent => {
                 debug_assert!(false, "ranks report generations that no change explains");
                 self.log(Choice::StandDown, Reason::Inconsistent, now, actions);
                 self.enter(Phase::StoodDown);
             }
-            Verdict::Settled(generation) => {
+            Assessment::Settled(generation) => {
                 let map = self.map(generation);
                 self.enter(Phase::Idle(map));
                 self.log(
@@ -64,12 +64,12 @@
                     actions,
                 );
             }
-            Verdict::Abort(generation) => {
+            Assessment::Abort(generation) => {
                 let before = generation.map_or_else(|| Arc::clone(&self.initial), |g| self.map(g));
                 let change = phase::abort(before, highest);
                 self.abort(change, Reason::FoundUnfinished, now, actions);
             }
-            Verdict::Release { before, switch } => {
+            Assessment::Release { before, switch } => {
                 let change = Change::found(self.map(before), self.map(switch.generation), switch);
                 self.enter(Phase::Releasing(change));
                 let choice = Choice::Release(switch.generation, switch.step);
--- a/crates/experts/src/coordinator/view.rs
+++ b/crates/experts/src/coordinator/view.rs
@@ -136,7 +136,7 @@
 
 /// What all reports of a group together mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
+pub(super) enum Assessment {
     /// Some rank was released: all must be.
     Release {
         /// Generation that the ranks not yet switched use.
@@ -210,7 +210,7 @@
 }
 
 /// Judges a group of which every rank has reported.
-pub(super) fn judge(views: &[View]) -> Verdict {
+pub(super) fn assess(views: &[View]) -> Assessment {
     let mut currents: Vec<Generation> = statuses(views).filter_map(|s| s.current).collect();
     currents.sort_unstable();
     currents.dedup();
@@ -222,21 +222,21 @@
         (Some(before), Some(switch)) if before != switch.generation => {
             let explained = |&c: &Generation| c == before || c == switch.generation;
             if currents.iter().all(explained) {
-                Verdict::Release { before, switch }
+                Assessment::Release { before, switch }
             } else {
-                Verdict::Inconsistent
+                Assessment::Inconsistent
             }
         }
-        _ if currents.len() > 1 => Verdict::Inconsistent,
-        _ => judge_unreleased(views, behind),
+        _ if currents.len() > 1 => Assessment::Inconsistent,
+        _ => assess_unreleased(views, behind),
     }
 }
 
-fn judge_unreleased(views: &[View], current: Option<Generation>) -> Verdict {
+fn assess_unreleased(views: &[View], current: Option<Generation>) -> Assessment {
     let is_settled = |status: &Status| status.joined && is_steady(status);
     match current {
-        Some(generation) if statuses(views).all(is_settled) => Verdict::Settled(generation),
-        _ => Verdict::Abort(current),
+        Some(generation) if statuses(views).all(is_settled) => Assessment::Settled(generation),
+        _ => Assessment::Abort(current),
     }
 }
 
