--- a/crates/experts/src/coordinator/mod.rs
+++ b/crates/experts/src/coordinator/mod.rs
@@ -212,7 +212,7 @@
     fn enter(&mut self, phase: Phase) {
         self.phase = phase;
         self.first = self.stamp.sequence + 1;
-        self.views.iter_mut().for_each(View::restart);
+        self.views.iter_mut().for_each(View::begin_phase);
     }
 
     fn revise(&mut self, revision: Revision, now: Monotonic, actions: &mut Vec<Action>) {
@@ -230,8 +230,8 @@
         now: Monotonic,
         actions: &mut Vec<Action>,
     ) {
-        self.views.iter_mut().for_each(View::forget);
-        self.views.iter_mut().for_each(View::recount);
+        self.views.iter_mut().for_each(View::clear_reports);
+        self.views.iter_mut().for_each(View::reset_sequence);
         self.stamp.fence = highest;
         self.stamp.sequence = 0;
         if let Some(fence) = fence::next(self.revision, highest) {
@@ -246,7 +246,7 @@
 
     /// Reads all ranks again under the same fencing number.
     fn reread(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
-        self.views.iter_mut().for_each(View::forget);
+        self.views.iter_mut().for_each(View::clear_reports);
         self.enter(Phase::Reading(Round::Fence));
         self.log(Choice::Read, Reason::MemberRestarted, now, actions);
     }
@@ -264,7 +264,7 @@
         };
         let round_trip = view.round_trip(now);
         let known = view.incarnation;
-        if !view.take(&report, self.first, now) {
+        if !view.apply_report(&report, self.first, now) {
             return;
         }
         if known.is_some_and(|known| known != report.incarnation) {
--- a/crates/experts/src/coordinator/send.rs
+++ b/crates/experts/src/coordinator/send.rs
@@ -39,7 +39,7 @@
             if !view.is_due(&command, now, retry) {
                 continue;
             }
-            view.sent(&command, now, !is_idle);
+            view.record_send(&command, now, !is_idle);
             self.stamp.sequence += 1;
             actions.push(Action::Send(Order {
                 member,
--- a/crates/experts/src/coordinator/view.rs
+++ b/crates/experts/src/coordinator/view.rs
@@ -26,7 +26,7 @@
     pub(super) statuses: BTreeMap<Rank, Status>,
     /// Reported since the phase began.
     pub(super) confirmed: bool,
-    answered: u64,
+    last_sequence: u64,
     reported_at: Monotonic,
     sent_at: Option<Monotonic>,
     sent_command: &'static str,
@@ -42,21 +42,21 @@
     }
 
     /// Forgets what was sent, for a new phase.
-    pub(super) fn restart(&mut self) {
+    pub(super) fn begin_phase(&mut self) {
         self.confirmed = false;
         self.sent_at = None;
         self.attempts = 0;
     }
 
     /// Forgets what was reported.
-    pub(super) fn forget(&mut self) {
-        self.restart();
+    pub(super) fn clear_reports(&mut self) {
+        self.begin_phase();
         self.statuses.clear();
     }
 
     /// Starts to count orders again, for a new fencing number.
-    pub(super) const fn recount(&mut self) {
-        self.answered = 0;
+    pub(super) const fn reset_sequence(&mut self) {
+        self.last_sequence = 0;
     }
 
     /// Whether an order may be sent now: the first of its kind at once, a repetition later.
@@ -71,7 +71,7 @@
         now >= sent_at + retry * (1 << doublings)
     }
 
-    pub(super) fn sent(&mut self, command: &Command, now: Monotonic, backs_off: bool) {
+    pub(super) fn record_send(&mut self, command: &Command, now: Monotonic, backs_off: bool) {
         if self.sent_command != command.name() {
             self.attempts = 0;
         }
@@ -85,7 +85,7 @@
     }
 
     /// Lets the next order go at once.
-    pub(super) fn hasten(&mut self) {
+    pub(super) fn reset_backoff(&mut self) {
         self.sent_at = None;
         self.attempts = 0;
     }
@@ -100,14 +100,14 @@
     }
 
     /// Takes a report, unless one on a later order was taken before.
-    pub(super) fn take(&mut self, report: &Report, first: u64, now: Monotonic) -> bool {
-        if report.stamp.sequence <= self.answered {
+    pub(super) fn apply_report(&mut self, report: &Report, first: u64, now: Monotonic) -> bool {
+        if report.stamp.sequence <= self.last_sequence {
             return false;
         }
-        self.answered = report.stamp.sequence;
+        self.last_sequence = report.stamp.sequence;
         self.incarnation = Some(report.incarnation);
         if report.refusal.is_some() {
-            self.hasten();
+            self.reset_backoff();
             return true;
         }
         self.reported_at = now;
