--- a/crates/experts/src/coordinator/advance.rs
+++ b/crates/experts/src/coordinator/advance.rs
@@ -84,7 +84,7 @@
     }
 
     fn advance_idle(&mut self, map: &Arc<Map>, now: Monotonic, actions: &mut Vec<Action>) -> bool {
-        if !view::any_blank(&self.views) {
+        if !view::any_without_map(&self.views) {
             return false;
         }
         let change = phase::abort(Arc::clone(map), self.highest);
@@ -98,7 +98,7 @@
         now: Monotonic,
         actions: &mut Vec<Action>,
     ) -> bool {
-        if view::any_blank(&self.views) {
+        if view::any_without_map(&self.views) {
             self.abort(change.abort(), Reason::RankReplaced, now, actions);
             return true;
         }
@@ -126,12 +126,12 @@
         now: Monotonic,
         actions: &mut Vec<Action>,
     ) -> bool {
-        if view::any_blank(&self.views) {
+        if view::any_without_map(&self.views) {
             self.abort(change.abort(), Reason::RankReplaced, now, actions);
             return true;
         }
         let switch = change.phase.switch;
-        if view::any_passed(&self.views, switch) {
+        if view::any_past_step(&self.views, switch) {
             let margin = change.phase.margin.saturating_mul(2);
             let change = change.raise(self.switch_step(margin, now), margin);
             let switch = change.phase.switch;
--- a/crates/experts/src/coordinator/view.rs
+++ b/crates/experts/src/coordinator/view.rs
@@ -168,7 +168,7 @@
     all.then_some(AllArmed(()))
 }
 
-pub(super) fn any_blank(views: &[View]) -> bool {
+pub(super) fn any_without_map(views: &[View]) -> bool {
     statuses(views).any(|status| status.current.is_none())
 }
 
@@ -177,7 +177,7 @@
 }
 
 /// Whether a rank has passed `switch` without it.
-pub(super) fn any_passed(views: &[View], switch: Switch) -> bool {
+pub(super) fn any_past_step(views: &[View], switch: Switch) -> bool {
     statuses(views).any(|status| {
         status.stage == Stage::Prepared(switch.generation) && status.step > switch.step
     })
