--- a/crates/experts/src/coordinator/advance.rs
+++ b/crates/experts/src/coordinator/advance.rs
@@ -43,20 +43,20 @@
             return false;
         }
         if round == Round::Fence {
-            self.enter(Phase::Reading(Round::Confirm));
+            self.enter_phase(Phase::Reading(Round::Confirm));
             return true;
         }
         let highest = self.next_generation() - 1;
-        self.highest = highest;
+        self.highest_generation = highest;
         match view::assess(&self.views) {
             Assessment::Inconsistent => {
                 debug_assert!(false, "ranks report generations that no change explains");
                 self.log(Choice::StandDown, Reason::Inconsistent, now, actions);
-                self.enter(Phase::StoodDown);
+                self.enter_phase(Phase::StoodDown);
             }
             Assessment::Settled(generation) => {
-                let map = self.map(generation);
-                self.enter(Phase::Idle(map));
+                let map = self.map_or_initial(generation);
+                self.enter_phase(Phase::Idle(map));
                 self.log(
                     Choice::Settle(generation),
                     Reason::AllReported,
@@ -65,13 +65,18 @@
                 );
             }
             Assessment::Abort(generation) => {
-                let before = generation.map_or_else(|| Arc::clone(&self.initial), |g| self.map(g));
+                let before = generation
+                    .map_or_else(|| Arc::clone(&self.initial_map), |g| self.map_or_initial(g));
                 let change = phase::abort(before, highest);
                 self.abort(change, Reason::FoundUnfinished, now, actions);
             }
             Assessment::Release { before, switch } => {
-                let change = Change::found(self.map(before), self.map(switch.generation), switch);
-                self.enter(Phase::Releasing(change));
+                let change = Change::found(
+                    self.map_or_initial(before),
+                    self.map_or_initial(switch.generation),
+                    switch,
+                );
+                self.enter_phase(Phase::Releasing(change));
                 let choice = Choice::Release(switch.generation, switch.step);
                 self.log(choice, Reason::FoundReleased, now, actions);
             }
@@ -79,15 +84,15 @@
         true
     }
 
-    fn map(&self, generation: Generation) -> Arc<Map> {
-        Arc::clone(self.maps.get(&generation).unwrap_or(&self.initial))
+    fn map_or_initial(&self, generation: Generation) -> Arc<Map> {
+        Arc::clone(self.maps.get(&generation).unwrap_or(&self.initial_map))
     }
 
     fn advance_idle(&mut self, map: &Arc<Map>, now: Monotonic, actions: &mut Vec<Action>) -> bool {
         if !view::any_without_map(&self.views) {
             return false;
         }
-        let change = phase::abort(Arc::clone(map), self.highest);
+        let change = phase::abort(Arc::clone(map), self.highest_generation);
         self.abort(change, Reason::RankReplaced, now, actions);
         true
     }
@@ -110,7 +115,7 @@
         let deadline = now + self.settings.arm_timeout;
         let change = change.arm(proof, step, margin, deadline);
         let switch = change.phase.switch;
-        self.enter(Phase::Arming(change));
+        self.enter_phase(Phase::Arming(change));
         let choice = Choice::Arm(switch.generation, switch.step);
         self.log(choice, Reason::AllReported, now, actions);
         true
@@ -135,7 +140,7 @@
             let margin = change.phase.margin.saturating_mul(2);
             let change = change.raise(self.switch_step(margin, now), margin);
             let switch = change.phase.switch;
-            self.enter(Phase::Arming(change));
+            self.enter_phase(Phase::Arming(change));
             let choice = Choice::Arm(switch.generation, switch.step);
             self.log(choice, Reason::StepPassed, now, actions);
             return true;
@@ -143,7 +148,7 @@
         let Some(proof) = view::all_armed(&self.views, switch) else {
             return false;
         };
-        self.enter(Phase::Releasing(change.release(proof)));
+        self.enter_phase(Phase::Releasing(change.release(proof)));
         let choice = Choice::Release(switch.generation, switch.step);
         self.log(choice, Reason::AllReported, now, actions);
         true
@@ -160,7 +165,7 @@
         if !self.views.iter().all(|view| view.all(is_done)) {
             return false;
         }
-        self.enter(Phase::Idle(change.done()));
+        self.enter_phase(Phase::Idle(change.done()));
         self.log(
             Choice::Settle(generation),
             Reason::AllReported,
@@ -181,7 +186,7 @@
             return false;
         }
         let generation = change.before.generation;
-        self.enter(Phase::Idle(change.before));
+        self.enter_phase(Phase::Idle(change.before));
         self.log(
             Choice::Settle(generation),
             Reason::AllReported,
--- a/crates/experts/src/coordinator/mod.rs
+++ b/crates/experts/src/coordinator/mod.rs
@@ -102,11 +102,11 @@
     revision: Revision,
     stamp: Stamp,
     /// First sequence number of the phase.
-    first: u64,
-    initial: Arc<Map>,
+    first_sequence: u64,
+    initial_map: Arc<Map>,
     maps: BTreeMap<Generation, Arc<Map>>,
     views: Vec<View>,
-    highest: Generation,
+    highest_generation: Generation,
     estimate: Estimate,
     phase: Phase,
 }
@@ -114,14 +114,14 @@
 impl Coordinator {
     /// Returns a coordinator that has just started.
     ///
-    /// `members` are the ranks of each member, in published order; `initial` is the map of a group
+    /// `members` are the ranks of each member, in published order; `initial_map` is the map of a group
     /// of which no rank has any.
     #[must_use]
     pub fn new(
         members: Vec<Vec<Rank>>,
         incarnation: Incarnation,
         revision: Revision,
-        initial: Arc<Map>,
+        initial_map: Arc<Map>,
         settings: Settings,
     ) -> Coordinator {
         Coordinator {
@@ -132,10 +132,10 @@
                 sender: incarnation,
                 sequence: 0,
             },
-            first: 1,
-            maps: BTreeMap::from([(initial.generation, Arc::clone(&initial))]),
-            highest: initial.generation,
-            initial,
+            first_sequence: 1,
+            maps: BTreeMap::from([(initial_map.generation, Arc::clone(&initial_map))]),
+            highest_generation: initial_map.generation,
+            initial_map,
             views: members.into_iter().map(View::new).collect(),
             estimate: Estimate::default(),
             phase: Phase::Reading(Round::Fence),
@@ -166,7 +166,9 @@
     /// Returns the lowest generation that a new map may have.
     #[must_use]
     pub fn next_generation(&self) -> Generation {
-        self.highest.max(view::highest_generation(&self.views)) + 1
+        self.highest_generation
+            .max(view::highest_generation(&self.views))
+            + 1
     }
 
     /// Returns the phase's name for tables.
@@ -188,14 +190,14 @@
         let mut actions = Vec::new();
         match event {
             Event::Tick => {}
-            Event::Report(report) => self.report(report, now, &mut actions),
+            Event::Report(report) => self.apply_report(report, now, &mut actions),
             Event::Start(map) => self.start(map, now, &mut actions),
-            Event::Withdraw => self.back_out(Reason::Withdrawn, now, &mut actions),
-            Event::Revision(revision) => self.revise(revision, now, &mut actions),
+            Event::Withdraw => self.abort_unreleased(Reason::Withdrawn, now, &mut actions),
+            Event::Revision(revision) => self.update_revision(revision, now, &mut actions),
         }
         self.check_deadline(now, &mut actions);
         while self.advance(now, &mut actions) {}
-        self.send(now, &mut actions);
+        self.send_due_orders(now, &mut actions);
         actions
     }
 
@@ -209,21 +211,21 @@
         }));
     }
 
-    fn enter(&mut self, phase: Phase) {
+    fn enter_phase(&mut self, phase: Phase) {
         self.phase = phase;
-        self.first = self.stamp.sequence + 1;
+        self.first_sequence = self.stamp.sequence + 1;
         self.views.iter_mut().for_each(View::begin_phase);
     }
 
-    fn revise(&mut self, revision: Revision, now: Monotonic, actions: &mut Vec<Action>) {
+    fn update_revision(&mut self, revision: Revision, now: Monotonic, actions: &mut Vec<Action>) {
         self.revision = self.revision.max(revision);
         if self.phase == Phase::StoodDown {
-            self.refence(self.stamp.fence, Reason::Started, now, actions);
+            self.raise_fence(self.stamp.fence, Reason::Started, now, actions);
         }
     }
 
     /// Takes a fencing number above `highest` and reads all ranks again.
-    fn refence(
+    fn raise_fence(
         &mut self,
         highest: Fence,
         reason: Reason,
@@ -236,10 +238,10 @@
         self.stamp.sequence = 0;
         if let Some(fence) = fence::next(self.revision, highest) {
             self.stamp.fence = fence;
-            self.enter(Phase::Reading(Round::Fence));
+            self.enter_phase(Phase::Reading(Round::Fence));
             self.log(Choice::Read, reason, now, actions);
         } else {
-            self.enter(Phase::StoodDown);
+            self.enter_phase(Phase::StoodDown);
             self.log(Choice::StandDown, reason, now, actions);
         }
     }
@@ -247,24 +249,24 @@
     /// Reads all ranks again under the same fencing number.
     fn reread(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
         self.views.iter_mut().for_each(View::clear_reports);
-        self.enter(Phase::Reading(Round::Fence));
+        self.enter_phase(Phase::Reading(Round::Fence));
         self.log(Choice::Read, Reason::MemberRestarted, now, actions);
     }
 
-    fn report(&mut self, report: Report, now: Monotonic, actions: &mut Vec<Action>) {
+    fn apply_report(&mut self, report: Report, now: Monotonic, actions: &mut Vec<Action>) {
         let own = report.stamp.sender == self.stamp.sender;
         if !own || report.stamp.fence != self.stamp.fence || self.phase == Phase::StoodDown {
             return;
         }
         if let Some(Refusal::StaleFence(highest)) = report.refusal {
-            return self.refence(highest, Reason::Fenced, now, actions);
+            return self.raise_fence(highest, Reason::Fenced, now, actions);
         }
         let Some(view) = self.views.get_mut(report.member) else {
             return;
         };
         let round_trip = view.round_trip(now);
         let known = view.incarnation;
-        if !view.apply_report(&report, self.first, now) {
+        if !view.apply_report(&report, self.first_sequence, now) {
             return;
         }
         if known.is_some_and(|known| known != report.incarnation) {
@@ -289,12 +291,12 @@
             return self.log(Choice::Refuse(generation), Reason::BadMap, now, actions);
         }
         let before = Arc::clone(before);
-        self.highest = generation;
+        self.highest_generation = generation;
         self.maps.insert(generation, Arc::clone(&map));
         self.estimate = Estimate::default();
         let deadline = now + self.settings.prepare_timeout;
         let phase = Preparing { map, deadline };
-        self.enter(Phase::Preparing(Change { before, phase }));
+        self.enter_phase(Phase::Preparing(Change { before, phase }));
         self.log(Choice::Prepare(generation), Reason::Asked, now, actions);
     }
 
@@ -305,12 +307,12 @@
             _ => return,
         };
         if now >= deadline {
-            self.back_out(Reason::Timeout, now, actions);
+            self.abort_unreleased(Reason::Timeout, now, actions);
         }
     }
 
     /// Aborts the change under way, unless it is past its release.
-    fn back_out(&mut self, reason: Reason, now: Monotonic, actions: &mut Vec<Action>) {
+    fn abort_unreleased(&mut self, reason: Reason, now: Monotonic, actions: &mut Vec<Action>) {
         let change = match self.phase.clone() {
             Phase::Preparing(change) => change.abort(),
             Phase::Arming(change) => change.abort(),
@@ -327,7 +329,7 @@
         actions: &mut Vec<Action>,
     ) {
         let back = change.before.generation;
-        self.enter(Phase::Aborting(change));
+        self.enter_phase(Phase::Aborting(change));
         self.log(Choice::Abort(back), reason, now, actions);
     }
 }
--- a/crates/experts/src/coordinator/send.rs
+++ b/crates/experts/src/coordinator/send.rs
@@ -24,7 +24,7 @@
 
 impl Coordinator {
     /// Sends each member what it has still to be told, where that is due.
-    pub(super) fn send(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
+    pub(super) fn send_due_orders(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
         let is_idle = matches!(self.phase, Phase::Idle(_));
         for member in 0..self.views.len() {
             let Some((command, retry)) = self.wanted(member) else {
