--- a/crates/experts/src/coordinator/advance.rs
+++ b/crates/experts/src/coordinator/advance.rs
@@ -71,7 +71,7 @@
                 self.abort(change, Reason::FoundUnfinished, now, actions);
             }
             Assessment::Release { before, switch } => {
-                let change = Change::found(
+                let change = Change::resume(
                     self.map_or_initial(before),
                     self.map_or_initial(switch.generation),
                     switch,
@@ -138,7 +138,7 @@
         let switch = change.phase.switch;
         if view::any_past_step(&self.views, switch) {
             let margin = change.phase.margin.saturating_mul(2);
-            let change = change.raise(self.switch_step(margin, now), margin);
+            let change = change.postpone(self.switch_step(margin, now), margin);
             let switch = change.phase.switch;
             self.enter_phase(Phase::Arming(change));
             let choice = Choice::Arm(switch.generation, switch.step);
@@ -165,7 +165,7 @@
         if !self.views.iter().all(|view| view.all(is_done)) {
             return false;
         }
-        self.enter_phase(Phase::Idle(change.done()));
+        self.enter_phase(Phase::Idle(change.into_map()));
         self.log(
             Choice::Settle(generation),
             Reason::AllReported,
--- a/crates/experts/src/coordinator/phase.rs
+++ b/crates/experts/src/coordinator/phase.rs
@@ -80,7 +80,7 @@
 
 impl Change<Arming> {
     /// Moves the switch to a later step.
-    pub(super) fn raise(mut self, step: Step, margin: Step) -> Change<Arming> {
+    pub(super) fn postpone(mut self, step: Step, margin: Step) -> Change<Arming> {
         self.phase.switch.step = step.max(self.phase.switch.step + 1);
         self.phase.margin = margin;
         self
@@ -104,7 +104,7 @@
 
 impl Change<Releasing> {
     /// Takes up a release that another incarnation began.
-    pub(super) const fn found(
+    pub(super) const fn resume(
         before: Arc<Map>,
         map: Arc<Map>,
         switch: Switch,
@@ -116,7 +116,7 @@
     }
 
     /// Returns the map that all ranks use once the release is complete.
-    pub(super) fn done(self) -> Arc<Map> {
+    pub(super) fn into_map(self) -> Arc<Map> {
         self.phase.map
     }
 }
