--- a/crates/experts/src/coordinator/advance.rs
+++ b/crates/experts/src/coordinator/advance.rs
@@ -122,7 +122,7 @@
     }
 
     fn switch_step(&self, margin: Step, now: Monotonic) -> Step {
-        view::highest_step(&self.views) + self.estimate.steps(now) + margin
+        view::highest_step(&self.views) + self.estimate.steps_ahead(now) + margin
     }
 
     fn advance_arming(
--- a/crates/experts/src/coordinator/estimate.rs
+++ b/crates/experts/src/coordinator/estimate.rs
@@ -24,7 +24,7 @@
     }
 
     /// Returns the steps that may run until all ranks are armed and released.
-    pub(super) fn steps(&self, now: Monotonic) -> Step {
+    pub(super) fn steps_ahead(&self, now: Monotonic) -> Step {
         let Some(first) = self.first else {
             return 0;
         };
