--- a/crates/experts/src/coordinator/decision.rs
+++ b/crates/experts/src/coordinator/decision.rs
@@ -1,4 +1,4 @@
-//! What a coordinator decided and why, for one log line each.
+//! Decisions of a coordinator with their reasons; each is logged on one line.
 
 use std::time::Duration;
 
@@ -6,69 +6,70 @@
 use auburnline_core::id::Generation;
 use auburnline_core::id::Step;
 
-/// What was chosen.
+/// Action that a coordinator chose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Choice {
-    /// Read all ranks under the decision's fencing number.
+    /// Read the state of all ranks under the decision's fencing number.
     Read,
-    /// Load the weights of a generation.
+    /// Order all ranks to load the weights of a generation.
     Prepare(Generation),
-    /// Arm all ranks for a switch.
+    /// Arm all ranks to hold at a step.
     Arm(Generation, Step),
-    /// Release all ranks.
+    /// Release all ranks, which then switch at a step.
     Release(Generation, Step),
-    /// Go back to the generation in use.
+    /// Abort the change and keep this generation, which is in use.
     Abort(Generation),
-    /// Nothing left to do: all ranks use this generation.
+    /// Finish the change: all ranks use this generation.
     Settle(Generation),
-    /// Leave a map alone.
+    /// Reject a requested map of this generation.
     Refuse(Generation),
-    /// Send no more orders before a newer revision is in force.
+    /// Send no orders until a revision in force permits a new fencing number.
     StandDown,
 }
 
-/// Why it was chosen.
+/// Reason for a choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// The process started, or must take a higher fencing number.
+    /// A revision came into force while the coordinator had stood down.
     Started,
-    /// A member has seen a higher fencing number.
+    /// A member rejected the fencing number as stale.
     Fenced,
-    /// A new map was asked for.
+    /// A new map was requested.
     Asked,
     /// All ranks have reported what this choice needs.
     AllReported,
-    /// A rank had entered the switch step before it could be armed.
+    /// A rank had entered the switch step before it was armed.
     StepPassed,
-    /// A rank was found released.
+    /// A rank was already released when the ranks were read.
     FoundReleased,
-    /// A rank was found in an unfinished change, and none released.
+    /// When the ranks were read, none was released and some were in a change or without weights.
     FoundUnfinished,
-    /// A member has restarted and may have forgotten the fencing number.
+    /// A member has restarted and may have lost the fencing number.
     MemberRestarted,
-    /// A rank has lost its weights.
+    /// A rank reports no map, as after its replacement.
     RankReplaced,
     /// The change was withdrawn before its release.
     Withdrawn,
-    /// The change took too long before its release.
+    /// The change missed a deadline before its release.
     Timeout,
-    /// Another change is under way.
+    /// The coordinator is not idle.
     Busy,
-    /// The map does not fit the group, or its generation was used before.
+    /// The map does not fit the group, or its generation is below the next free one.
     BadMap,
-    /// Ranks report generations that no change explains.
+    /// The ranks report generations that do not fit a single change.
     Inconsistent,
 }
 
 /// One decision of a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Decision {
-    /// What was chosen.
+    /// Chosen action.
     pub choice: Choice,
-    /// Why.
+    /// Reason for the choice.
     pub reason: Reason,
-    /// Fencing number it was made under.
+    /// Fencing number of the coordinator at the time.
     pub fence: Fence,
-    /// Age of the oldest report it rests on.
+    /// Age of the oldest of the members' last reports; counted from the clock's zero for a member
+    /// that has not reported.
     pub age: Duration,
 }
