--- a/crates/experts/src/coordinator/view.rs
+++ b/crates/experts/src/coordinator/view.rs
@@ -1,4 +1,4 @@
-//! What the coordinator knows of each member, and what follows from it.
+//! State of each member as reported to the coordinator, and its assessment.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,17 +15,18 @@
 use crate::order::Status;
 use crate::order::Switch;
 
-/// Most doublings of the time between retries.
+/// Maximum number of doublings of the retry interval.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// One member as its last report under this coordinator's fence shows it.
+/// State of one member, from its reports under the coordinator's fencing number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct View {
     pub(super) ranks: Vec<Rank>,
     pub(super) incarnation: Option<Incarnation>,
     pub(super) statuses: BTreeMap<Rank, Status>,
-    /// Reported since the phase began.
+    /// Whether a report on an order of the current phase has covered all ranks.
     pub(super) confirmed: bool,
+    /// Highest sequence number of an order that was reported on.
     last_sequence: u64,
     reported_at: Monotonic,
     sent_at: Option<Monotonic>,
@@ -41,25 +42,26 @@
         }
     }
 
-    /// Forgets what was sent, for a new phase.
+    /// Resets what is tracked per phase: the confirmation and the retry state.
     pub(super) fn begin_phase(&mut self) {
         self.confirmed = false;
         self.sent_at = None;
         self.attempts = 0;
     }
 
-    /// Forgets what was reported.
+    /// Drops the reported statuses, and what is tracked per phase.
     pub(super) fn clear_reports(&mut self) {
         self.begin_phase();
         self.statuses.clear();
     }
 
-    /// Starts to count orders again, for a new fencing number.
+    /// Resets the sequence number, as orders under a new fencing number are numbered from 1.
     pub(super) const fn reset_sequence(&mut self) {
         self.last_sequence = 0;
     }
 
-    /// Whether an order may be sent now: the first of its kind at once, a repetition later.
+    /// Returns whether `command` may be sent now: the first of its kind at once, a repetition once the
+    /// retry interval has passed.
     pub(super) fn is_due(&self, command: &Command, now: Monotonic, retry: Duration) -> bool {
         let Some(sent_at) = self.sent_at else {
             return true;
@@ -84,7 +86,7 @@
         };
     }
 
-    /// Lets the next order go at once.
+    /// Makes the next order due at once.
     pub(super) fn reset_backoff(&mut self) {
         self.sent_at = None;
         self.attempts = 0;
@@ -94,13 +96,20 @@
         now.saturating_sub(self.reported_at)
     }
 
-    /// Time from the last order to the report that came now.
+    /// Returns the time from the last order to a report that arrives now; `None` if nothing was sent in
+    /// this phase.
     pub(super) fn round_trip(&self, now: Monotonic) -> Option<Duration> {
         self.sent_at.map(|sent| now.saturating_sub(sent))
     }
 
-    /// Takes a report, unless one on a later order was taken before.
-    pub(super) fn apply_report(&mut self, report: &Report, first: u64, now: Monotonic) -> bool {
+    /// Applies a report, unless a report on the same or a later order was applied before; returns
+    /// whether it did. `first_sequence` is the first sequence number of the phase.
+    pub(super) fn apply_report(
+        &mut self,
+        report: &Report,
+        first_sequence: u64,
+        now: Monotonic,
+    ) -> bool {
         if report.stamp.sequence <= self.last_sequence {
             return false;
         }
@@ -115,40 +124,41 @@
             .ranks
             .iter()
             .all(|rank| report.ranks.contains_key(rank));
-        self.confirmed |= complete && report.stamp.sequence >= first;
+        self.confirmed |= complete && report.stamp.sequence >= first_sequence;
         self.statuses
             .extend(report.ranks.iter().map(|(&r, &s)| (r, s)));
         true
     }
 
-    pub(super) fn all(&self, holds: impl Fn(&Status) -> bool) -> bool {
-        self.statuses.len() == self.ranks.len() && self.statuses.values().all(holds)
+    pub(super) fn all(&self, predicate: impl Fn(&Status) -> bool) -> bool {
+        self.statuses.len() == self.ranks.len() && self.statuses.values().all(predicate)
     }
 }
 
-/// Proof that every rank was seen prepared.
+/// Proof that every rank has reported to be prepared.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AllPrepared(());
 
-/// Proof that every rank was seen armed for one switch.
+/// Proof that every rank has reported to be armed for the same switch.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AllArmed(());
 
-/// What all reports of a group together mean.
+/// State of a group that the reports of all its members show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Assessment {
-    /// Some rank was released: all must be.
+    /// Some rank was released, so all must be.
     Release {
         /// Generation that the ranks not yet switched use.
         before: Generation,
-        /// The switch.
+        /// Switch that the rank was released for.
         switch: Switch,
     },
-    /// No rank was released, and some rank is in a change or has no weights.
+    /// No rank was released, and some rank is in a change or without weights. Holds the generation in
+    /// use, or `None` if no rank uses any.
     Abort(Option<Generation>),
     /// All ranks use this generation.
     Settled(Generation),
-    /// No change explains the reports.
+    /// The reported generations do not fit a single change.
     Inconsistent,
 }
 
@@ -176,22 +186,27 @@
     statuses(views).map(|status| status.step).max().unwrap_or(0)
 }
 
-/// Whether a rank has passed `switch` without it.
+/// Returns whether a rank has entered the switch step without being armed.
 pub(super) fn any_past_step(views: &[View], switch: Switch) -> bool {
     statuses(views).any(|status| {
         status.stage == Stage::Prepared(switch.generation) && status.step > switch.step
     })
 }
 
-/// Returns the highest generation that any rank knows of.
+/// Returns the highest generation that any rank uses or has in a change.
 pub(super) fn highest_generation(views: &[View]) -> Generation {
     statuses(views)
-        .map(|status| status.current.max(staged(status.stage)).unwrap_or(0))
+        .map(|status| {
+            status
+                .current
+                .max(change_generation(status.stage))
+                .unwrap_or(0)
+        })
         .max()
         .unwrap_or(0)
 }
 
-fn staged(stage: Stage) -> Option<Generation> {
+fn change_generation(stage: Stage) -> Option<Generation> {
     match stage {
         Stage::Steady => None,
         Stage::Loading(generation) | Stage::Prepared(generation) => Some(generation),
@@ -201,34 +216,34 @@
     }
 }
 
-/// Returns the switch that a rank was released for and may not have been followed in by all.
-fn released(status: &Status) -> Option<Switch> {
+/// Returns the switch that a rank was released for; other ranks may not have switched yet.
+fn released_switch(status: &Status) -> Option<Switch> {
     match status.stage {
         Stage::Released(switch) | Stage::Switched(switch) => Some(switch),
         _ => None,
     }
 }
 
-/// Judges a group of which every rank has reported.
+/// Assesses a group of which every rank has reported.
 pub(super) fn assess(views: &[View]) -> Assessment {
     let mut currents: Vec<Generation> = statuses(views).filter_map(|s| s.current).collect();
     currents.sort_unstable();
     currents.dedup();
     let switch = statuses(views)
-        .filter_map(released)
+        .filter_map(released_switch)
         .max_by_key(|s| s.generation);
-    let behind = currents.first().copied();
-    match (behind, switch) {
+    let lowest = currents.first().copied();
+    match (lowest, switch) {
         (Some(before), Some(switch)) if before != switch.generation => {
-            let explained = |&c: &Generation| c == before || c == switch.generation;
-            if currents.iter().all(explained) {
+            let is_expected = |&c: &Generation| c == before || c == switch.generation;
+            if currents.iter().all(is_expected) {
                 Assessment::Release { before, switch }
             } else {
                 Assessment::Inconsistent
             }
         }
         _ if currents.len() > 1 => Assessment::Inconsistent,
-        _ => assess_unreleased(views, behind),
+        _ => assess_unreleased(views, lowest),
     }
 }
 
@@ -240,7 +255,7 @@
     }
 }
 
-/// Whether a rank is in no change.
+/// Returns whether a rank is in no change: none was begun, or it has switched.
 pub(super) fn is_steady(status: &Status) -> bool {
     matches!(status.stage, Stage::Steady | Stage::Switched(_))
 }
