--- a/crates/experts/src/coordinator/advance.rs
+++ b/crates/experts/src/coordinator/advance.rs
@@ -1,4 +1,4 @@
-//! Transitions between the phases, each from what all members have reported.
+//! Transitions between the phases, based on the reports of all members.
 
 use std::sync::Arc;
 
@@ -46,11 +46,14 @@
             self.enter_phase(Phase::Reading(Round::Confirm));
             return true;
         }
-        let highest = self.next_generation() - 1;
-        self.highest_generation = highest;
+        let highest_generation = self.next_generation() - 1;
+        self.highest_generation = highest_generation;
         match view::assess(&self.views) {
             Assessment::Inconsistent => {
-                debug_assert!(false, "ranks report generations that no change explains");
+                debug_assert!(
+                    false,
+                    "ranks report generations that do not fit a single change"
+                );
                 self.log(Choice::StandDown, Reason::Inconsistent, now, actions);
                 self.enter_phase(Phase::StoodDown);
             }
@@ -67,7 +70,7 @@
             Assessment::Abort(generation) => {
                 let before = generation
                     .map_or_else(|| Arc::clone(&self.initial_map), |g| self.map_or_initial(g));
-                let change = phase::abort(before, highest);
+                let change = phase::abort(before, highest_generation);
                 self.abort(change, Reason::FoundUnfinished, now, actions);
             }
             Assessment::Release { before, switch } => {
@@ -84,6 +87,7 @@
         true
     }
 
+    /// Returns the map of `generation`, or the initial map if no rank has reported that one.
     fn map_or_initial(&self, generation: Generation) -> Arc<Map> {
         Arc::clone(self.maps.get(&generation).unwrap_or(&self.initial_map))
     }
@@ -121,6 +125,7 @@
         true
     }
 
+    /// Returns a step that no rank is expected to enter before all are armed.
     fn switch_step(&self, margin: Step, now: Monotonic) -> Step {
         view::highest_step(&self.views) + self.estimate.steps_ahead(now) + margin
     }
