--- a/crates/experts/src/coordinator/phase.rs
+++ b/crates/experts/src/coordinator/phase.rs
@@ -1,7 +1,7 @@
 //! Life cycle of a change: preparing, arming, releasing or aborting.
 //!
-//! Each phase is a type. Releasing can be entered only with the proof that every rank was seen
-//! armed, or with the switch of a rank found released, and has no way back to aborting.
+//! Each phase is a type. Releasing can be entered only with the proof that every rank is armed, or
+//! with the switch of a rank that was already released, and has no transition to aborting.
 
 use std::sync::Arc;
 
@@ -13,22 +13,22 @@
 use super::view::AllPrepared;
 use crate::order::Switch;
 
-/// A change of map in one phase.
+/// Change of map in phase `P`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Change<P> {
-    /// Map that the ranks use.
+    /// Map in use before the change.
     pub(super) before: Arc<Map>,
     pub(super) phase: P,
 }
 
-/// Ranks load weights.
+/// Ranks load the weights of the new map.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Preparing {
     pub(super) map: Arc<Map>,
     pub(super) deadline: Monotonic,
 }
 
-/// Ranks get ready to hold at the switch step.
+/// Ranks are being armed: each is to hold at the switch step until released.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Arming {
     pub(super) map: Arc<Map>,
@@ -37,16 +37,17 @@
     pub(super) margin: Step,
 }
 
-/// Ranks are told to switch; there is no way back.
+/// Ranks are being released; the change can no longer be aborted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Releasing {
     pub(super) map: Arc<Map>,
     pub(super) switch: Switch,
 }
 
-/// Ranks go back to the map they use.
+/// Ranks drop the new map and keep the one in use.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Aborting {
+    /// Highest generation to drop.
     pub(super) generation: u64,
 }
 
@@ -79,7 +80,7 @@
 }
 
 impl Change<Arming> {
-    /// Moves the switch to a later step.
+    /// Moves the switch to `step`, and by at least one step.
     pub(super) fn postpone(mut self, step: Step, margin: Step) -> Change<Arming> {
         self.phase.switch.step = step.max(self.phase.switch.step + 1);
         self.phase.margin = margin;
@@ -103,7 +104,7 @@
 }
 
 impl Change<Releasing> {
-    /// Takes up a release that another incarnation began.
+    /// Resumes a release that an earlier coordinator began.
     pub(super) const fn resume(
         before: Arc<Map>,
         map: Arc<Map>,
@@ -115,13 +116,13 @@
         }
     }
 
-    /// Returns the map that all ranks use once the release is complete.
+    /// Returns the new map, which all ranks use once the release is complete.
     pub(super) fn into_map(self) -> Arc<Map> {
         self.phase.map
     }
 }
 
-/// Starts to go back to `before` from all generations up to `generation`.
+/// Returns an abort that keeps `before` and drops all generations up to `generation`.
 pub(super) const fn abort(before: Arc<Map>, generation: u64) -> Change<Aborting> {
     Change {
         before,
