--- a/crates/experts/src/coordinator/estimate.rs
+++ b/crates/experts/src/coordinator/estimate.rs
@@ -1,14 +1,14 @@
-//! How far ahead a switch step must be.
+//! Estimate of how many steps ahead a switch step must be.
 
 use std::time::Duration;
 
 use auburnline_core::id::Step;
 use auburnline_core::time::Monotonic;
 
-/// Most steps that an estimate may put between the newest known step and the switch step.
-const MAX_AHEAD: Step = 512;
+/// Upper limit of an estimate, in steps.
+const MAX_STEPS_AHEAD: Step = 512;
 
-/// Speed of steps and messages, to choose a switch step that no rank has passed.
+/// Observed step rate and longest round-trip time, for a switch step that no rank enters too early.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Estimate {
     round_trip: Duration,
@@ -23,7 +23,8 @@
         self.round_trip = self.round_trip.max(round_trip.unwrap_or_default());
     }
 
-    /// Returns the steps that may run until all ranks are armed and released.
+    /// Returns how many steps after the highest observed one may run until all ranks are armed and
+    /// released; 0 before the first observation.
     pub(super) fn steps_ahead(&self, now: Monotonic) -> Step {
         let Some(first) = self.first else {
             return 0;
@@ -32,6 +33,6 @@
         let elapsed = self.last.0.saturating_sub(first.0).as_micros().max(1);
         let steps = u128::from(self.last.1.saturating_sub(first.1));
         let ahead = (ahead.as_micros() * steps).div_ceil(elapsed);
-        Step::try_from(ahead).map_or(MAX_AHEAD, |ahead| ahead.min(MAX_AHEAD))
+        Step::try_from(ahead).map_or(MAX_STEPS_AHEAD, |ahead| ahead.min(MAX_STEPS_AHEAD))
     }
 }
