--- a/crates/experts/src/coordinator/settings.rs
+++ b/crates/experts/src/coordinator/settings.rs
@@ -4,7 +4,7 @@
 
 use auburnline_core::id::Step;
 
-/// Times and bounds of a change.
+/// Timing and limits of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
     pub(super) retry: Duration,
@@ -16,7 +16,7 @@
 }
 
 impl Settings {
-    /// Starts from the defaults.
+    /// Returns a builder that holds the defaults.
     #[must_use]
     pub const fn builder() -> Builder {
         Builder(Settings {
@@ -35,42 +35,44 @@
 pub struct Builder(Settings);
 
 impl Builder {
-    /// First time between an order and its retry; it doubles up to sixteen times this.
+    /// Initial interval between an order and its retry; it doubles with each retry, up to 16 times
+    /// this value.
     #[must_use]
     pub const fn retry(mut self, retry: Duration) -> Builder {
         self.0.retry = retry;
         self
     }
 
-    /// Time between looks at the ranks while no change is under way.
+    /// Interval between reads of the ranks while no change is under way.
     #[must_use]
     pub const fn poll(mut self, poll: Duration) -> Builder {
         self.0.poll = poll;
         self
     }
 
-    /// Longest time to load weights before the change is aborted.
+    /// Timeout for loading weights, after which the change is aborted.
     #[must_use]
     pub const fn prepare_timeout(mut self, timeout: Duration) -> Builder {
         self.0.prepare_timeout = timeout;
         self
     }
 
-    /// Longest time to arm all ranks before the change is aborted.
+    /// Timeout for arming all ranks, after which the change is aborted.
     #[must_use]
     pub const fn arm_timeout(mut self, timeout: Duration) -> Builder {
         self.0.arm_timeout = timeout;
         self
     }
 
-    /// Fewest steps between the newest known step and the switch step.
+    /// Minimum number of steps between the highest reported step and the switch step; doubled each
+    /// time that a rank enters the switch step before it is armed.
     #[must_use]
     pub const fn margin(mut self, margin: Step) -> Builder {
         self.0.margin = margin;
         self
     }
 
-    /// Most bytes a second that one rank may read from the weight store.
+    /// Maximum rate at which one rank reads from the weight store, in bytes per second.
     #[must_use]
     pub const fn bytes_per_second(mut self, rate: u64) -> Builder {
         self.0.bytes_per_second = rate;
