--- a/crates/experts/src/coordinator/mod.rs
+++ b/crates/experts/src/coordinator/mod.rs
@@ -1,17 +1,18 @@
-//! The slot beside rank 0: drives a change of map through all members of its group.
+//! Coordinator of a group, in the slot beside rank 0: drives a change of map through all members.
 //!
-//! Soft state only. A coordinator starts by reading every rank under a fencing number of its own;
-//! from the answer of the last member on, no older order has an effect anywhere. Only then it
-//! judges: if any rank was released all are released, if none was then all are aborted. Ranks that
-//! could not be reached may have been released, so it waits for every one of them.
+//! It keeps soft state only. A coordinator starts by reading every rank under a fencing number of
+//! its own; once the last member has answered, no older order has an effect anywhere. Only then it
+//! assesses the group: if any rank was released, all are released; if none was, the change is
+//! aborted on all. A rank that is unreachable may have been released, so the coordinator waits for
+//! the reports of all ranks.
 //!
-//! It reads twice, and again when it meets a new incarnation of a member, since that one may have
-//! forgotten the fencing number: an older coordinator could act through it, but not through the
+//! It reads all ranks twice, and again when it sees a new incarnation of a member, which may have
+//! lost the fencing number: an older coordinator could act through that member, but not through the
 //! others, and it too has to read them all first.
 //!
-//! All sends are level-triggered: [`Coordinator::handle`] works out what each member still has to be
-//! told in this phase and sends it, again after the retry time. There is no way back from a
-//! release; before it, a timeout, a withdrawal or a replaced rank leads to an abort.
+//! All sends are level-triggered: [`Coordinator::handle`] derives from the phase and the reports
+//! which command each member has not yet carried out, and sends it again after the retry interval. A
+//! release cannot be undone; before it, a timeout, a withdrawal or a replaced rank leads to an abort.
 
 mod advance;
 mod decision;
@@ -50,31 +51,31 @@
 use crate::order::Report;
 use crate::order::Stamp;
 
-/// What a coordinator is told.
+/// Input of a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// Time has passed.
+    /// Time has passed; sent periodically, as deadlines and retries are checked on each event.
     Tick,
-    /// A member has answered.
+    /// A member has reported on an order.
     Report(Report),
-    /// A new map is wanted.
+    /// A change to a new map is requested.
     Start(Arc<Map>),
-    /// The map under way is no longer wanted.
+    /// The change under way is to be aborted, unless it is released.
     Withdraw,
-    /// A revision is in force.
+    /// A configuration revision is in force.
     Revision(Revision),
 }
 
-/// What a coordinator wants done.
+/// Output of a coordinator, for its caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send an order to its member.
+    /// Send an order to the member that it names.
     Send(Order),
     /// Log a decision.
     Log(Decision),
 }
 
-/// Phase of a coordinator.
+/// Phase of a coordinator; `StoodDown` sends no orders.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     StoodDown,
@@ -86,12 +87,12 @@
     Aborting(Change<Aborting>),
 }
 
-/// Round of reading all ranks.
+/// Purpose of a round that reads all ranks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Round {
-    /// Every member takes the fencing number.
+    /// Makes every member accept the fencing number.
     Fence,
-    /// No member has restarted since all had taken it.
+    /// Confirms that no member has restarted since all accepted it.
     Confirm,
 }
 
@@ -101,7 +102,7 @@
     settings: Settings,
     revision: Revision,
     stamp: Stamp,
-    /// First sequence number of the phase.
+    /// First sequence number of the current phase.
     first_sequence: u64,
     initial_map: Arc<Map>,
     maps: BTreeMap<Generation, Arc<Map>>,
@@ -114,8 +115,8 @@
 impl Coordinator {
     /// Returns a coordinator that has just started.
     ///
-    /// `members` are the ranks of each member, in published order; `initial_map` is the map of a group
-    /// of which no rank has any.
+    /// `members` are the ranks of each member, in published order; `initial_map` is used for a group in
+    /// which no rank has a map.
     #[must_use]
     pub fn new(
         members: Vec<Vec<Rank>>,
@@ -154,7 +155,7 @@
         self.stamp.fence
     }
 
-    /// Returns the generation that all ranks use, when no change is under way.
+    /// Returns the generation that all ranks use, or `None` unless the coordinator is idle.
     #[must_use]
     pub fn settled(&self) -> Option<Generation> {
         match &self.phase {
@@ -171,7 +172,7 @@
             + 1
     }
 
-    /// Returns the phase's name for tables.
+    /// Returns the name of the phase, for display.
     #[must_use]
     pub const fn phase(&self) -> &'static str {
         match self.phase {
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Takes an event and returns what to do.
+    /// Handles an event and returns the actions that follow from it.
     pub fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -224,7 +225,8 @@
         }
     }
 
-    /// Takes a fencing number above `highest` and reads all ranks again.
+    /// Raises the fencing number above `highest` and reads all ranks again; stands down if the revision
+    /// in force permits none.
     fn raise_fence(
         &mut self,
         highest: Fence,
@@ -265,11 +267,13 @@
             return;
         };
         let round_trip = view.round_trip(now);
-        let known = view.incarnation;
+        let known_incarnation = view.incarnation;
         if !view.apply_report(&report, self.first_sequence, now) {
             return;
         }
-        if known.is_some_and(|known| known != report.incarnation) {
+        if known_incarnation
+            .is_some_and(|known_incarnation| known_incarnation != report.incarnation)
+        {
             return self.reread(now, actions);
         }
         if report.refusal.is_none() {
@@ -311,7 +315,7 @@
         }
     }
 
-    /// Aborts the change under way, unless it is past its release.
+    /// Aborts the change under way, unless it is released.
     fn abort_unreleased(&mut self, reason: Reason, now: Monotonic, actions: &mut Vec<Action>) {
         let change = match self.phase.clone() {
             Phase::Preparing(change) => change.abort(),
@@ -328,8 +332,8 @@
         now: Monotonic,
         actions: &mut Vec<Action>,
     ) {
-        let back = change.before.generation;
+        let generation = change.before.generation;
         self.enter_phase(Phase::Aborting(change));
-        self.log(Choice::Abort(back), reason, now, actions);
+        self.log(Choice::Abort(generation), reason, now, actions);
     }
 }
