--- a/crates/experts/src/order.rs
+++ b/crates/experts/src/order.rs
@@ -2,7 +2,7 @@
 //!
 //! An order is accepted by one incarnation of a member only, and at most once: its stamp must be
 //! newer than all that this incarnation has accepted. A retry therefore carries a new sequence
-//! number, and a late or doubled order is without effect.
+//! number, and a delayed or duplicated order has no effect.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,41 +19,41 @@
 /// Index of a member's instance in the published group.
 pub type MemberIndex = usize;
 
-/// A change to `generation` from `step` on.
+/// Switch of all ranks to a new map at one step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Switch {
     /// Generation of the new map.
     pub generation: Generation,
-    /// First step with the new map.
+    /// First step that uses the new map.
     pub step: Step,
 }
 
-/// What ranks are told.
+/// Command to the ranks of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
-    /// Report the state.
+    /// Report the state and the maps held.
     Read,
-    /// Load the weights of `map` beside those in use.
+    /// Load the weights of `map` in addition to those in use.
     Prepare {
         /// Map to load.
         map: Arc<Map>,
-        /// Most bytes a second that one rank may read from the weight store.
+        /// Maximum rate at which one rank reads from the weight store, in bytes per second.
         bytes_per_second: u64,
     },
-    /// Hold at the switch step unless released.
+    /// Do not enter the switch step before the release.
     Arm(Switch),
     /// Use the new map from the switch step on.
     Release(Switch),
-    /// Drop what was prepared or armed for this generation, and all older ones.
+    /// Drop what is being loaded, prepared or armed for this generation or an older one.
     Abort(Generation),
-    /// Start to take part in steps, for a rank without weights; others ignore it.
+    /// Load weights and then take part in steps, for a rank without a map; others ignore it.
     Join {
-        /// Map to use.
+        /// Map to use at first.
         base: Arc<Map>,
-        /// Map to use from a step on, where a release is under way.
+        /// Map of a release under way, and the step from which to use it.
         next: Option<(Arc<Map>, Step)>,
-        /// Most bytes a second that one rank may read from the weight store.
+        /// Maximum rate at which one rank reads from the weight store, in bytes per second.
         bytes_per_second: u64,
     },
 }
@@ -73,28 +73,28 @@
     }
 }
 
-/// Place of an order among all orders of a group.
+/// Position of an order among all orders of a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Stamp {
     /// Fencing number of the coordinator.
     pub fence: Fence,
     /// Incarnation of the coordinator.
     pub sender: Incarnation,
-    /// Number of the order under this fence.
+    /// Sequence number of the order under this fencing number, from 1.
     pub sequence: u64,
 }
 
 /// An order to all ranks of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Order {
-    /// Member that gets it.
+    /// Member that the order is sent to.
     pub member: MemberIndex,
-    /// Incarnation of the member, or `None` while the coordinator does not know it; only
-    /// [`Command::Read`] may leave it open.
+    /// Incarnation of the member, or `None` while the coordinator does not know it, which is allowed
+    /// for [`Command::Read`] only.
     pub incarnation: Option<Incarnation>,
-    /// Place among all orders.
+    /// Position among all orders of the group.
     pub stamp: Stamp,
-    /// What to do.
+    /// Command to the member's ranks.
     pub command: Command,
 }
 
@@ -102,67 +102,69 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// Another coordinator with this fencing number was accepted before.
+    /// The order's fencing number is below this one, which is the highest seen, or equals it and another
+    /// coordinator was the first to use it.
     StaleFence(Fence),
     /// A newer order of the same coordinator was accepted before.
     StaleSequence,
-    /// The order was for another incarnation of the member.
+    /// The order names another incarnation of the member, or none with a command other than a read.
     OtherIncarnation,
     /// The rank has entered the switch step or a later one.
     StepPassed,
-    /// The rank has not loaded that generation, or is not armed for that switch.
+    /// The rank's stage does not permit the command: it takes part in no steps yet, has not loaded that
+    /// generation, is not armed for that switch, or is in another change that is armed or released.
     NotReady,
-    /// The rank has been released and can't go back.
+    /// The rank has been released, so its change can't be aborted.
     Released,
     /// The rank has another map under this generation, or a newer generation.
     OtherMap,
 }
 
-/// How far a rank is in a change of map.
+/// Progress of a rank in a change of map.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
     /// No change is under way.
     #[default]
     Steady,
-    /// Loads the weights of a generation.
+    /// The weights of a generation are being loaded.
     Loading(Generation),
-    /// Holds the weights of a generation.
+    /// The weights of a generation are loaded.
     Prepared(Generation),
-    /// Holds at the switch step.
+    /// The rank will not enter the switch step before its release.
     Armed(Switch),
-    /// Will switch at the switch step.
+    /// The rank will use the new map from the switch step on.
     Released(Switch),
-    /// Has switched; kept until the next change.
+    /// The rank uses the new map; kept until the next change.
     Switched(Switch),
 }
 
-/// State of one rank as it reports it.
+/// State of one rank, as reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Status {
-    /// Generation in use, or to be used once loaded; `None` for a rank that was not told any.
+    /// Generation in use, or to be used once loaded; `None` for a rank that has no map.
     pub current: Option<Generation>,
-    /// Whether it takes part in steps: its first weights are loaded.
+    /// Whether the rank takes part in steps, as its first weights are loaded.
     pub joined: bool,
     /// Next step to enter.
     pub step: Step,
-    /// How far it is in a change.
+    /// Progress in a change of map.
     pub stage: Stage,
 }
 
-/// A member's answer to an order.
+/// Report of a member on an order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Report {
-    /// Member that answers.
+    /// Member that reports.
     pub member: MemberIndex,
-    /// Its incarnation.
+    /// Incarnation of the member.
     pub incarnation: Incarnation,
-    /// Order that it answers.
+    /// Stamp of the order.
     pub stamp: Stamp,
-    /// Why the order had no effect at the member; `None` if it was passed on to the ranks.
+    /// Why the member or one of its ranks refused the order; `None` if none did.
     pub refusal: Option<Refusal>,
-    /// Ranks that could be asked.
+    /// States of the ranks that answered.
     pub ranks: BTreeMap<Rank, Status>,
-    /// Maps that the ranks hold; sent in answer to [`Command::Read`] only.
+    /// Maps that the ranks hold; filled for [`Command::Read`] only.
     pub maps: Vec<Arc<Map>>,
 }
