--- a/crates/experts/src/fence.rs
+++ b/crates/experts/src/fence.rs
@@ -1,16 +1,16 @@
-//! Fencing numbers without a store.
+//! Allocation of fencing numbers without a store.
 //!
-//! The high part is the published revision, the low part counts coordinators under that revision.
-//! Two coordinators on different instances read different revisions, because only a published
-//! change moves rank 0 elsewhere; the older one can never count past the newer one's base. Two
-//! incarnations on one instance are never alive at once (the exclusive local listening socket), so
-//! the count only has to pass what the members have seen, and a member breaks a tie by the sender's
-//! incarnation: the first of a number keeps it.
+//! The high bits are the published revision, the low bits count the coordinators under that revision.
+//! Two coordinators on different instances have different revisions, because rank 0 moves to another
+//! instance only by a published change; the older one can never count up to the newer one's base.
+//! Two incarnations on one instance are never alive at the same time, as each holds an exclusive
+//! local listening socket. The count therefore only has to exceed what the members have seen. Where
+//! two coordinators use the same number, a member accepts only the incarnation that it saw first.
 
 use auburnline_core::id::Fence;
 use auburnline_core::id::Revision;
 
-/// Bits of the count of coordinators under one revision.
+/// Number of low bits, which count the coordinators under one revision.
 const COUNT_BITS: u32 = 20;
 
 /// Returns the lowest fencing number of `revision`.
@@ -19,10 +19,10 @@
     revision << COUNT_BITS
 }
 
-/// Returns the fencing number above `highest` for a coordinator that has `revision` in force.
+/// Returns a fencing number above `highest` for a coordinator that has `revision` in force.
 ///
-/// `None` when a coordinator of a newer revision has been seen: this one must stand down until it
-/// has that revision itself.
+/// `None` if `highest` belongs to a newer revision, or is the last number of this one: the
+/// coordinator must stand down until a newer revision is in force.
 #[must_use]
 pub const fn next(revision: Revision, highest: Fence) -> Option<Fence> {
     if highest < base(revision) {
