--- a/crates/experts/src/member.rs
+++ b/crates/experts/src/member.rs
@@ -1,12 +1,14 @@
-//! The slot beside some ranks of a group: the only sender of orders to them.
+//! Member of a group: the slot of one instance, which alone sends orders to that instance's ranks.
 //!
-//! A member passes an order on when its stamp is newer than all that this incarnation has passed
-//! on. For engines that ignore fencing numbers this check is the only fence, which suffices since
-//! at most one incarnation of the slot is alive: it holds an exclusive local listening socket from
-//! before its first order until its end. What a restart forgets is made up for by the floor: the
-//! lowest fencing number of the revision that the new incarnation has in force. A coordinator on the
-//! same instance as an older one can't reach the new incarnation with older orders, since these
-//! name the old incarnation; one on another instance has an older revision.
+//! A member forwards an order if its stamp is newer than all that this incarnation has forwarded. For
+//! engines that ignore fencing numbers this check is the only fence. It suffices, since at most one
+//! incarnation of the slot is alive: it holds an exclusive local listening socket from before its
+//! first order until its end.
+//!
+//! A restart loses the newest stamp. The new incarnation starts instead from the lowest fencing
+//! number of the revision that it has in force. If an older coordinator ran on the same instance as
+//! the current one, its orders name the member's old incarnation and are refused; if it runs on
+//! another instance, it has an older revision.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,12 +28,12 @@
 use crate::order::Stamp;
 use crate::order::Status;
 
-/// State of one member.
+/// State of one member, lost when its process restarts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     index: MemberIndex,
     incarnation: Incarnation,
-    floor: Fence,
+    lowest_fence: Fence,
     newest: Option<Stamp>,
 }
 
@@ -42,7 +44,7 @@
         Member {
             index,
             incarnation,
-            floor: fence::base(revision),
+            lowest_fence: fence::base(revision),
             newest: None,
         }
     }
@@ -53,17 +55,18 @@
         self.incarnation
     }
 
-    /// Returns the highest fencing number seen.
+    /// Returns the highest fencing number forwarded, or the lowest of the revision at the start if no
+    /// order was forwarded.
     #[must_use]
     pub fn highest(&self) -> Fence {
-        self.newest.map_or(self.floor, |stamp| stamp.fence)
+        self.newest.map_or(self.lowest_fence, |stamp| stamp.fence)
     }
 
-    /// Decides whether to pass `order` on to the ranks.
+    /// Accepts `order` for forwarding to the ranks.
     ///
     /// # Errors
     ///
-    /// Returns why it must not be passed on.
+    /// Returns why the order must not be forwarded.
     pub fn accept(&mut self, order: &Order) -> Result<(), Refusal> {
         let stamp = order.stamp;
         match order.incarnation {
@@ -86,7 +89,7 @@
         Ok(())
     }
 
-    /// Returns the report on an order.
+    /// Returns the report on an order, from what the ranks answered.
     #[must_use]
     pub fn report(
         &self,
