--- a/crates/experts/src/rank.rs
+++ b/crates/experts/src/rank.rs
@@ -1,9 +1,9 @@
 //! The rank's side of a change of map.
 //!
-//! The engine calls [`State::order`] for each order, [`State::loaded`] when weights have come, and
-//! [`State::enter`] before each step. A rank enters its switch step only when it was released, so
-//! it can never switch, or stay behind, alone. A rank without weights takes part in no step until
-//! it was told which generation to join with.
+//! The engine calls [`State::order`] for each order, [`State::loaded`] when weights are loaded, and
+//! [`State::enter`] before each step. A rank enters its switch step only once it is released, so it
+//! can neither switch nor keep the old map alone. A rank without weights takes part in no step until
+//! it has been ordered to join with a map and has loaded that map's weights.
 
 use std::sync::Arc;
 
@@ -18,12 +18,12 @@
 use crate::order::Status;
 use crate::order::Switch;
 
-/// Answer to a rank that wants to enter a step.
+/// Whether a rank may enter a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Entry {
-    /// Enter with this generation.
+    /// The rank enters the step with the map of this generation.
     Run(Generation),
-    /// Wait: the rank is armed and not released, or has no weights.
+    /// The rank must wait: it is armed for this or an earlier step and not released, or has no weights.
     Hold,
 }
 
@@ -34,7 +34,8 @@
     fence: Fence,
     step: Step,
     current: Option<Arc<Map>>,
-    other: Option<Arc<Map>>,
+    /// Map of the change under way.
+    pending: Option<Arc<Map>>,
     joined: bool,
     stage: Stage,
 }
@@ -48,13 +49,13 @@
             fence: 0,
             step,
             current: None,
-            other: None,
+            pending: None,
             joined: false,
             stage: Stage::Steady,
         }
     }
 
-    /// Returns a rank that uses `map`.
+    /// Returns a rank that uses `map` and takes part in steps.
     #[must_use]
     pub fn serving(checks_fence: bool, step: Step, map: Arc<Map>) -> State {
         State {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Returns the state as the rank reports it.
+    /// Returns the state to report.
     #[must_use]
     pub fn status(&self) -> Status {
         Status {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Returns the map in use.
+    /// Returns the map in use, or to be used once its weights are loaded.
     #[must_use]
     pub fn current(&self) -> Option<&Arc<Map>> {
         self.current.as_ref()
@@ -83,22 +84,22 @@
 
     /// Returns the maps that the rank holds, the one in use first.
     pub fn maps(&self) -> impl Iterator<Item = &Arc<Map>> {
-        self.current.iter().chain(&self.other)
+        self.current.iter().chain(&self.pending)
     }
 
-    /// Returns the map whose weights are still to be loaded.
+    /// Returns the map whose weights are to be loaded, if any.
     #[must_use]
     pub fn wanted(&self) -> Option<&Arc<Map>> {
         if !self.joined {
             return self.current.as_ref();
         }
         match self.stage {
-            Stage::Loading(_) => self.other.as_ref(),
+            Stage::Loading(_) => self.pending.as_ref(),
             _ => None,
         }
     }
 
-    /// Takes an order.
+    /// Applies an order.
     ///
     /// # Errors
     ///
@@ -131,12 +132,12 @@
         match self.stage {
             Stage::Armed(_) | Stage::Released(_) => return Err(Refusal::NotReady),
             Stage::Loading(held) | Stage::Prepared(held) if held == map.generation => {
-                let same = self.other.as_ref() == Some(map);
+                let same = self.pending.as_ref() == Some(map);
                 return if same { Ok(()) } else { Err(Refusal::OtherMap) };
             }
             _ => {}
         }
-        self.other = Some(Arc::clone(map));
+        self.pending = Some(Arc::clone(map));
         self.stage = Stage::Loading(map.generation);
         Ok(())
     }
@@ -176,7 +177,7 @@
             Stage::Armed(held) if held.generation <= generation => {}
             _ => return Ok(()),
         }
-        self.other = None;
+        self.pending = None;
         self.stage = Stage::Steady;
         Ok(())
     }
@@ -189,12 +190,12 @@
         if let Some((map, step)) = next {
             let generation = map.generation;
             let step = *step;
-            self.other = Some(Arc::clone(map));
+            self.pending = Some(Arc::clone(map));
             self.stage = Stage::Released(Switch { generation, step });
         }
     }
 
-    /// Notes that all wanted weights have been loaded.
+    /// Records that the weights of the map that [`State::wanted`] returns are loaded.
     pub fn loaded(&mut self) {
         if self.current.is_some() && !self.joined {
             self.joined = true;
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Asks to enter `step`, the step that the group is about to run.
+    /// Tries to enter `step`, the step that the group is about to run.
     pub fn enter(&mut self, step: Step) -> Entry {
         self.step = self.step.max(step);
         if !self.joined {
@@ -212,7 +213,7 @@
         match self.stage {
             Stage::Armed(switch) if step >= switch.step => return Entry::Hold,
             Stage::Released(switch) if step >= switch.step => {
-                self.current = self.other.take();
+                self.current = self.pending.take();
                 self.stage = Stage::Switched(switch);
             }
             _ => {}
@@ -229,8 +230,8 @@
 ///
 /// # Panics
 ///
-/// Panics if two generations meet in `step`: the promise of this crate is broken, and the step must
-/// not run.
+/// Panics if two generations are used in `step`: the invariant of this crate is violated, and the
+/// step must not run.
 pub fn assert_one_generation(step: Step, generations: &[Generation]) {
     let first = generations.first();
     assert!(
