--- a/crates/experts/tests/all/pace.rs
+++ b/crates/experts/tests/all/bandwidth.rs
@@ -5,11 +5,11 @@
 
 use auburnline_core::id::GroupId;
 use auburnline_core::time::Monotonic;
-use auburnline_experts::pace::Home;
-use auburnline_experts::pace::Lease;
-use auburnline_experts::pace::Pool;
-use auburnline_experts::pace::Share;
-use auburnline_experts::pace::own;
+use auburnline_experts::bandwidth::Home;
+use auburnline_experts::bandwidth::Lease;
+use auburnline_experts::bandwidth::Pool;
+use auburnline_experts::bandwidth::Share;
+use auburnline_experts::bandwidth::own;
 use googletest::prelude::*;
 use rand::Rng;
 use rand::SeedableRng;
--- a/crates/experts/tests/all/main.rs
+++ b/crates/experts/tests/all/main.rs
@@ -1,7 +1,7 @@
 //! Tests of the change of map, one module a theme, in one binary.
 
+mod bandwidth;
 mod explore;
-mod pace;
 mod planted;
 mod random;
 mod world;
