--- a/crates/experts/src/bandwidth.rs
+++ b/crates/experts/src/bandwidth.rs
@@ -1,13 +1,13 @@
 //! Shares of the weight store's rate, over all groups, without shared state.
 //!
 //! Each published group owns an equal share of the rate, so that the sum is right by construction.
-//! A group that loads nothing lends its share to the home, one slot by rendezvous order, for a term;
-//! the home grants what it was lent to groups that load, and no longer than the loans run. A group
-//! lends to one home at a time and leaves its share alone until the loan has run out on its own
-//! clock, so neither a second home, nor a partition, nor a restart raises the sum. What is lent to a
-//! home that dies lies idle for a term.
+//! A group that loads nothing lends its share to the broker, one slot by rendezvous order, for a term;
+//! the broker grants what it was lent to groups that load, and no longer than the loans run. A group
+//! lends to one broker at a time and leaves its share alone until the loan has run out on its own
+//! clock, so neither a second broker, nor a partition, nor a restart raises the sum. What is lent to a
+//! broker that dies lies idle for a term.
 //!
-//! The home asks for loans and borrowers ask for leases; whoever asks counts the term from its
+//! The broker asks for loans and borrowers ask for leases; whoever asks counts the term from its
 //! question, whoever answers from its answer. So a term ends first where it is used, however long
 //! messages take. A borrower lets go of its lease when it asks for the next one.
 
@@ -23,7 +23,7 @@
 pub const TERM: Duration = Duration::from_secs(4);
 /// Time that the lender adds for clocks of unlike speed.
 pub const MARGIN: Duration = Duration::from_millis(200);
-/// Most loans and grants that a home keeps.
+/// Most loans and grants that a broker keeps.
 pub const MAX_LOANS: usize = 1_024;
 
 /// Bytes a second.
@@ -38,14 +38,14 @@
     }
 }
 
-/// One incarnation of a home; its successor has none of the loans.
-pub type Home = (InstanceId, Incarnation);
+/// One incarnation of a broker; its successor has none of the loans.
+pub type Broker = (InstanceId, Incarnation);
 
 /// A group's own share: in use by itself, or lent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
     lent_until: Monotonic,
-    home: Option<Home>,
+    broker: Option<Broker>,
 }
 
 impl Share {
@@ -54,7 +54,7 @@
     pub fn new(now: Monotonic) -> Share {
         Share {
             lent_until: now + TERM + MARGIN,
-            home: None,
+            broker: None,
         }
     }
 
@@ -64,20 +64,20 @@
         now >= self.lent_until
     }
 
-    /// Lends the share to `home`, which has asked; returns whether it may be sent.
+    /// Lends the share to `broker`, which has asked; returns whether it may be sent.
     ///
-    /// A loan that still runs can only be renewed with the same home.
-    pub fn lend(&mut self, home: &Home, now: Monotonic) -> bool {
-        if !self.is_free(now) && self.home.as_ref() != Some(home) {
+    /// A loan that still runs can only be renewed with the same broker.
+    pub fn lend(&mut self, broker: &Broker, now: Monotonic) -> bool {
+        if !self.is_free(now) && self.broker.as_ref() != Some(broker) {
             return false;
         }
         self.lent_until = now + TERM + MARGIN;
-        self.home = Some(home.clone());
+        self.broker = Some(broker.clone());
         true
     }
 }
 
-/// What the home was lent, and to whom it granted it.
+/// What the broker was lent, and to whom it granted it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pool {
     loans: BTreeMap<GroupId, Monotonic>,
@@ -92,7 +92,7 @@
     sequence: u64,
 }
 
-/// The home's answer to a group that loads.
+/// The broker's answer to a group that loads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// Shares beside the group's own.
@@ -102,7 +102,7 @@
 }
 
 impl Pool {
-    /// Takes a loan that the home asked for at `asked`.
+    /// Takes a loan that the broker asked for at `asked`.
     pub fn lend(&mut self, group: GroupId, asked: Monotonic, now: Monotonic) {
         self.expire(now);
         if self.loans.len() < MAX_LOANS || self.loans.contains_key(&group) {
--- a/crates/experts/tests/all/bandwidth.rs
+++ b/crates/experts/tests/all/bandwidth.rs
@@ -5,7 +5,7 @@
 
 use auburnline_core::id::GroupId;
 use auburnline_core::time::Monotonic;
-use auburnline_experts::bandwidth::Home;
+use auburnline_experts::bandwidth::Broker;
 use auburnline_experts::bandwidth::Lease;
 use auburnline_experts::bandwidth::Pool;
 use auburnline_experts::bandwidth::Share;
@@ -16,10 +16,10 @@
 use rand_chacha::ChaCha8Rng;
 
 const GROUPS: usize = 9;
-const HOMES: usize = 2;
+const BROKERS: usize = 2;
 
 enum Message {
-    Loan(usize, Home, usize, Monotonic),
+    Loan(usize, Broker, usize, Monotonic),
     Question(usize, usize, u64, Monotonic),
     Answer(usize, u64, Lease, Monotonic),
 }
@@ -34,7 +34,7 @@
 struct Bench {
     now: Monotonic,
     groups: Vec<Borrower>,
-    homes: Vec<(Home, Pool)>,
+    brokers: Vec<(Broker, Pool)>,
     wire: Vec<Message>,
 }
 
@@ -42,8 +42,8 @@
     Arc::from(format!("group-{group}"))
 }
 
-fn home(index: usize, incarnation: u64) -> (Home, Pool) {
-    let name = Arc::from(format!("home-{index}"));
+fn broker(index: usize, incarnation: u64) -> (Broker, Pool) {
+    let name = Arc::from(format!("broker-{index}"));
     ((name, incarnation), Pool::default())
 }
 
@@ -62,12 +62,12 @@
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Loan(group, home, index, asked) if self.homes[index].0 == home => {
-                self.homes[index].1.lend(name(group), asked, self.now);
+            Message::Loan(group, broker, index, asked) if self.brokers[index].0 == broker => {
+                self.brokers[index].1.lend(name(group), asked, self.now);
             }
             Message::Loan(..) => {}
             Message::Question(group, index, sequence, asked) => {
-                if let Some(lease) = self.homes[index].1.ask(name(group), sequence, self.now) {
+                if let Some(lease) = self.brokers[index].1.ask(name(group), sequence, self.now) {
                     self.wire
                         .push(Message::Answer(group, sequence, lease, asked));
                 }
@@ -84,7 +84,7 @@
 
     fn act(&mut self, rng: &mut ChaCha8Rng) {
         let group = rng.random_range(0..GROUPS);
-        let index = rng.random_range(0..HOMES);
+        let index = rng.random_range(0..BROKERS);
         match rng.random_range(0..100) {
             0..40 => self.now += Duration::from_millis(rng.random_range(0..150)),
             40..70 if !self.wire.is_empty() => {
@@ -95,12 +95,12 @@
                 }
             }
             70..85 => {
-                // The home's question and the lender's answer, which may then be late.
+                // The broker's question and the lender's answer, which may then be late.
                 let asked = self.now;
-                let home = self.homes[index].0.clone();
+                let broker = self.brokers[index].0.clone();
                 self.now += Duration::from_millis(rng.random_range(0..20));
-                if self.groups[group].share.lend(&home, self.now) {
-                    self.wire.push(Message::Loan(group, home, index, asked));
+                if self.groups[group].share.lend(&broker, self.now) {
+                    self.wire.push(Message::Loan(group, broker, index, asked));
                 }
             }
             85..98 if group < 3 => {
@@ -110,7 +110,7 @@
                 let question = Message::Question(group, index, borrower.sequence, self.now);
                 self.wire.push(question);
             }
-            98 => self.homes[index] = home(index, rng.random()),
+            98 => self.brokers[index] = broker(index, rng.random()),
             99 => self.groups[group].share = Share::new(self.now),
             _ => {}
         }
@@ -126,7 +126,7 @@
         let mut bench = Bench {
             now: Duration::ZERO,
             groups: Vec::new(),
-            homes: (0..HOMES).map(|index| home(index, 1)).collect(),
+            brokers: (0..BROKERS).map(|index| broker(index, 1)).collect(),
             wire: Vec::new(),
         };
         bench.groups.extend((0..GROUPS).map(|_| Borrower {
