--- a/crates/experts/src/bandwidth.rs
+++ b/crates/experts/src/bandwidth.rs
@@ -31,7 +31,7 @@
 
 /// Returns one group's own share of `rate`.
 #[must_use]
-pub const fn own(rate: Rate, groups: usize) -> Rate {
+pub const fn equal_share(rate: Rate, groups: usize) -> Rate {
     match groups as u64 {
         0 => 0,
         groups => rate / groups,
@@ -64,7 +64,7 @@
         now >= self.lent_until
     }
 
-    /// Lends the share to `broker`, which has asked; returns whether it may be sent.
+    /// Lends the share to `broker`, which has requested_at; returns whether it may be sent.
     ///
     /// A loan that still runs can only be renewed with the same broker.
     pub fn lend(&mut self, broker: &Broker, now: Monotonic) -> bool {
@@ -102,11 +102,11 @@
 }
 
 impl Pool {
-    /// Takes a loan that the broker asked for at `asked`.
-    pub fn lend(&mut self, group: GroupId, asked: Monotonic, now: Monotonic) {
+    /// Takes a loan that the broker requested_at for at `requested_at`.
+    pub fn add_loan(&mut self, group: GroupId, requested_at: Monotonic, now: Monotonic) {
         self.expire(now);
         if self.loans.len() < MAX_LOANS || self.loans.contains_key(&group) {
-            let until = asked + TERM;
+            let until = requested_at + TERM;
             let held = self.loans.get(&group).copied().unwrap_or_default();
             self.loans.insert(group, until.max(held));
         }
@@ -116,7 +116,12 @@
     ///
     /// `sequence` grows with each question of a group. `None` answers a late or doubled question,
     /// or one too many.
-    pub fn ask(&mut self, group: GroupId, sequence: u64, now: Monotonic) -> Option<Lease> {
+    pub fn request_lease(
+        &mut self,
+        group: GroupId,
+        sequence: u64,
+        now: Monotonic,
+    ) -> Option<Lease> {
         self.expire(now);
         match self.grants.get(&group) {
             Some(held) if held.sequence >= sequence => return None,
--- a/crates/experts/tests/all/bandwidth.rs
+++ b/crates/experts/tests/all/bandwidth.rs
@@ -9,7 +9,7 @@
 use auburnline_experts::bandwidth::Lease;
 use auburnline_experts::bandwidth::Pool;
 use auburnline_experts::bandwidth::Share;
-use auburnline_experts::bandwidth::own;
+use auburnline_experts::bandwidth::equal_share;
 use googletest::prelude::*;
 use rand::Rng;
 use rand::SeedableRng;
@@ -62,21 +62,29 @@
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Loan(group, broker, index, asked) if self.brokers[index].0 == broker => {
-                self.brokers[index].1.lend(name(group), asked, self.now);
+            Message::Loan(group, broker, index, requested_at)
+                if self.brokers[index].0 == broker =>
+            {
+                self.brokers[index]
+                    .1
+                    .add_loan(name(group), requested_at, self.now);
             }
             Message::Loan(..) => {}
-            Message::Question(group, index, sequence, asked) => {
-                if let Some(lease) = self.brokers[index].1.ask(name(group), sequence, self.now) {
+            Message::Question(group, index, sequence, requested_at) => {
+                if let Some(lease) =
+                    self.brokers[index]
+                        .1
+                        .request_lease(name(group), sequence, self.now)
+                {
                     self.wire
-                        .push(Message::Answer(group, sequence, lease, asked));
+                        .push(Message::Answer(group, sequence, lease, requested_at));
                 }
             }
-            Message::Answer(group, sequence, lease, asked) => {
+            Message::Answer(group, sequence, lease, requested_at) => {
                 let borrower = &mut self.groups[group];
                 if borrower.sequence == sequence {
                     borrower.lent = lease.shares;
-                    borrower.until = asked + lease.term;
+                    borrower.until = requested_at + lease.term;
                 }
             }
         }
@@ -96,11 +104,12 @@
             }
             70..85 => {
                 // The broker's question and the lender's answer, which may then be late.
-                let asked = self.now;
+                let requested_at = self.now;
                 let broker = self.brokers[index].0.clone();
                 self.now += Duration::from_millis(rng.random_range(0..20));
                 if self.groups[group].share.lend(&broker, self.now) {
-                    self.wire.push(Message::Loan(group, broker, index, asked));
+                    self.wire
+                        .push(Message::Loan(group, broker, index, requested_at));
                 }
             }
             85..98 if group < 3 => {
@@ -144,5 +153,5 @@
     }
     println!("{RUNS} runs: at most {most_for_one} lent shares in one hand");
     assert_that!(most_for_one, gt(1));
-    assert_that!(own(1_000, 0), eq(0));
+    assert_that!(equal_share(1_000, 0), eq(0));
 }
