--- a/crates/experts/src/bandwidth.rs
+++ b/crates/experts/src/bandwidth.rs
@@ -1,15 +1,15 @@
-//! Shares of the weight store's rate, over all groups, without shared state.
+//! Sharing of the weight store's rate limit among all groups, without shared state.
 //!
-//! Each published group owns an equal share of the rate, so that the sum is right by construction.
-//! A group that loads nothing lends its share to the broker, one slot by rendezvous order, for a term;
-//! the broker grants what it was lent to groups that load, and no longer than the loans run. A group
-//! lends to one broker at a time and leaves its share alone until the loan has run out on its own
-//! clock, so neither a second broker, nor a partition, nor a restart raises the sum. What is lent to a
-//! broker that dies lies idle for a term.
+//! Each published group owns an equal share of the rate, so the sum never exceeds the rate. A group
+//! that loads no weights lends its share for a term to the broker, one slot chosen by rendezvous
+//! hashing. The broker grants the shares lent to it to groups that load, for no longer than the loans
+//! last. A group lends to one broker at a time and does not use its share until the loan has expired
+//! by its own clock, so neither a second broker, nor a partition, nor a restart raises the sum. Shares
+//! lent to a broker that dies stay unused for a term.
 //!
-//! The broker asks for loans and borrowers ask for leases; whoever asks counts the term from its
-//! question, whoever answers from its answer. So a term ends first where it is used, however long
-//! messages take. A borrower lets go of its lease when it asks for the next one.
+//! The broker requests loans, and borrowers request leases. The requester counts the term from its
+//! request, the other side from its reply. The term therefore ends first where the share is used,
+//! however long messages take. A borrower gives up its lease when it requests the next one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,17 +19,17 @@
 use auburnline_core::id::InstanceId;
 use auburnline_core::time::Monotonic;
 
-/// Time for which a share is lent.
-pub const TERM: Duration = Duration::from_secs(4);
-/// Time that the lender adds for clocks of unlike speed.
-pub const MARGIN: Duration = Duration::from_millis(200);
-/// Most loans and grants that a broker keeps.
+/// Time for which a share is lent, as the broker counts it.
+pub const LOAN_TERM: Duration = Duration::from_secs(4);
+/// Time that the lender adds to the term, as clocks run at different speeds.
+pub const CLOCK_MARGIN: Duration = Duration::from_millis(200);
+/// Maximum number of loans, and of grants, in a broker's pool.
 pub const MAX_LOANS: usize = 1_024;
 
-/// Bytes a second.
+/// Bytes per second.
 pub type Rate = u64;
 
-/// Returns one group's own share of `rate`.
+/// Returns one group's own share of `rate`, rounded down; 0 if there are no groups.
 #[must_use]
 pub const fn equal_share(rate: Rate, groups: usize) -> Rate {
     match groups as u64 {
@@ -38,10 +38,10 @@
     }
 }
 
-/// One incarnation of a broker; its successor has none of the loans.
+/// One incarnation of a broker; the next one starts without its loans.
 pub type Broker = (InstanceId, Incarnation);
 
-/// A group's own share: in use by itself, or lent.
+/// A group's own share, which the group uses itself or has lent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
     lent_until: Monotonic,
@@ -49,42 +49,43 @@
 }
 
 impl Share {
-    /// Returns a share after a start at `now`: an earlier incarnation may have lent it.
+    /// Returns a share after a start at `now`. It counts as lent for a term, since an earlier
+    /// incarnation may have lent it.
     #[must_use]
     pub fn new(now: Monotonic) -> Share {
         Share {
-            lent_until: now + TERM + MARGIN,
+            lent_until: now + LOAN_TERM + CLOCK_MARGIN,
             broker: None,
         }
     }
 
-    /// Whether the group may use its own share itself.
+    /// Returns whether the group may use its own share itself.
     #[must_use]
     pub fn is_free(&self, now: Monotonic) -> bool {
         now >= self.lent_until
     }
 
-    /// Lends the share to `broker`, which has requested_at; returns whether it may be sent.
+    /// Lends the share to `broker`, which has requested it; returns whether the loan may be sent.
     ///
-    /// A loan that still runs can only be renewed with the same broker.
+    /// A loan that has not expired can be renewed for the same broker only.
     pub fn lend(&mut self, broker: &Broker, now: Monotonic) -> bool {
         if !self.is_free(now) && self.broker.as_ref() != Some(broker) {
             return false;
         }
-        self.lent_until = now + TERM + MARGIN;
+        self.lent_until = now + LOAN_TERM + CLOCK_MARGIN;
         self.broker = Some(broker.clone());
         true
     }
 }
 
-/// What the broker was lent, and to whom it granted it.
+/// Shares lent to a broker, and its grants of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pool {
     loans: BTreeMap<GroupId, Monotonic>,
     grants: BTreeMap<GroupId, Grant>,
 }
 
-/// A part of the lent shares, in the hands of one group.
+/// Part of the lent shares that one group has been granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Grant {
     shares: usize,
@@ -92,30 +93,31 @@
     sequence: u64,
 }
 
-/// The broker's answer to a group that loads.
+/// Reply of a broker to a group that loads weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Shares beside the group's own.
+    /// Number of shares in addition to the group's own.
     pub shares: usize,
-    /// Time from the group's question for which they hold.
+    /// Time for which the shares are granted, counted from the group's request.
     pub term: Duration,
 }
 
 impl Pool {
-    /// Takes a loan that the broker requested_at for at `requested_at`.
+    /// Adds or renews the loan of `group`, which the broker requested at `requested_at`. A new loan above
+    /// [`MAX_LOANS`] is dropped.
     pub fn add_loan(&mut self, group: GroupId, requested_at: Monotonic, now: Monotonic) {
         self.expire(now);
         if self.loans.len() < MAX_LOANS || self.loans.contains_key(&group) {
-            let until = requested_at + TERM;
+            let until = requested_at + LOAN_TERM;
             let held = self.loans.get(&group).copied().unwrap_or_default();
             self.loans.insert(group, until.max(held));
         }
     }
 
-    /// Grants `group` an even part of the lent shares among all that ask.
+    /// Grants `group` up to an equal part of the lent shares among all borrowers.
     ///
-    /// `sequence` grows with each question of a group. `None` answers a late or doubled question,
-    /// or one too many.
+    /// `sequence` grows with each request of a group. Returns `None` for a delayed or duplicated
+    /// request, and for a new borrower above [`MAX_LOANS`] grants.
     pub fn request_lease(
         &mut self,
         group: GroupId,
@@ -128,11 +130,11 @@
             None if self.grants.len() >= MAX_LOANS => return None,
             _ => self.grants.remove(&group),
         };
-        let askers = self.grants.len() + 1;
+        let borrowers = self.grants.len() + 1;
         let granted: usize = self.grants.values().map(|grant| grant.shares).sum();
         let free = self.loans.len().saturating_sub(granted);
-        let shares = free.min(self.loans.len().div_ceil(askers));
-        let until = self.term_of(shares + granted).unwrap_or(now);
+        let shares = free.min(self.loans.len().div_ceil(borrowers));
+        let until = self.loans_end(shares + granted).unwrap_or(now);
         let grant = Grant {
             shares,
             until,
@@ -143,8 +145,9 @@
         Some(Lease { shares, term })
     }
 
-    /// Returns when fewer than `shares` loans will be left: the end of all grants up to then.
-    fn term_of(&self, shares: usize) -> Option<Monotonic> {
+    /// Returns when fewer than `shares` loans will be left, which is when a grant that brings the sum to
+    /// `shares` has to end; `None` if there are fewer already.
+    fn loans_end(&self, shares: usize) -> Option<Monotonic> {
         let mut ends: Vec<Monotonic> = self.loans.values().copied().collect();
         ends.sort_unstable_by(|a, b| b.cmp(a));
         ends.get(shares.checked_sub(1)?).copied()
