--- a/crates/experts/tests/all/explore.rs
+++ b/crates/experts/tests/all/explore.rs
@@ -12,7 +12,7 @@
 use googletest::prelude::*;
 
 use crate::random::setting;
-use crate::world::Plant;
+use crate::world::InjectedFault;
 use crate::world::Shape;
 use crate::world::World;
 
@@ -180,7 +180,7 @@
         let mut following = Vec::new();
         for node in &layer {
             count.states += 1;
-            if node.world.fault().is_some() {
+            if node.world.mixed_generations().is_some() {
                 count.broken += 1;
                 continue;
             }
@@ -218,7 +218,7 @@
     members: 2,
     ranks: 1,
     checks_fence: false,
-    plant: Plant::None,
+    injected: InjectedFault::None,
 };
 
 /// Explores; only a large space may be cut off, and `AUBURNLINE_STATES` lets it go to its end.
--- a/crates/experts/tests/all/planted.rs
+++ b/crates/experts/tests/all/injected.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 
 use crate::random;
-use crate::world::Plant;
+use crate::world::InjectedFault;
 use crate::world::Shape;
 use crate::world::World;
 
@@ -14,30 +14,36 @@
 const RUNS: u64 = 3_000;
 const EVENTS: u64 = 1_500;
 
-fn first_broken(plant: Plant) -> Option<u64> {
-    let found = (1..RUNS).find(|&seed| random::run(seed, EVENTS, plant).broken);
-    println!("{plant:?}: first seen with seed {found:?}");
+fn first_broken(injected: InjectedFault) -> Option<u64> {
+    let found = (1..RUNS).find(|&seed| random::run(seed, EVENTS, injected).broken);
+    println!("{injected:?}: first seen with seed {found:?}");
     found
 }
 
 #[gtest]
 fn a_rank_that_switches_alone_is_seen() {
-    assert_that!(first_broken(Plant::RankAlone), some(anything()));
+    assert_that!(
+        first_broken(InjectedFault::UnreleasedSwitch),
+        some(anything())
+    );
 }
 
 #[gtest]
 fn members_that_do_not_fence_are_seen() {
-    assert_that!(first_broken(Plant::NoFence), some(anything()));
+    assert_that!(first_broken(InjectedFault::NoFence), some(anything()));
 }
 
 #[gtest]
 fn a_restart_that_aborts_after_a_release_is_seen() {
-    assert_that!(first_broken(Plant::AbortAfterRelease), some(anything()));
+    assert_that!(
+        first_broken(InjectedFault::AbortAfterRelease),
+        some(anything())
+    );
 }
 
 #[gtest]
 fn a_restart_that_judges_by_those_it_reached_is_seen() {
-    assert_that!(first_broken(Plant::ReachableOnly), some(anything()));
+    assert_that!(first_broken(InjectedFault::ReachableOnly), some(anything()));
 }
 
 /// An engine that ignores fencing numbers, a slot that restarts with an old revision, and an old
@@ -48,7 +54,7 @@
         members: 2,
         ranks: 1,
         checks_fence: false,
-        plant: Plant::StaleMember,
+        injected: InjectedFault::StaleMember,
     });
     for _ in 0..20 {
         if world.coordinators[0].phase() == "arming" {
@@ -90,7 +96,7 @@
         world.enter(0);
         world.enter(1);
     }
-    assert_that!(world.fault(), none());
+    assert_that!(world.mixed_generations(), none());
     assert_that!(world.heals(), eq(true));
 }
 
--- a/crates/experts/tests/all/main.rs
+++ b/crates/experts/tests/all/main.rs
@@ -2,6 +2,6 @@
 
 mod bandwidth;
 mod explore;
-mod planted;
+mod injected;
 mod random;
 mod world;
--- a/crates/experts/tests/all/random.rs
+++ b/crates/experts/tests/all/random.rs
@@ -10,7 +10,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::world::Plant;
+use crate::world::InjectedFault;
 use crate::world::Shape;
 use crate::world::World;
 
@@ -84,18 +84,18 @@
 }
 
 /// Runs one seed.
-pub(crate) fn run(seed: u64, events: u64, plant: Plant) -> Outcome {
+pub(crate) fn run(seed: u64, events: u64, injected: InjectedFault) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut world = World::new(Shape {
         members: rng.random_range(1..4),
         ranks: rng.random_range(1..3),
-        checks_fence: plant == Plant::None && rng.random(),
-        plant,
+        checks_fence: injected == InjectedFault::None && rng.random(),
+        injected,
     });
     let mut outcome = Outcome::default();
     for _ in 0..events {
         act(&mut world, &mut rng);
-        if world.fault().is_some() {
+        if world.mixed_generations().is_some() {
             outcome.broken = true;
             return outcome;
         }
@@ -113,7 +113,7 @@
     let mut changes = 0;
     let mut steps = 0;
     for seed in seed..seed + RUNS {
-        let outcome = run(seed, events, Plant::None);
+        let outcome = run(seed, events, InjectedFault::None);
         assert_that!(outcome.broken, eq(false), "seed {seed}");
         assert_that!(outcome.stuck, eq(false), "seed {seed}");
         changes += outcome.changes;
--- a/crates/experts/tests/all/world.rs
+++ b/crates/experts/tests/all/world.rs
@@ -32,10 +32,10 @@
 
 /// A fault put in on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Plant {
+pub(crate) enum InjectedFault {
     None,
     /// A rank that is armed passes the switch step by itself.
-    RankAlone,
+    UnreleasedSwitch,
     /// Members pass on every order.
     NoFence,
     /// A restarted coordinator takes a released rank for an armed one.
@@ -52,13 +52,13 @@
     pub(crate) members: usize,
     pub(crate) ranks: Rank,
     pub(crate) checks_fence: bool,
-    pub(crate) plant: Plant,
+    pub(crate) injected: InjectedFault,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct World {
     pub(crate) checks_fence: bool,
-    pub(crate) plant: Plant,
+    pub(crate) injected: InjectedFault,
     /// Whether weights load in no time.
     pub(crate) loads_at_once: bool,
     pub(crate) per_member: usize,
@@ -98,7 +98,7 @@
         let rank = State::serving(shape.checks_fence, 0, Arc::clone(&first));
         let mut world = World {
             checks_fence: shape.checks_fence,
-            plant: shape.plant,
+            injected: shape.injected,
             loads_at_once: false,
             per_member: usize::from(shape.ranks),
             coordinators: Vec::new(),
@@ -184,7 +184,7 @@
     fn carry_out(&mut self, order: &Order) -> Report {
         let member = &mut self.members[order.member];
         let accepted = member.accept(order);
-        if self.plant != Plant::NoFence
+        if self.injected != InjectedFault::NoFence
             && let Err(refusal) = accepted
         {
             return member.report(order, Some(refusal), BTreeMap::new(), Vec::new());
@@ -226,11 +226,11 @@
             return;
         };
         let restarted = sender > FIRST_COORDINATOR;
-        if self.plant == Plant::AbortAfterRelease && restarted {
+        if self.injected == InjectedFault::AbortAfterRelease && restarted {
             hide_release(&mut report);
         }
         let reads = self.coordinators[index].phase() == "reading";
-        if self.plant == Plant::ReachableOnly && restarted && reads {
+        if self.injected == InjectedFault::ReachableOnly && restarted && reads {
             self.invent_others(index, &report);
         }
         self.tell(index, Event::Report(report));
@@ -267,7 +267,7 @@
         }
         let state = &mut self.ranks[rank];
         let mut entry = state.enter(self.step);
-        if self.plant == Plant::RankAlone
+        if self.injected == InjectedFault::UnreleasedSwitch
             && let Stage::Armed(switch) = state.status().stage
             && entry == Entry::Hold
         {
@@ -281,14 +281,14 @@
     }
 
     fn run_step(&mut self) {
-        if self.fault().is_none() && self.entered.iter().all(Option::is_some) {
+        if self.mixed_generations().is_none() && self.entered.iter().all(Option::is_some) {
             self.entered.fill(None);
             self.step += 1;
         }
     }
 
     /// Returns the generations of a step that ranks entered with different ones.
-    pub(crate) fn fault(&self) -> Option<Vec<Generation>> {
+    pub(crate) fn mixed_generations(&self) -> Option<Vec<Generation>> {
         let generations: Vec<Generation> = self.entered.iter().flatten().copied().collect();
         let mixed = generations.windows(2).any(|pair| pair[0] != pair[1]);
         mixed.then_some(generations)
@@ -303,8 +303,8 @@
     /// Restarts a member's slot; its ranks live on.
     pub(crate) fn restart_member(&mut self, member: usize) {
         self.incarnation += 1;
-        let revision = match self.plant {
-            Plant::StaleMember => 1,
+        let revision = match self.injected {
+            InjectedFault::StaleMember => 1,
             _ => self.revision,
         };
         self.members[member] = Member::new(member, self.incarnation, revision);
@@ -331,7 +331,7 @@
             }
             (0..self.ranks.len()).for_each(|rank| self.load(rank));
             (0..self.ranks.len()).for_each(|rank| self.enter(rank));
-            if self.fault().is_some() {
+            if self.mixed_generations().is_some() {
                 return false;
             }
             if self.coordinators[self.newest()].settled().is_none() {
