--- a/crates/experts/tests/all/explore.rs
+++ b/crates/experts/tests/all/explore.rs
@@ -116,7 +116,7 @@
         for index in 0..world.coordinators.len() {
             push(Budget { ticks, ..budget }, &|world| {
                 world.now += Duration::from_millis(16);
-                world.tell(index, Event::Tick);
+                world.handle_event(index, Event::Tick);
             });
         }
     }
@@ -129,7 +129,7 @@
                 promotions,
                 ..budget
             },
-            &World::replace_coordinator,
+            &World::move_coordinator,
         );
     }
     if let Some(withdrawals) = budget.withdrawals.checked_sub(1) {
@@ -139,7 +139,7 @@
                 ..budget
             },
             &|world| {
-                world.tell(world.newest(), Event::Withdraw);
+                world.handle_event(world.newest(), Event::Withdraw);
             },
         );
     }
@@ -170,7 +170,7 @@
         world.deliver_report(0, false);
     }
     world.orders.clear();
-    world.ask(0);
+    world.request_change(0);
     let hasher = RandomState::new();
     let root = Node { world, budget };
     let mut seen = HashSet::from([hasher.hash_one(&root)]);
@@ -187,7 +187,7 @@
             count.switched += usize::from(node.world.entered.contains(&Some(2)));
             if count.states.is_multiple_of(HEAL_EVERY) {
                 count.healed += 1;
-                count.stuck += usize::from(!node.world.clone().heals());
+                count.stuck += usize::from(!node.world.clone().recovers());
             }
             if is_quiet(node) {
                 continue;
--- a/crates/experts/tests/all/injected.rs
+++ b/crates/experts/tests/all/injected.rs
@@ -62,11 +62,11 @@
         }
         drain(&mut world);
         if world.coordinators[0].settled().is_some() {
-            world.ask(0);
+            world.request_change(0);
         }
-        (0..2).for_each(|rank| world.load(rank));
+        (0..2).for_each(|rank| world.finish_load(rank));
         world.now += Duration::from_millis(20);
-        world.tell(0, Event::Tick);
+        world.handle_event(0, Event::Tick);
     }
     assert_that!(world.coordinators[0].phase(), eq("arming"));
     // All are armed; the old coordinator pauses before it hears so.
@@ -74,7 +74,7 @@
         world.deliver_order(0, false);
     }
     let unheard = std::mem::take(&mut world.reports);
-    world.replace_coordinator();
+    world.move_coordinator();
     drain(&mut world);
     drain(&mut world);
     assert_that!(world.coordinators[1].phase(), eq("aborting"));
@@ -97,7 +97,7 @@
         world.enter(1);
     }
     assert_that!(world.mixed_generations(), none());
-    assert_that!(world.heals(), eq(true));
+    assert_that!(world.recovers(), eq(true));
 }
 
 fn drain(world: &mut World) {
--- a/crates/experts/tests/all/random.rs
+++ b/crates/experts/tests/all/random.rs
@@ -50,11 +50,11 @@
     let newest = world.newest();
     match rng.random_range(0..6) {
         0 => world.restart_coordinator(),
-        1 if world.coordinators.len() < 3 => world.replace_coordinator(),
+        1 if world.coordinators.len() < 3 => world.move_coordinator(),
         2 => world.replace_rank(rank),
         3 => world.restart_member(member),
-        4 => world.tell(newest, Event::Withdraw),
-        _ => world.tell(newest, Event::Revision(world.revision)),
+        4 => world.handle_event(newest, Event::Withdraw),
+        _ => world.handle_event(newest, Event::Revision(world.revision)),
     }
 }
 
@@ -72,10 +72,10 @@
         }
         50..=59 => {
             world.now += Duration::from_millis(rng.random_range(0..30));
-            world.tell(coordinator, Event::Tick);
+            world.handle_event(coordinator, Event::Tick);
         }
-        60..=64 => world.load(rank),
-        65..=66 => world.ask(coordinator),
+        60..=64 => world.finish_load(rank),
+        65..=66 => world.request_change(coordinator),
         67 => fault(world, rng),
         _ => world.enter(rank),
     }
@@ -100,7 +100,7 @@
             return outcome;
         }
     }
-    outcome.stuck = !world.heals();
+    outcome.stuck = !world.recovers();
     outcome.steps = world.step;
     outcome.changes = world.coordinators[0].settled().unwrap_or(0);
     outcome
--- a/crates/experts/tests/all/world.rs
+++ b/crates/experts/tests/all/world.rs
@@ -135,7 +135,7 @@
             initial,
             settings(),
         ));
-        self.tell(self.coordinators.len() - 1, Event::Tick);
+        self.handle_event(self.coordinators.len() - 1, Event::Tick);
     }
 
     /// Kills the newest coordinator and starts another on its instance.
@@ -145,7 +145,7 @@
     }
 
     /// Moves rank 0 to another instance by publication; the old coordinator lives on.
-    pub(crate) fn replace_coordinator(&mut self) {
+    pub(crate) fn move_coordinator(&mut self) {
         self.revision += 1;
         self.start_coordinator();
     }
@@ -154,7 +154,7 @@
         self.coordinators.len() - 1
     }
 
-    pub(crate) fn tell(&mut self, index: usize, event: Event) {
+    pub(crate) fn handle_event(&mut self, index: usize, event: Event) {
         let sender = self.coordinators[index].incarnation();
         for action in self.coordinators[index].handle(event, self.now) {
             if let Action::Send(order) = action {
@@ -164,10 +164,10 @@
         }
     }
 
-    pub(crate) fn ask(&mut self, index: usize) {
+    pub(crate) fn request_change(&mut self, index: usize) {
         let generation = self.coordinators[index].next_generation();
         let wanted = map(self.total(), generation);
-        self.tell(index, Event::Start(wanted));
+        self.handle_event(index, Event::Start(wanted));
     }
 
     /// Delivers an order, which stays for a second delivery if `again`.
@@ -233,7 +233,7 @@
         if self.injected == InjectedFault::ReachableOnly && restarted && reads {
             self.invent_others(index, &report);
         }
-        self.tell(index, Event::Report(report));
+        self.handle_event(index, Event::Report(report));
     }
 
     fn invent_others(&mut self, index: usize, report: &Report) {
@@ -249,12 +249,12 @@
             invented.ranks = (first..first + self.per_member)
                 .map(|rank| (Rank::try_from(rank).expect("a small group"), status))
                 .collect();
-            self.tell(index, Event::Report(invented));
+            self.handle_event(index, Event::Report(invented));
         }
     }
 
     /// Finishes a load at a rank.
-    pub(crate) fn load(&mut self, rank: usize) {
+    pub(crate) fn finish_load(&mut self, rank: usize) {
         if self.ranks[rank].wanted().is_some() {
             self.ranks[rank].loaded();
         }
@@ -311,25 +311,25 @@
     }
 
     /// Runs on without faults; returns whether the group settles and steps on in one generation.
-    pub(crate) fn heals(&mut self) -> bool {
+    pub(crate) fn recovers(&mut self) -> bool {
         const ROUNDS: usize = 2_000;
         const STEPS: Step = 8;
         for coordinator in 0..self.coordinators.len() {
             let revision = self.revision;
-            self.tell(coordinator, Event::Revision(revision));
+            self.handle_event(coordinator, Event::Revision(revision));
         }
         self.coordinators.drain(..self.newest());
         let mut settled_at = None;
         for _ in 0..ROUNDS {
             self.now += Duration::from_millis(20);
-            self.tell(self.newest(), Event::Tick);
+            self.handle_event(self.newest(), Event::Tick);
             while !self.orders.is_empty() {
                 self.deliver_order(0, false);
             }
             while !self.reports.is_empty() {
                 self.deliver_report(0, false);
             }
-            (0..self.ranks.len()).for_each(|rank| self.load(rank));
+            (0..self.ranks.len()).for_each(|rank| self.finish_load(rank));
             (0..self.ranks.len()).for_each(|rank| self.enter(rank));
             if self.mixed_generations().is_some() {
                 return false;
