--- a/crates/experts/tests/all/explore.rs
+++ b/crates/experts/tests/all/explore.rs
@@ -11,7 +11,7 @@
 use auburnline_experts::order::Refusal;
 use googletest::prelude::*;
 
-use crate::random::setting;
+use crate::random::env_number;
 use crate::world::InjectedFault;
 use crate::world::Shape;
 use crate::world::World;
@@ -45,7 +45,7 @@
 struct Count {
     states: usize,
     healed: usize,
-    broken: usize,
+    violated: usize,
     switched: usize,
     stuck: usize,
     complete: bool,
@@ -181,7 +181,7 @@
         for node in &layer {
             count.states += 1;
             if node.world.mixed_generations().is_some() {
-                count.broken += 1;
+                count.violated += 1;
                 continue;
             }
             count.switched += usize::from(node.world.entered.contains(&Some(2)));
@@ -223,10 +223,10 @@
 
 /// Explores; only a large space may be cut off, and `AUBURNLINE_STATES` lets it go to its end.
 fn holds(name: &str, shape: Shape, budget: Budget, is_large: bool) {
-    let most = setting("AUBURNLINE_STATES", MOST);
+    let most = env_number("AUBURNLINE_STATES", MOST);
     let count = explore(shape, budget, usize::try_from(most).unwrap_or(usize::MAX));
     println!("{name}: {count:?}");
-    assert_that!(count.broken, eq(0));
+    assert_that!(count.violated, eq(0));
     assert_that!(count.stuck, eq(0));
     assert_that!(count.switched, gt(0));
     assert_that!(count.complete || is_large, eq(true));
--- a/crates/experts/tests/all/injected.rs
+++ b/crates/experts/tests/all/injected.rs
@@ -15,7 +15,7 @@
 const EVENTS: u64 = 1_500;
 
 fn first_broken(injected: InjectedFault) -> Option<u64> {
-    let found = (1..RUNS).find(|&seed| random::run(seed, EVENTS, injected).broken);
+    let found = (1..RUNS).find(|&seed| random::run(seed, EVENTS, injected).violated);
     println!("{injected:?}: first seen with seed {found:?}");
     found
 }
--- a/crates/experts/tests/all/random.rs
+++ b/crates/experts/tests/all/random.rs
@@ -22,7 +22,7 @@
 const MAX_WAITING: usize = 40;
 
 /// Returns a number from the environment.
-pub(crate) fn setting(name: &str, default: u64) -> u64 {
+pub(crate) fn env_number(name: &str, default: u64) -> u64 {
     env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
@@ -34,7 +34,7 @@
 pub(crate) struct Outcome {
     pub(crate) changes: Generation,
     pub(crate) steps: u64,
-    pub(crate) broken: bool,
+    pub(crate) violated: bool,
     pub(crate) stuck: bool,
 }
 
@@ -96,7 +96,7 @@
     for _ in 0..events {
         act(&mut world, &mut rng);
         if world.mixed_generations().is_some() {
-            outcome.broken = true;
+            outcome.violated = true;
             return outcome;
         }
     }
@@ -108,13 +108,13 @@
 
 #[gtest]
 fn no_step_runs_with_two_generations() {
-    let seed = setting("AUBURNLINE_SEED", 1);
-    let events = setting("AUBURNLINE_EVENTS", EVENTS);
+    let seed = env_number("AUBURNLINE_SEED", 1);
+    let events = env_number("AUBURNLINE_EVENTS", EVENTS);
     let mut changes = 0;
     let mut steps = 0;
     for seed in seed..seed + RUNS {
         let outcome = run(seed, events, InjectedFault::None);
-        assert_that!(outcome.broken, eq(false), "seed {seed}");
+        assert_that!(outcome.violated, eq(false), "seed {seed}");
         assert_that!(outcome.stuck, eq(false), "seed {seed}");
         changes += outcome.changes;
         steps += outcome.steps;
