--- a/crates/experts/tests/all/world.rs
+++ b/crates/experts/tests/all/world.rs
@@ -1,8 +1,9 @@
-//! A group with its members, ranks and messages, all moved by hand.
+//! Simulated group with its members, ranks and messages; the tests trigger every event.
 //!
-//! Messages wait in bags and may be delivered in any order, late, more than once, or never. A dead
-//! coordinator's messages stay. One incarnation of a member or of the coordinator of one instance
-//! is alive at a time: that is the exclusive listening socket.
+//! Messages in flight are unordered: they may be delivered in any order, late, more than once, or
+//! never. The messages of a dead coordinator stay in flight. At most one incarnation of a member, and
+//! of the coordinator on one instance, is alive at a time, which models the exclusive listening
+//! socket.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -30,23 +31,23 @@
 /// Incarnation of the first coordinator of a world.
 const FIRST_COORDINATOR: Incarnation = 101;
 
-/// A fault put in on purpose.
+/// Fault that a test injects deliberately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum InjectedFault {
     None,
-    /// A rank that is armed passes the switch step by itself.
+    /// An armed rank enters the switch step without a release.
     UnreleasedSwitch,
-    /// Members pass on every order.
+    /// Members forward every order, also stale ones.
     NoFence,
-    /// A restarted coordinator takes a released rank for an armed one.
+    /// Every coordinator but the first sees a released rank as an armed one.
     AbortAfterRelease,
-    /// A restarted coordinator judges by the first member it reaches.
+    /// Every coordinator but the first assesses the group by the first member that answers.
     ReachableOnly,
-    /// A restarted member has an old revision in force.
+    /// A restarted member has the first revision in force.
     StaleMember,
 }
 
-/// Shape of a group.
+/// Size of a group, and how it is simulated. `ranks` is the number for each member.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shape {
     pub(crate) members: usize,
@@ -59,17 +60,21 @@
 pub(crate) struct World {
     pub(crate) checks_fence: bool,
     pub(crate) injected: InjectedFault,
-    /// Whether weights load in no time.
+    /// Whether weights are loaded as soon as an order asks for it.
     pub(crate) loads_at_once: bool,
+    /// Ranks of each member.
     pub(crate) per_member: usize,
     pub(crate) coordinators: Vec<Coordinator>,
     pub(crate) members: Vec<Member>,
     pub(crate) ranks: Vec<State>,
+    /// Generation with which each rank has entered the current step.
     pub(crate) entered: Vec<Option<Generation>>,
     pub(crate) step: Step,
     pub(crate) orders: Vec<Order>,
+    /// Reports in flight, with the coordinator that each is sent to.
     pub(crate) reports: Vec<(Incarnation, Report)>,
     pub(crate) revision: Revision,
+    /// Last incarnation assigned.
     pub(crate) incarnation: Incarnation,
     pub(crate) now: Duration,
 }
@@ -120,7 +125,7 @@
         Rank::try_from(self.ranks.len()).expect("a small group")
     }
 
-    /// Starts a coordinator beside those that live.
+    /// Starts a coordinator in addition to those that are alive.
     pub(crate) fn start_coordinator(&mut self) {
         self.incarnation += 1;
         let mut ranks = 0..self.total();
@@ -144,7 +149,8 @@
         self.start_coordinator();
     }
 
-    /// Moves rank 0 to another instance by publication; the old coordinator lives on.
+    /// Publishes rank 0 on another instance and starts a coordinator there; the old coordinator stays
+    /// alive.
     pub(crate) fn move_coordinator(&mut self) {
         self.revision += 1;
         self.start_coordinator();
@@ -170,18 +176,18 @@
         self.handle_event(index, Event::Start(wanted));
     }
 
-    /// Delivers an order, which stays for a second delivery if `again`.
-    pub(crate) fn deliver_order(&mut self, at: usize, again: bool) {
-        let order = if again {
+    /// Delivers an order, which stays in flight for another delivery if `duplicate`.
+    pub(crate) fn deliver_order(&mut self, at: usize, duplicate: bool) {
+        let order = if duplicate {
             self.orders[at].clone()
         } else {
             self.orders.swap_remove(at)
         };
-        let report = self.carry_out(&order);
+        let report = self.execute(&order);
         self.reports.push((order.stamp.sender, report));
     }
 
-    fn carry_out(&mut self, order: &Order) -> Report {
+    fn execute(&mut self, order: &Order) -> Report {
         let member = &mut self.members[order.member];
         let accepted = member.accept(order);
         if self.injected != InjectedFault::NoFence
@@ -212,8 +218,8 @@
         member.report(order, refusal, statuses, maps)
     }
 
-    pub(crate) fn deliver_report(&mut self, at: usize, again: bool) {
-        let (sender, mut report) = if again {
+    pub(crate) fn deliver_report(&mut self, at: usize, duplicate: bool) {
+        let (sender, mut report) = if duplicate {
             self.reports[at].clone()
         } else {
             self.reports.swap_remove(at)
@@ -229,38 +235,39 @@
         if self.injected == InjectedFault::AbortAfterRelease && restarted {
             hide_release(&mut report);
         }
-        let reads = self.coordinators[index].phase() == "reading";
-        if self.injected == InjectedFault::ReachableOnly && restarted && reads {
-            self.invent_others(index, &report);
+        let is_reading = self.coordinators[index].phase() == "reading";
+        if self.injected == InjectedFault::ReachableOnly && restarted && is_reading {
+            self.forge_reports(index, &report);
         }
         self.handle_event(index, Event::Report(report));
     }
 
-    fn invent_others(&mut self, index: usize, report: &Report) {
+    /// Reports the first member's status for all other members too.
+    fn forge_reports(&mut self, index: usize, report: &Report) {
         let Some(status) = report.ranks.values().next().copied() else {
             return;
         };
         for member in (0..self.members.len()).filter(|&m| m != report.member) {
-            let mut invented = report.clone();
-            invented.member = member;
-            invented.incarnation = self.members[member].incarnation();
-            invented.stamp.sequence = report.stamp.sequence + 1_000;
+            let mut forged = report.clone();
+            forged.member = member;
+            forged.incarnation = self.members[member].incarnation();
+            forged.stamp.sequence = report.stamp.sequence + 1_000;
             let first = member * self.per_member;
-            invented.ranks = (first..first + self.per_member)
+            forged.ranks = (first..first + self.per_member)
                 .map(|rank| (Rank::try_from(rank).expect("a small group"), status))
                 .collect();
-            self.handle_event(index, Event::Report(invented));
+            self.handle_event(index, Event::Report(forged));
         }
     }
 
-    /// Finishes a load at a rank.
+    /// Finishes loading at a rank, if it is loading.
     pub(crate) fn finish_load(&mut self, rank: usize) {
         if self.ranks[rank].wanted().is_some() {
             self.ranks[rank].loaded();
         }
     }
 
-    /// Lets a rank try to enter the step; the step runs once all have entered.
+    /// Makes a rank try to enter the step; the step runs once all ranks have entered.
     pub(crate) fn enter(&mut self, rank: usize) {
         if self.entered[rank].is_some() {
             return;
@@ -287,20 +294,20 @@
         }
     }
 
-    /// Returns the generations of a step that ranks entered with different ones.
+    /// Returns the generations of the current step if the ranks entered it with different ones.
     pub(crate) fn mixed_generations(&self) -> Option<Vec<Generation>> {
         let generations: Vec<Generation> = self.entered.iter().flatten().copied().collect();
         let mixed = generations.windows(2).any(|pair| pair[0] != pair[1]);
         mixed.then_some(generations)
     }
 
-    /// Replaces a rank by one without weights.
+    /// Replaces a rank with one that has no weights.
     pub(crate) fn replace_rank(&mut self, rank: usize) {
         self.ranks[rank] = State::blank(self.checks_fence, 0);
         self.entered[rank] = None;
     }
 
-    /// Restarts a member's slot; its ranks live on.
+    /// Restarts a member's slot; its ranks keep running.
     pub(crate) fn restart_member(&mut self, member: usize) {
         self.incarnation += 1;
         let revision = match self.injected {
@@ -310,7 +317,8 @@
         self.members[member] = Member::new(member, self.incarnation, revision);
     }
 
-    /// Runs on without faults; returns whether the group settles and steps on in one generation.
+    /// Runs on without faults, with the newest coordinator only. Returns whether the group settles and
+    /// then runs steps in one generation.
     pub(crate) fn recovers(&mut self) -> bool {
         const ROUNDS: usize = 2_000;
         const STEPS: Step = 8;
@@ -354,6 +362,7 @@
     }
 }
 
+/// Changes each released status to an armed one.
 fn hide_release(report: &mut Report) {
     for status in report.ranks.values_mut() {
         if let Stage::Released(switch) = status.stage {
