--- a/crates/experts/tests/all/main.rs
+++ b/crates/experts/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the change of map, one module a theme, in one binary.
+//! Tests of the change of map in one binary, one module per topic.
 
 mod bandwidth;
 mod explore;
