--- a/crates/experts/tests/all/random.rs
+++ b/crates/experts/tests/all/random.rs
@@ -1,4 +1,4 @@
-//! Random runs: lost, late and doubled messages, pauses, deaths, replacements, withdrawals.
+//! Random runs: lost, delayed and duplicated messages, pauses, crashes, replacements, withdrawals.
 
 use std::env;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 use crate::world::Shape;
 use crate::world::World;
 
-/// Runs of one test in CI; each has its own seed.
+/// Number of runs, each with its own seed.
 const RUNS: u64 = 400;
-/// Events of one run in CI.
+/// Events of one run, unless `AUBURNLINE_EVENTS` is set.
 const EVENTS: u64 = 1_500;
-/// Most messages that wait; older ones are lost.
-const MAX_WAITING: usize = 40;
+/// Maximum number of orders, and of reports, in flight; older ones are lost.
+const MAX_IN_FLIGHT: usize = 40;
 
-/// Returns a number from the environment.
+/// Returns a number from the environment variable `name`, or `default` if it is unset or no number.
 pub(crate) fn env_number(name: &str, default: u64) -> u64 {
     env::var(name)
         .ok()
@@ -29,22 +29,25 @@
         .unwrap_or(default)
 }
 
-/// What a random run came to.
+/// Result of a random run.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Outcome {
+    /// Generation that the group settled in; 0 if it did not settle.
     pub(crate) changes: Generation,
     pub(crate) steps: u64,
+    /// Whether ranks entered a step with different generations.
     pub(crate) violated: bool,
+    /// Whether the group did not recover once the faults ended.
     pub(crate) stuck: bool,
 }
 
-fn lose_oldest<T>(waiting: &mut Vec<T>) {
-    if waiting.len() > MAX_WAITING {
-        waiting.remove(0);
+fn drop_oldest<T>(in_flight: &mut Vec<T>) {
+    if in_flight.len() > MAX_IN_FLIGHT {
+        in_flight.remove(0);
     }
 }
 
-fn fault(world: &mut World, rng: &mut ChaCha8Rng) {
+fn inject_fault(world: &mut World, rng: &mut ChaCha8Rng) {
     let rank = rng.random_range(0..world.ranks.len());
     let member = rng.random_range(0..world.members.len());
     let newest = world.newest();
@@ -58,7 +61,7 @@
     }
 }
 
-fn act(world: &mut World, rng: &mut ChaCha8Rng) {
+fn run_random_event(world: &mut World, rng: &mut ChaCha8Rng) {
     let rank = rng.random_range(0..world.ranks.len());
     let coordinator = rng.random_range(0..world.coordinators.len());
     match rng.random_range(0..100) {
@@ -76,14 +79,14 @@
         }
         60..=64 => world.finish_load(rank),
         65..=66 => world.request_change(coordinator),
-        67 => fault(world, rng),
+        67 => inject_fault(world, rng),
         _ => world.enter(rank),
     }
-    lose_oldest(&mut world.orders);
-    lose_oldest(&mut world.reports);
+    drop_oldest(&mut world.orders);
+    drop_oldest(&mut world.reports);
 }
 
-/// Runs one seed.
+/// Runs `events` random events with one seed.
 pub(crate) fn run(seed: u64, events: u64, injected: InjectedFault) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut world = World::new(Shape {
@@ -94,7 +97,7 @@
     });
     let mut outcome = Outcome::default();
     for _ in 0..events {
-        act(&mut world, &mut rng);
+        run_random_event(&mut world, &mut rng);
         if world.mixed_generations().is_some() {
             outcome.violated = true;
             return outcome;
@@ -120,7 +123,7 @@
         steps += outcome.steps;
     }
     println!(
-        "seeds {seed}.., {RUNS} runs of {events} events: {steps} steps, generations up to a sum of {changes}"
+        "seeds {seed}.., {RUNS} runs of {events} events: {steps} steps, sum of last generations {changes}"
     );
     assert_that!(steps, gt(RUNS * 10));
 }
