--- a/crates/experts/tests/all/explore.rs
+++ b/crates/experts/tests/all/explore.rs
@@ -1,4 +1,5 @@
-//! Every state of small groups within a budget of faults, breadth first.
+//! Bounded model checking: breadth-first search of the states of small groups within a budget of
+//! faults.
 
 use std::collections::HashSet;
 use std::hash::BuildHasher;
@@ -16,21 +17,22 @@
 use crate::world::Shape;
 use crate::world::World;
 
-/// States that are healed to show that the group goes on: one in this many.
-const HEAL_EVERY: usize = 97;
+/// One in this many states is checked for recovery, to show that the group makes progress.
+const RECOVERY_CHECK_INTERVAL: usize = 97;
 
-/// Most states of one exploration in CI.
-const MOST: u64 = 140_000;
+/// Maximum number of states of one exploration, unless `AUBURNLINE_STATES` is set.
+const MAX_STATES: u64 = 140_000;
 
-/// Faults and repetitions left in a state.
+/// Faults, duplicates and ticks that may still occur after a state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Budget {
     ticks: u8,
-    doubles: u8,
+    duplicates: u8,
     kills: u8,
-    promotions: u8,
+    moves: u8,
     replacements: u8,
     withdrawals: u8,
+    /// Last step that ranks may enter.
     last_step: u64,
 }
 
@@ -40,31 +42,33 @@
     budget: Budget,
 }
 
-/// What an exploration came to.
+/// Result of an exploration, in numbers of states.
 #[derive(Clone, Copy, Debug, Default)]
 struct Count {
     states: usize,
-    healed: usize,
+    recovery_checked: usize,
     violated: usize,
     switched: usize,
     stuck: usize,
+    /// Whether all states were visited.
     complete: bool,
 }
 
-/// Sorts what waits, and drops what would be refused or ignored without any effect.
-fn settle(world: &mut World) {
-    let live: Vec<u64> = world
+/// Sorts the messages in flight, so that equal states compare equal, and drops those that would be
+/// refused or ignored without any effect.
+fn normalize(world: &mut World) {
+    let alive: Vec<u64> = world
         .coordinators
         .iter()
         .map(Coordinator::incarnation)
         .collect();
-    world.reports.retain(|(sender, _)| live.contains(sender));
+    world.reports.retain(|(sender, _)| alive.contains(sender));
     let members = &world.members;
     world.orders.retain(|order| {
         let refused = members[order.member].clone().accept(order);
         match refused {
             Err(Refusal::StaleSequence) => false,
-            Err(Refusal::StaleFence(_)) => live.contains(&order.stamp.sender),
+            Err(Refusal::StaleFence(_)) => alive.contains(&order.stamp.sender),
             _ => true,
         }
     });
@@ -76,22 +80,28 @@
         .sort_by_key(|(sender, report)| (*sender, report.stamp.sequence, report.member));
 }
 
-fn next(node: &Node) -> Vec<Node> {
+fn successors(node: &Node) -> Vec<Node> {
     let mut found = Vec::new();
     let mut push = |budget: Budget, change: &dyn Fn(&mut World)| {
         let mut world = node.world.clone();
         change(&mut world);
-        settle(&mut world);
+        normalize(&mut world);
         found.push(Node { world, budget });
     };
     let budget = node.budget;
     let world = &node.world;
     for at in 0..world.orders.len() {
         push(budget, &|world| world.deliver_order(at, false));
-        if let Some(doubles) = budget.doubles.checked_sub(1) {
-            push(Budget { doubles, ..budget }, &|world| {
-                world.deliver_order(at, true);
-            });
+        if let Some(duplicates) = budget.duplicates.checked_sub(1) {
+            push(
+                Budget {
+                    duplicates,
+                    ..budget
+                },
+                &|world| {
+                    world.deliver_order(at, true);
+                },
+            );
         }
     }
     for at in 0..world.reports.len() {
@@ -123,14 +133,8 @@
     if let Some(kills) = budget.kills.checked_sub(1) {
         push(Budget { kills, ..budget }, &World::restart_coordinator);
     }
-    if let Some(promotions) = budget.promotions.checked_sub(1) {
-        push(
-            Budget {
-                promotions,
-                ..budget
-            },
-            &World::move_coordinator,
-        );
+    if let Some(moves) = budget.moves.checked_sub(1) {
+        push(Budget { moves, ..budget }, &World::move_coordinator);
     }
     if let Some(withdrawals) = budget.withdrawals.checked_sub(1) {
         push(
@@ -146,11 +150,11 @@
     found
 }
 
-/// Whether the change is over, and only looks at the ranks are left to deliver.
-fn is_quiet(node: &Node) -> bool {
+/// Returns whether the change is finished, no faults are left, and only reads are in flight.
+fn is_finished(node: &Node) -> bool {
     let world = &node.world;
     let newest = &world.coordinators[world.newest()];
-    let only_looks = world
+    let only_reads = world
         .orders
         .iter()
         .all(|order| order.stamp.sender == newest.incarnation() && order.command == Command::Read);
@@ -158,11 +162,11 @@
         last_step: node.budget.last_step,
         ..BUDGET
     };
-    newest.settled().is_some() && only_looks && node.budget == no_faults
+    newest.settled().is_some() && only_reads && node.budget == no_faults
 }
 
-/// Explores from a group whose coordinator has just been asked for a new map.
-fn explore(shape: Shape, budget: Budget, most: usize) -> Count {
+/// Explores from a group whose coordinator has just been asked for a change to a new map.
+fn explore(shape: Shape, budget: Budget, max_states: usize) -> Count {
     let mut world = World::new(shape);
     world.loads_at_once = true;
     while world.coordinators[0].settled().is_none() {
@@ -185,30 +189,30 @@
                 continue;
             }
             count.switched += usize::from(node.world.entered.contains(&Some(2)));
-            if count.states.is_multiple_of(HEAL_EVERY) {
-                count.healed += 1;
+            if count.states.is_multiple_of(RECOVERY_CHECK_INTERVAL) {
+                count.recovery_checked += 1;
                 count.stuck += usize::from(!node.world.clone().recovers());
             }
-            if is_quiet(node) {
+            if is_finished(node) {
                 continue;
             }
-            for child in next(node) {
-                if seen.len() < most && seen.insert(hasher.hash_one(&child)) {
+            for child in successors(node) {
+                if seen.len() < max_states && seen.insert(hasher.hash_one(&child)) {
                     following.push(child);
                 }
             }
         }
         layer = following;
     }
-    count.complete = seen.len() < most;
+    count.complete = seen.len() < max_states;
     count
 }
 
 const BUDGET: Budget = Budget {
     ticks: 0,
-    doubles: 0,
+    duplicates: 0,
     kills: 0,
-    promotions: 0,
+    moves: 0,
     replacements: 0,
     withdrawals: 0,
     last_step: 1,
@@ -221,10 +225,15 @@
     injected: InjectedFault::None,
 };
 
-/// Explores; only a large space may be cut off, and `AUBURNLINE_STATES` lets it go to its end.
-fn holds(name: &str, shape: Shape, budget: Budget, is_large: bool) {
-    let most = env_number("AUBURNLINE_STATES", MOST);
-    let count = explore(shape, budget, usize::try_from(most).unwrap_or(usize::MAX));
+/// Explores and checks the result. Only the exploration of a large state space may end at the limit,
+/// which `AUBURNLINE_STATES` can raise.
+fn check(name: &str, shape: Shape, budget: Budget, is_large: bool) {
+    let max_states = env_number("AUBURNLINE_STATES", MAX_STATES);
+    let count = explore(
+        shape,
+        budget,
+        usize::try_from(max_states).unwrap_or(usize::MAX),
+    );
     println!("{name}: {count:?}");
     assert_that!(count.violated, eq(0));
     assert_that!(count.stuck, eq(0));
@@ -234,17 +243,17 @@
 
 #[gtest]
 fn two_ranks_with_a_killed_coordinator() {
-    holds("kill", PAIR, Budget { kills: 1, ..BUDGET }, false);
+    check("kill", PAIR, Budget { kills: 1, ..BUDGET }, false);
 }
 
 #[gtest]
 fn two_ranks_with_a_withdrawal() {
-    holds(
+    check(
         "withdraw",
         PAIR,
         Budget {
             withdrawals: 1,
-            doubles: 1,
+            duplicates: 1,
             ..BUDGET
         },
         false,
@@ -253,20 +262,12 @@
 
 #[gtest]
 fn two_ranks_with_an_old_coordinator() {
-    holds(
-        "promotion",
-        PAIR,
-        Budget {
-            promotions: 1,
-            ..BUDGET
-        },
-        true,
-    );
+    check("promotion", PAIR, Budget { moves: 1, ..BUDGET }, true);
 }
 
 #[gtest]
 fn two_ranks_with_a_replaced_rank() {
-    holds(
+    check(
         "replacement",
         PAIR,
         Budget {
@@ -281,13 +282,13 @@
 #[gtest]
 fn three_ranks_without_faults() {
     let shape = Shape { members: 3, ..PAIR };
-    holds("three", shape, BUDGET, false);
+    check("three", shape, BUDGET, false);
 }
 
 #[gtest]
 fn two_ranks_with_a_coordinator_killed_twice() {
     let budget = Budget { kills: 2, ..BUDGET };
-    holds("two kills", PAIR, budget, true);
+    check("two kills", PAIR, budget, true);
 }
 
 #[gtest]
@@ -297,5 +298,5 @@
         withdrawals: 1,
         ..BUDGET
     };
-    holds("kill, withdraw", PAIR, budget, true);
+    check("kill, withdraw", PAIR, budget, true);
 }
