--- a/crates/experts/examples/change.rs
+++ b/crates/experts/examples/change.rs
@@ -1,7 +1,8 @@
-//! Measures what a change of map costs a group: hold time, steps held and messages.
+//! Measures the cost of a change of map for a group: hold time, steps held and messages.
 //!
-//! The change is run through the coordinator, members and ranks of this crate over a wire with
-//! random delays. The baselines are the same rounds of messages without the parts they lack.
+//! The change is simulated with the coordinator, members and ranks of this crate over a network with
+//! random delays. The baselines are computed from the same delays and load times, for the rounds of
+//! messages that each of them needs.
 //! `cargo run --release -p auburnline-experts --example change [-- --csv]`
 
 use std::cmp::Reverse;
@@ -34,12 +35,13 @@
 const STEP: Duration = Duration::from_millis(5);
 const LOAD: Duration = Duration::from_secs(2);
 const TICK: Duration = Duration::from_millis(5);
-/// Steps that the longest stream still has to run when a drain begins.
+/// Upper limit of the steps that the longest stream still has to run when a drain begins.
 const DRAIN_STEPS: u32 = 400;
 const DELAYS_US: [u64; 4] = [100, 500, 1_000, 2_000];
 const SIZES: [Rank; 5] = [4, 8, 16, 32, 64];
 
-enum Happening {
+/// Event that the simulation schedules.
+enum SimulationEvent {
     Tick,
     Boundary,
     Order(Order),
@@ -52,17 +54,18 @@
     hold: Duration,
     steps_held: u32,
     messages: u32,
-    /// Time from the order to arm until the coordinator has seen every rank switched.
+    /// Time from the last decision to arm until every rank has reported its switch to the coordinator; for
+    /// the baselines, the hold time.
     switch: Duration,
 }
 
-struct Bench {
+struct Simulation {
     rng: ChaCha8Rng,
     delay: Duration,
     now: Duration,
     queue: BinaryHeap<Reverse<(Duration, usize)>>,
-    happenings: BTreeMap<usize, Happening>,
-    count: usize,
+    events: BTreeMap<usize, SimulationEvent>,
+    event_count: usize,
     coordinator: Coordinator,
     members: Vec<Member>,
     ranks: Vec<State>,
@@ -83,21 +86,21 @@
     delay.mul_f64(rng.random_range(0.5..1.5))
 }
 
-impl Bench {
-    fn new(seed: u64, ranks: Rank, delay: Duration, margin: u64) -> Bench {
+impl Simulation {
+    fn new(seed: u64, ranks: Rank, delay: Duration, margin: u64) -> Simulation {
         let members = ranks / RANKS_PER_MEMBER;
         let layout = (0..members)
             .map(|member| (member * RANKS_PER_MEMBER..(member + 1) * RANKS_PER_MEMBER).collect())
             .collect();
         let settings = Settings::builder().margin(margin).build();
         let first = map(ranks, 1);
-        Bench {
+        Simulation {
             rng: ChaCha8Rng::seed_from_u64(seed),
             delay,
             now: Duration::ZERO,
             queue: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
-            count: 0,
+            events: BTreeMap::new(),
+            event_count: 0,
             coordinator: Coordinator::new(layout, 1, 1, Arc::clone(&first), settings),
             members: (0..usize::from(members))
                 .map(|index| Member::new(index, 1, 1))
@@ -111,19 +114,20 @@
         }
     }
 
-    fn after(&mut self, wait: Duration, happening: Happening) {
-        self.count += 1;
-        self.happenings.insert(self.count, happening);
-        self.queue.push(Reverse((self.now + wait, self.count)));
+    fn schedule(&mut self, wait: Duration, event: SimulationEvent) {
+        self.event_count += 1;
+        self.events.insert(self.event_count, event);
+        self.queue
+            .push(Reverse((self.now + wait, self.event_count)));
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         for action in self.coordinator.handle(event, self.now) {
             match action {
                 Action::Send(order) => {
                     let wait = delayed(&mut self.rng, self.delay);
                     self.cost.messages += 1;
-                    self.after(wait, Happening::Order(order));
+                    self.schedule(wait, SimulationEvent::Order(order));
                 }
                 Action::Log(decision) if matches!(decision.choice, Choice::Arm(..)) => {
                     self.armed_at = self.now;
@@ -149,16 +153,16 @@
             }
             if starts {
                 let load = delayed(&mut self.rng, LOAD);
-                self.after(load, Happening::Loaded(rank));
+                self.schedule(load, SimulationEvent::Loaded(rank));
             }
         }
         let report = self.members[order.member].report(order, refusal, statuses, maps);
         let wait = delayed(&mut self.rng, self.delay);
         self.cost.messages += 1;
-        self.after(wait, Happening::Report(report));
+        self.schedule(wait, SimulationEvent::Report(report));
     }
 
-    /// Lets all ranks that wait at the boundary try to enter.
+    /// Makes all ranks that wait at the step boundary try to enter the step.
     fn enter(&mut self) {
         for (state, entered) in self.ranks.iter_mut().zip(&mut self.entered) {
             *entered = *entered || state.enter(self.step) != Entry::Hold;
@@ -173,7 +177,7 @@
         }
         self.entered.fill(false);
         self.step += 1;
-        self.after(STEP, Happening::Boundary);
+        self.schedule(STEP, SimulationEvent::Boundary);
     }
 
     /// Runs until all ranks have settled in `generation`.
@@ -183,20 +187,20 @@
                 return;
             };
             self.now = at;
-            match self.happenings.remove(&index) {
-                Some(Happening::Tick) => {
-                    self.tell(Event::Tick);
-                    self.after(TICK, Happening::Tick);
+            match self.events.remove(&index) {
+                Some(SimulationEvent::Tick) => {
+                    self.handle_event(Event::Tick);
+                    self.schedule(TICK, SimulationEvent::Tick);
                 }
-                Some(Happening::Boundary) => self.enter(),
-                Some(Happening::Order(order)) => {
+                Some(SimulationEvent::Boundary) => self.enter(),
+                Some(SimulationEvent::Order(order)) => {
                     self.order(&order);
                     if self.held_since.is_some() {
                         self.enter();
                     }
                 }
-                Some(Happening::Report(report)) => self.tell(Event::Report(report)),
-                Some(Happening::Loaded(rank)) => self.ranks[rank].loaded(),
+                Some(SimulationEvent::Report(report)) => self.handle_event(Event::Report(report)),
+                Some(SimulationEvent::Loaded(rank)) => self.ranks[rank].loaded(),
                 None => {}
             }
         }
@@ -204,31 +208,39 @@
 }
 
 fn change(seed: u64, ranks: Rank, delay: Duration, margin: u64) -> Cost {
-    let mut bench = Bench::new(seed, ranks, delay, margin);
-    bench.after(Duration::ZERO, Happening::Tick);
-    bench.after(Duration::ZERO, Happening::Boundary);
-    bench.run_to(1);
-    bench.cost = Cost::default();
-    bench.tell(Event::Start(map(ranks, 2)));
-    bench.run_to(2);
+    let mut simulation = Simulation::new(seed, ranks, delay, margin);
+    simulation.schedule(Duration::ZERO, SimulationEvent::Tick);
+    simulation.schedule(Duration::ZERO, SimulationEvent::Boundary);
+    simulation.run_to(1);
+    simulation.cost = Cost::default();
+    simulation.handle_event(Event::Start(map(ranks, 2)));
+    simulation.run_to(2);
     Cost {
-        switch: bench.now.saturating_sub(bench.armed_at),
-        ..bench.cost
+        switch: simulation.now.saturating_sub(simulation.armed_at),
+        ..simulation.cost
     }
 }
 
-/// Returns the longest of one wait a member, each of `legs` delays and perhaps a load.
-fn longest(rng: &mut ChaCha8Rng, members: u32, legs: u32, delay: Duration, load: bool) -> Duration {
+/// Returns the longest wait of any member, which is the sum of `messages` message delays and, with
+/// `load`, the longest load time of the member's ranks.
+fn longest(
+    rng: &mut ChaCha8Rng,
+    members: u32,
+    messages: u32,
+    delay: Duration,
+    load: bool,
+) -> Duration {
     let wait = |rng: &mut ChaCha8Rng| {
-        let wire: Duration = (0..legs).map(|_| delayed(rng, delay)).sum();
+        let delays: Duration = (0..messages).map(|_| delayed(rng, delay)).sum();
         let loads = if load { u32::from(RANKS_PER_MEMBER) } else { 0 };
         let load = (0..loads).map(|_| delayed(rng, LOAD)).max();
-        wire + load.unwrap_or_default()
+        delays + load.unwrap_or_default()
     };
     (0..members).map(|_| wait(rng)).max().unwrap_or_default()
 }
 
-/// Hold, load while held, release: the group stands from the first hold to the last release.
+/// Baseline that holds all ranks, loads while held and releases: no step runs from the first hold to
+/// the last release.
 fn hold_at_once(seed: u64, ranks: Rank, delay: Duration) -> Cost {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let members = u32::from(ranks / RANKS_PER_MEMBER);
@@ -242,7 +254,8 @@
     }
 }
 
-/// Ends all streams without taking new ones, then loads and goes on; the drain counts as disrupted.
+/// Baseline that finishes all streams without admitting new ones, then loads and resumes; the drain
+/// counts as hold time.
 fn drain_and_switch(seed: u64, ranks: Rank, delay: Duration) -> Cost {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let drain = STEP * rng.random_range(DRAIN_STEPS / 2..DRAIN_STEPS);
@@ -258,13 +271,13 @@
 fn mean(costs: &[Cost]) -> [f64; 5] {
     let count = f64::from(u32::try_from(costs.len()).unwrap_or(u32::MAX));
     let hold: f64 = costs.iter().map(|cost| cost.hold.as_secs_f64()).sum();
-    let most = costs.iter().map(|cost| cost.hold).max().unwrap_or_default();
+    let max = costs.iter().map(|cost| cost.hold).max().unwrap_or_default();
     let steps: u32 = costs.iter().map(|cost| cost.steps_held).sum();
     let messages: u32 = costs.iter().map(|cost| cost.messages).sum();
     let switch: f64 = costs.iter().map(|cost| cost.switch.as_secs_f64()).sum();
     [
         hold * 1e3 / count,
-        most.as_secs_f64() * 1e3,
+        max.as_secs_f64() * 1e3,
         f64::from(steps) / count,
         f64::from(messages) / count,
         switch * 1e3 / count,
@@ -292,22 +305,22 @@
     for ranks in SIZES {
         for delay_us in DELAYS_US {
             let delay = Duration::from_micros(delay_us);
-            let ways: [(&str, &dyn Fn(u64) -> Cost); 4] = [
+            let methods: [(&str, &dyn Fn(u64) -> Cost); 4] = [
                 ("arm margin 2", &|seed| change(seed, ranks, delay, 2)),
                 ("arm margin 0", &|seed| change(seed, ranks, delay, 0)),
                 ("hold at once", &|seed| hold_at_once(seed, ranks, delay)),
                 ("drain", &|seed| drain_and_switch(seed, ranks, delay)),
             ];
-            for (name, way) in ways {
-                let costs: Vec<Cost> = (SEED..=TRIALS).map(way).collect();
-                let [hold, most, steps, messages, switch] = mean(&costs);
+            for (name, run) in methods {
+                let costs: Vec<Cost> = (SEED..=TRIALS).map(run).collect();
+                let [hold, max, steps, messages, switch] = mean(&costs);
                 if csv {
                     println!(
-                        "{ranks},{delay_us},{name},{hold:.3},{most:.3},{steps:.2},{messages:.1},{switch:.2}"
+                        "{ranks},{delay_us},{name},{hold:.3},{max:.3},{steps:.2},{messages:.1},{switch:.2}"
                     );
                 } else {
                     println!(
-                        "{ranks:>14}{delay_us:>14}{name:>14}{hold:>14.3}{most:>14.3}{steps:>14.2}{messages:>14.1}{switch:>14.2}"
+                        "{ranks:>14}{delay_us:>14}{name:>14}{hold:>14.3}{max:>14.3}{steps:>14.2}{messages:>14.1}{switch:>14.2}"
                     );
                 }
             }
