--- a/crates/experts/src/coordinator/advance.rs
+++ b/crates/experts/src/coordinator/advance.rs
@@ -1,4 +1,4 @@
-//! Transitions between the phases, each from what all members have reported.
+//! Transitions between the phases, based on the reports of all members.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
 use super::phase::Preparing;
 use super::phase::Releasing;
 use super::view;
-use super::view::Verdict;
+use super::view::Assessment;
 use super::view::View;
 use crate::order::Status;
 
@@ -43,20 +43,23 @@
             return false;
         }
         if round == Round::Fence {
-            self.enter(Phase::Reading(Round::Confirm));
+            self.enter_phase(Phase::Reading(Round::Confirm));
             return true;
         }
-        let highest = self.next_generation() - 1;
-        self.highest = highest;
-        match view::judge(&self.views) {
-            Verdict::Inconsistent => {
-                debug_assert!(false, "ranks report generations that no change explains");
+        let highest_generation = self.next_generation() - 1;
+        self.highest_generation = highest_generation;
+        match view::assess(&self.views) {
+            Assessment::Inconsistent => {
+                debug_assert!(
+                    false,
+                    "ranks report generations that do not fit a single change"
+                );
                 self.log(Choice::StandDown, Reason::Inconsistent, now, actions);
-                self.enter(Phase::StoodDown);
+                self.enter_phase(Phase::StoodDown);
             }
-            Verdict::Settled(generation) => {
-                let map = self.map(generation);
-                self.enter(Phase::Idle(map));
+            Assessment::Settled(generation) => {
+                let map = self.map_or_initial(generation);
+                self.enter_phase(Phase::Idle(map));
                 self.log(
                     Choice::Settle(generation),
                     Reason::AllReported,
@@ -64,14 +67,19 @@
                     actions,
                 );
             }
-            Verdict::Abort(generation) => {
-                let before = generation.map_or_else(|| Arc::clone(&self.initial), |g| self.map(g));
-                let change = phase::abort(before, highest);
+            Assessment::Abort(generation) => {
+                let before = generation
+                    .map_or_else(|| Arc::clone(&self.initial_map), |g| self.map_or_initial(g));
+                let change = phase::abort(before, highest_generation);
                 self.abort(change, Reason::FoundUnfinished, now, actions);
             }
-            Verdict::Release { before, switch } => {
-                let change = Change::found(self.map(before), self.map(switch.generation), switch);
-                self.enter(Phase::Releasing(change));
+            Assessment::Release { before, switch } => {
+                let change = Change::resume(
+                    self.map_or_initial(before),
+                    self.map_or_initial(switch.generation),
+                    switch,
+                );
+                self.enter_phase(Phase::Releasing(change));
                 let choice = Choice::Release(switch.generation, switch.step);
                 self.log(choice, Reason::FoundReleased, now, actions);
             }
@@ -79,15 +87,16 @@
         true
     }
 
-    fn map(&self, generation: Generation) -> Arc<Map> {
-        Arc::clone(self.maps.get(&generation).unwrap_or(&self.initial))
+    /// Returns the map of `generation`, or the initial map if no rank has reported that one.
+    fn map_or_initial(&self, generation: Generation) -> Arc<Map> {
+        Arc::clone(self.maps.get(&generation).unwrap_or(&self.initial_map))
     }
 
     fn advance_idle(&mut self, map: &Arc<Map>, now: Monotonic, actions: &mut Vec<Action>) -> bool {
-        if !view::any_blank(&self.views) {
+        if !view::any_without_map(&self.views) {
             return false;
         }
-        let change = phase::abort(Arc::clone(map), self.highest);
+        let change = phase::abort(Arc::clone(map), self.highest_generation);
         self.abort(change, Reason::RankReplaced, now, actions);
         true
     }
@@ -98,7 +107,7 @@
         now: Monotonic,
         actions: &mut Vec<Action>,
     ) -> bool {
-        if view::any_blank(&self.views) {
+        if view::any_without_map(&self.views) {
             self.abort(change.abort(), Reason::RankReplaced, now, actions);
             return true;
         }
@@ -110,14 +119,15 @@
         let deadline = now + self.settings.arm_timeout;
         let change = change.arm(proof, step, margin, deadline);
         let switch = change.phase.switch;
-        self.enter(Phase::Arming(change));
+        self.enter_phase(Phase::Arming(change));
         let choice = Choice::Arm(switch.generation, switch.step);
         self.log(choice, Reason::AllReported, now, actions);
         true
     }
 
+    /// Returns a step that no rank is expected to enter before all are armed.
     fn switch_step(&self, margin: Step, now: Monotonic) -> Step {
-        view::highest_step(&self.views) + self.estimate.steps(now) + margin
+        view::highest_step(&self.views) + self.estimate.steps_ahead(now) + margin
     }
 
     fn advance_arming(
@@ -126,16 +136,16 @@
         now: Monotonic,
         actions: &mut Vec<Action>,
     ) -> bool {
-        if view::any_blank(&self.views) {
+        if view::any_without_map(&self.views) {
             self.abort(change.abort(), Reason::RankReplaced, now, actions);
             return true;
         }
         let switch = change.phase.switch;
-        if view::any_passed(&self.views, switch) {
+        if view::any_past_step(&self.views, switch) {
             let margin = change.phase.margin.saturating_mul(2);
-            let change = change.raise(self.switch_step(margin, now), margin);
+            let change = change.postpone(self.switch_step(margin, now), margin);
             let switch = change.phase.switch;
-            self.enter(Phase::Arming(change));
+            self.enter_phase(Phase::Arming(change));
             let choice = Choice::Arm(switch.generation, switch.step);
             self.log(choice, Reason::StepPassed, now, actions);
             return true;
@@ -143,7 +153,7 @@
         let Some(proof) = view::all_armed(&self.views, switch) else {
             return false;
         };
-        self.enter(Phase::Releasing(change.release(proof)));
+        self.enter_phase(Phase::Releasing(change.release(proof)));
         let choice = Choice::Release(switch.generation, switch.step);
         self.log(choice, Reason::AllReported, now, actions);
         true
@@ -160,7 +170,7 @@
         if !self.views.iter().all(|view| view.all(is_done)) {
             return false;
         }
-        self.enter(Phase::Idle(change.done()));
+        self.enter_phase(Phase::Idle(change.into_map()));
         self.log(
             Choice::Settle(generation),
             Reason::AllReported,
@@ -181,7 +191,7 @@
             return false;
         }
         let generation = change.before.generation;
-        self.enter(Phase::Idle(change.before));
+        self.enter_phase(Phase::Idle(change.before));
         self.log(
             Choice::Settle(generation),
             Reason::AllReported,
--- a/crates/experts/src/coordinator/mod.rs
+++ b/crates/experts/src/coordinator/mod.rs
@@ -1,17 +1,18 @@
-//! The slot beside rank 0: drives a change of map through all members of its group.
+//! Coordinator of a group, in the slot beside rank 0: drives a change of map through all members.
 //!
-//! Soft state only. A coordinator starts by reading every rank under a fencing number of its own;
-//! from the answer of the last member on, no older order has an effect anywhere. Only then it
-//! judges: if any rank was released all are released, if none was then all are aborted. Ranks that
-//! could not be reached may have been released, so it waits for every one of them.
+//! It keeps soft state only. A coordinator starts by reading every rank under a fencing number of
+//! its own; once the last member has answered, no older order has an effect anywhere. Only then it
+//! assesses the group: if any rank was released, all are released; if none was, the change is
+//! aborted on all. A rank that is unreachable may have been released, so the coordinator waits for
+//! the reports of all ranks.
 //!
-//! It reads twice, and again when it meets a new incarnation of a member, since that one may have
-//! forgotten the fencing number: an older coordinator could act through it, but not through the
+//! It reads all ranks twice, and again when it sees a new incarnation of a member, which may have
+//! lost the fencing number: an older coordinator could act through that member, but not through the
 //! others, and it too has to read them all first.
 //!
-//! All sends are level-triggered: [`Coordinator::handle`] works out what each member still has to be
-//! told in this phase and sends it, again after the retry time. There is no way back from a
-//! release; before it, a timeout, a withdrawal or a replaced rank leads to an abort.
+//! All sends are level-triggered: [`Coordinator::handle`] derives from the phase and the reports
+//! which command each member has not yet carried out, and sends it again after the retry interval. A
+//! release cannot be undone; before it, a timeout, a withdrawal or a replaced rank leads to an abort.
 
 mod advance;
 mod decision;
@@ -50,31 +51,31 @@
 use crate::order::Report;
 use crate::order::Stamp;
 
-/// What a coordinator is told.
+/// Input of a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// Time has passed.
+    /// Time has passed; sent periodically, as deadlines and retries are checked on each event.
     Tick,
-    /// A member has answered.
+    /// A member has reported on an order.
     Report(Report),
-    /// A new map is wanted.
+    /// A change to a new map is requested.
     Start(Arc<Map>),
-    /// The map under way is no longer wanted.
+    /// The change under way is to be aborted, unless it is released.
     Withdraw,
-    /// A revision is in force.
+    /// A configuration revision is in force.
     Revision(Revision),
 }
 
-/// What a coordinator wants done.
+/// Output of a coordinator, for its caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send an order to its member.
+    /// Send an order to the member that it names.
     Send(Order),
     /// Log a decision.
     Log(Decision),
 }
 
-/// Phase of a coordinator.
+/// Phase of a coordinator; `StoodDown` sends no orders.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     StoodDown,
@@ -86,12 +87,12 @@
     Aborting(Change<Aborting>),
 }
 
-/// Round of reading all ranks.
+/// Purpose of a round that reads all ranks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Round {
-    /// Every member takes the fencing number.
+    /// Makes every member accept the fencing number.
     Fence,
-    /// No member has restarted since all had taken it.
+    /// Confirms that no member has restarted since all accepted it.
     Confirm,
 }
 
@@ -101,12 +102,12 @@
     settings: Settings,
     revision: Revision,
     stamp: Stamp,
-    /// First sequence number of the phase.
-    first: u64,
-    initial: Arc<Map>,
+    /// First sequence number of the current phase.
+    first_sequence: u64,
+    initial_map: Arc<Map>,
     maps: BTreeMap<Generation, Arc<Map>>,
     views: Vec<View>,
-    highest: Generation,
+    highest_generation: Generation,
     estimate: Estimate,
     phase: Phase,
 }
@@ -114,14 +115,14 @@
 impl Coordinator {
     /// Returns a coordinator that has just started.
     ///
-    /// `members` are the ranks of each member, in published order; `initial` is the map of a group
-    /// of which no rank has any.
+    /// `members` are the ranks of each member, in published order; `initial_map` is used for a group in
+    /// which no rank has a map.
     #[must_use]
     pub fn new(
         members: Vec<Vec<Rank>>,
         incarnation: Incarnation,
         revision: Revision,
-        initial: Arc<Map>,
+        initial_map: Arc<Map>,
         settings: Settings,
     ) -> Coordinator {
         Coordinator {
@@ -132,10 +133,10 @@
                 sender: incarnation,
                 sequence: 0,
             },
-            first: 1,
-            maps: BTreeMap::from([(initial.generation, Arc::clone(&initial))]),
-            highest: initial.generation,
-            initial,
+            first_sequence: 1,
+            maps: BTreeMap::from([(initial_map.generation, Arc::clone(&initial_map))]),
+            highest_generation: initial_map.generation,
+            initial_map,
             views: members.into_iter().map(View::new).collect(),
             estimate: Estimate::default(),
             phase: Phase::Reading(Round::Fence),
@@ -154,7 +155,7 @@
         self.stamp.fence
     }
 
-    /// Returns the generation that all ranks use, when no change is under way.
+    /// Returns the generation that all ranks use, or `None` unless the coordinator is idle.
     #[must_use]
     pub fn settled(&self) -> Option<Generation> {
         match &self.phase {
@@ -166,10 +167,12 @@
     /// Returns the lowest generation that a new map may have.
     #[must_use]
     pub fn next_generation(&self) -> Generation {
-        self.highest.max(view::highest_generation(&self.views)) + 1
+        self.highest_generation
+            .max(view::highest_generation(&self.views))
+            + 1
     }
 
-    /// Returns the phase's name for tables.
+    /// Returns the name of the phase, for display.
     #[must_use]
     pub const fn phase(&self) -> &'static str {
         match self.phase {
@@ -183,19 +186,19 @@
         }
     }
 
-    /// Takes an event and returns what to do.
+    /// Handles an event and returns the actions that follow from it.
     pub fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Tick => {}
-            Event::Report(report) => self.report(report, now, &mut actions),
+            Event::Report(report) => self.apply_report(report, now, &mut actions),
             Event::Start(map) => self.start(map, now, &mut actions),
-            Event::Withdraw => self.back_out(Reason::Withdrawn, now, &mut actions),
-            Event::Revision(revision) => self.revise(revision, now, &mut actions),
+            Event::Withdraw => self.abort_unreleased(Reason::Withdrawn, now, &mut actions),
+            Event::Revision(revision) => self.update_revision(revision, now, &mut actions),
         }
         self.check_deadline(now, &mut actions);
         while self.advance(now, &mut actions) {}
-        self.send(now, &mut actions);
+        self.send_due_orders(now, &mut actions);
         actions
     }
 
@@ -209,65 +212,68 @@
         }));
     }
 
-    fn enter(&mut self, phase: Phase) {
+    fn enter_phase(&mut self, phase: Phase) {
         self.phase = phase;
-        self.first = self.stamp.sequence + 1;
-        self.views.iter_mut().for_each(View::restart);
+        self.first_sequence = self.stamp.sequence + 1;
+        self.views.iter_mut().for_each(View::begin_phase);
     }
 
-    fn revise(&mut self, revision: Revision, now: Monotonic, actions: &mut Vec<Action>) {
+    fn update_revision(&mut self, revision: Revision, now: Monotonic, actions: &mut Vec<Action>) {
         self.revision = self.revision.max(revision);
         if self.phase == Phase::StoodDown {
-            self.refence(self.stamp.fence, Reason::Started, now, actions);
+            self.raise_fence(self.stamp.fence, Reason::Started, now, actions);
         }
     }
 
-    /// Takes a fencing number above `highest` and reads all ranks again.
-    fn refence(
+    /// Raises the fencing number above `highest` and reads all ranks again; stands down if the revision
+    /// in force permits none.
+    fn raise_fence(
         &mut self,
         highest: Fence,
         reason: Reason,
         now: Monotonic,
         actions: &mut Vec<Action>,
     ) {
-        self.views.iter_mut().for_each(View::forget);
-        self.views.iter_mut().for_each(View::recount);
+        self.views.iter_mut().for_each(View::clear_reports);
+        self.views.iter_mut().for_each(View::reset_sequence);
         self.stamp.fence = highest;
         self.stamp.sequence = 0;
         if let Some(fence) = fence::next(self.revision, highest) {
             self.stamp.fence = fence;
-            self.enter(Phase::Reading(Round::Fence));
+            self.enter_phase(Phase::Reading(Round::Fence));
             self.log(Choice::Read, reason, now, actions);
         } else {
-            self.enter(Phase::StoodDown);
+            self.enter_phase(Phase::StoodDown);
             self.log(Choice::StandDown, reason, now, actions);
         }
     }
 
     /// Reads all ranks again under the same fencing number.
     fn reread(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
-        self.views.iter_mut().for_each(View::forget);
-        self.enter(Phase::Reading(Round::Fence));
+        self.views.iter_mut().for_each(View::clear_reports);
+        self.enter_phase(Phase::Reading(Round::Fence));
         self.log(Choice::Read, Reason::MemberRestarted, now, actions);
     }
 
-    fn report(&mut self, report: Report, now: Monotonic, actions: &mut Vec<Action>) {
+    fn apply_report(&mut self, report: Report, now: Monotonic, actions: &mut Vec<Action>) {
         let own = report.stamp.sender == self.stamp.sender;
         if !own || report.stamp.fence != self.stamp.fence || self.phase == Phase::StoodDown {
             return;
         }
         if let Some(Refusal::StaleFence(highest)) = report.refusal {
-            return self.refence(highest, Reason::Fenced, now, actions);
+            return self.raise_fence(highest, Reason::Fenced, now, actions);
         }
         let Some(view) = self.views.get_mut(report.member) else {
             return;
         };
         let round_trip = view.round_trip(now);
-        let known = view.incarnation;
-        if !view.take(&report, self.first, now) {
+        let known_incarnation = view.incarnation;
+        if !view.apply_report(&report, self.first_sequence, now) {
             return;
         }
-        if known.is_some_and(|known| known != report.incarnation) {
+        if known_incarnation
+            .is_some_and(|known_incarnation| known_incarnation != report.incarnation)
+        {
             return self.reread(now, actions);
         }
         if report.refusal.is_none() {
@@ -289,12 +295,12 @@
             return self.log(Choice::Refuse(generation), Reason::BadMap, now, actions);
         }
         let before = Arc::clone(before);
-        self.highest = generation;
+        self.highest_generation = generation;
         self.maps.insert(generation, Arc::clone(&map));
         self.estimate = Estimate::default();
         let deadline = now + self.settings.prepare_timeout;
         let phase = Preparing { map, deadline };
-        self.enter(Phase::Preparing(Change { before, phase }));
+        self.enter_phase(Phase::Preparing(Change { before, phase }));
         self.log(Choice::Prepare(generation), Reason::Asked, now, actions);
     }
 
@@ -305,12 +311,12 @@
             _ => return,
         };
         if now >= deadline {
-            self.back_out(Reason::Timeout, now, actions);
+            self.abort_unreleased(Reason::Timeout, now, actions);
         }
     }
 
-    /// Aborts the change under way, unless it is past its release.
-    fn back_out(&mut self, reason: Reason, now: Monotonic, actions: &mut Vec<Action>) {
+    /// Aborts the change under way, unless it is released.
+    fn abort_unreleased(&mut self, reason: Reason, now: Monotonic, actions: &mut Vec<Action>) {
         let change = match self.phase.clone() {
             Phase::Preparing(change) => change.abort(),
             Phase::Arming(change) => change.abort(),
@@ -326,8 +332,8 @@
         now: Monotonic,
         actions: &mut Vec<Action>,
     ) {
-        let back = change.before.generation;
-        self.enter(Phase::Aborting(change));
-        self.log(Choice::Abort(back), reason, now, actions);
+        let generation = change.before.generation;
+        self.enter_phase(Phase::Aborting(change));
+        self.log(Choice::Abort(generation), reason, now, actions);
     }
 }
--- a/crates/experts/src/coordinator/view.rs
+++ b/crates/experts/src/coordinator/view.rs
@@ -1,4 +1,4 @@
-//! What the coordinator knows of each member, and what follows from it.
+//! State of each member as reported to the coordinator, and its assessment.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,18 +15,19 @@
 use crate::order::Status;
 use crate::order::Switch;
 
-/// Most doublings of the time between retries.
+/// Maximum number of doublings of the retry interval.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// One member as its last report under this coordinator's fence shows it.
+/// State of one member, from its reports under the coordinator's fencing number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct View {
     pub(super) ranks: Vec<Rank>,
     pub(super) incarnation: Option<Incarnation>,
     pub(super) statuses: BTreeMap<Rank, Status>,
-    /// Reported since the phase began.
+    /// Whether a report on an order of the current phase has covered all ranks.
     pub(super) confirmed: bool,
-    answered: u64,
+    /// Highest sequence number of an order that was reported on.
+    last_sequence: u64,
     reported_at: Monotonic,
     sent_at: Option<Monotonic>,
     sent_command: &'static str,
@@ -41,25 +42,26 @@
         }
     }
 
-    /// Forgets what was sent, for a new phase.
-    pub(super) fn restart(&mut self) {
+    /// Resets what is tracked per phase: the confirmation and the retry state.
+    pub(super) fn begin_phase(&mut self) {
         self.confirmed = false;
         self.sent_at = None;
         self.attempts = 0;
     }
 
-    /// Forgets what was reported.
-    pub(super) fn forget(&mut self) {
-        self.restart();
+    /// Drops the reported statuses, and what is tracked per phase.
+    pub(super) fn clear_reports(&mut self) {
+        self.begin_phase();
         self.statuses.clear();
     }
 
-    /// Starts to count orders again, for a new fencing number.
-    pub(super) const fn recount(&mut self) {
-        self.answered = 0;
+    /// Resets the sequence number, as orders under a new fencing number are numbered from 1.
+    pub(super) const fn reset_sequence(&mut self) {
+        self.last_sequence = 0;
     }
 
-    /// Whether an order may be sent now: the first of its kind at once, a repetition later.
+    /// Returns whether `command` may be sent now: the first of its kind at once, a repetition once the
+    /// retry interval has passed.
     pub(super) fn is_due(&self, command: &Command, now: Monotonic, retry: Duration) -> bool {
         let Some(sent_at) = self.sent_at else {
             return true;
@@ -71,7 +73,7 @@
         now >= sent_at + retry * (1 << doublings)
     }
 
-    pub(super) fn sent(&mut self, command: &Command, now: Monotonic, backs_off: bool) {
+    pub(super) fn record_send(&mut self, command: &Command, now: Monotonic, backs_off: bool) {
         if self.sent_command != command.name() {
             self.attempts = 0;
         }
@@ -84,8 +86,8 @@
         };
     }
 
-    /// Lets the next order go at once.
-    pub(super) fn hasten(&mut self) {
+    /// Makes the next order due at once.
+    pub(super) fn reset_backoff(&mut self) {
         self.sent_at = None;
         self.attempts = 0;
     }
@@ -94,20 +96,27 @@
         now.saturating_sub(self.reported_at)
     }
 
-    /// Time from the last order to the report that came now.
+    /// Returns the time from the last order to a report that arrives now; `None` if nothing was sent in
+    /// this phase.
     pub(super) fn round_trip(&self, now: Monotonic) -> Option<Duration> {
         self.sent_at.map(|sent| now.saturating_sub(sent))
     }
 
-    /// Takes a report, unless one on a later order was taken before.
-    pub(super) fn take(&mut self, report: &Report, first: u64, now: Monotonic) -> bool {
-        if report.stamp.sequence <= self.answered {
+    /// Applies a report, unless a report on the same or a later order was applied before; returns
+    /// whether it did. `first_sequence` is the first sequence number of the phase.
+    pub(super) fn apply_report(
+        &mut self,
+        report: &Report,
+        first_sequence: u64,
+        now: Monotonic,
+    ) -> bool {
+        if report.stamp.sequence <= self.last_sequence {
             return false;
         }
-        self.answered = report.stamp.sequence;
+        self.last_sequence = report.stamp.sequence;
         self.incarnation = Some(report.incarnation);
         if report.refusal.is_some() {
-            self.hasten();
+            self.reset_backoff();
             return true;
         }
         self.reported_at = now;
@@ -115,40 +124,41 @@
             .ranks
             .iter()
             .all(|rank| report.ranks.contains_key(rank));
-        self.confirmed |= complete && report.stamp.sequence >= first;
+        self.confirmed |= complete && report.stamp.sequence >= first_sequence;
         self.statuses
             .extend(report.ranks.iter().map(|(&r, &s)| (r, s)));
         true
     }
 
-    pub(super) fn all(&self, holds: impl Fn(&Status) -> bool) -> bool {
-        self.statuses.len() == self.ranks.len() && self.statuses.values().all(holds)
+    pub(super) fn all(&self, predicate: impl Fn(&Status) -> bool) -> bool {
+        self.statuses.len() == self.ranks.len() && self.statuses.values().all(predicate)
     }
 }
 
-/// Proof that every rank was seen prepared.
+/// Proof that every rank has reported to be prepared.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AllPrepared(());
 
-/// Proof that every rank was seen armed for one switch.
+/// Proof that every rank has reported to be armed for the same switch.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AllArmed(());
 
-/// What all reports of a group together mean.
+/// State of a group that the reports of all its members show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
-    /// Some rank was released: all must be.
+pub(super) enum Assessment {
+    /// Some rank was released, so all must be.
     Release {
         /// Generation that the ranks not yet switched use.
         before: Generation,
-        /// The switch.
+        /// Switch that the rank was released for.
         switch: Switch,
     },
-    /// No rank was released, and some rank is in a change or has no weights.
+    /// No rank was released, and some rank is in a change or without weights. Holds the generation in
+    /// use, or `None` if no rank uses any.
     Abort(Option<Generation>),
     /// All ranks use this generation.
     Settled(Generation),
-    /// No change explains the reports.
+    /// The reported generations do not fit a single change.
     Inconsistent,
 }
 
@@ -168,7 +178,7 @@
     all.then_some(AllArmed(()))
 }
 
-pub(super) fn any_blank(views: &[View]) -> bool {
+pub(super) fn any_without_map(views: &[View]) -> bool {
     statuses(views).any(|status| status.current.is_none())
 }
 
@@ -176,22 +186,27 @@
     statuses(views).map(|status| status.step).max().unwrap_or(0)
 }
 
-/// Whether a rank has passed `switch` without it.
-pub(super) fn any_passed(views: &[View], switch: Switch) -> bool {
+/// Returns whether a rank has entered the switch step without being armed.
+pub(super) fn any_past_step(views: &[View], switch: Switch) -> bool {
     statuses(views).any(|status| {
         status.stage == Stage::Prepared(switch.generation) && status.step > switch.step
     })
 }
 
-/// Returns the highest generation that any rank knows of.
+/// Returns the highest generation that any rank uses or has in a change.
 pub(super) fn highest_generation(views: &[View]) -> Generation {
     statuses(views)
-        .map(|status| status.current.max(staged(status.stage)).unwrap_or(0))
+        .map(|status| {
+            status
+                .current
+                .max(change_generation(status.stage))
+                .unwrap_or(0)
+        })
         .max()
         .unwrap_or(0)
 }
 
-fn staged(stage: Stage) -> Option<Generation> {
+fn change_generation(stage: Stage) -> Option<Generation> {
     match stage {
         Stage::Steady => None,
         Stage::Loading(generation) | Stage::Prepared(generation) => Some(generation),
@@ -201,46 +216,46 @@
     }
 }
 
-/// Returns the switch that a rank was released for and may not have been followed in by all.
-fn released(status: &Status) -> Option<Switch> {
+/// Returns the switch that a rank was released for; other ranks may not have switched yet.
+fn released_switch(status: &Status) -> Option<Switch> {
     match status.stage {
         Stage::Released(switch) | Stage::Switched(switch) => Some(switch),
         _ => None,
     }
 }
 
-/// Judges a group of which every rank has reported.
-pub(super) fn judge(views: &[View]) -> Verdict {
+/// Assesses a group of which every rank has reported.
+pub(super) fn assess(views: &[View]) -> Assessment {
     let mut currents: Vec<Generation> = statuses(views).filter_map(|s| s.current).collect();
     currents.sort_unstable();
     currents.dedup();
     let switch = statuses(views)
-        .filter_map(released)
+        .filter_map(released_switch)
         .max_by_key(|s| s.generation);
-    let behind = currents.first().copied();
-    match (behind, switch) {
+    let lowest = currents.first().copied();
+    match (lowest, switch) {
         (Some(before), Some(switch)) if before != switch.generation => {
-            let explained = |&c: &Generation| c == before || c == switch.generation;
-            if currents.iter().all(explained) {
-                Verdict::Release { before, switch }
+            let is_expected = |&c: &Generation| c == before || c == switch.generation;
+            if currents.iter().all(is_expected) {
+                Assessment::Release { before, switch }
             } else {
-                Verdict::Inconsistent
+                Assessment::Inconsistent
             }
         }
-        _ if currents.len() > 1 => Verdict::Inconsistent,
-        _ => judge_unreleased(views, behind),
+        _ if currents.len() > 1 => Assessment::Inconsistent,
+        _ => assess_unreleased(views, lowest),
     }
 }
 
-fn judge_unreleased(views: &[View], current: Option<Generation>) -> Verdict {
+fn assess_unreleased(views: &[View], current: Option<Generation>) -> Assessment {
     let is_settled = |status: &Status| status.joined && is_steady(status);
     match current {
-        Some(generation) if statuses(views).all(is_settled) => Verdict::Settled(generation),
-        _ => Verdict::Abort(current),
+        Some(generation) if statuses(views).all(is_settled) => Assessment::Settled(generation),
+        _ => Assessment::Abort(current),
     }
 }
 
-/// Whether a rank is in no change.
+/// Returns whether a rank is in no change: none was begun, or it has switched.
 pub(super) fn is_steady(status: &Status) -> bool {
     matches!(status.stage, Stage::Steady | Stage::Switched(_))
 }
--- a/crates/experts/tests/all/main.rs
+++ b/crates/experts/tests/all/main.rs
@@ -1,7 +1,7 @@
-//! Tests of the change of map, one module a theme, in one binary.
+//! Tests of the change of map in one binary, one module per topic.
 
+mod bandwidth;
 mod explore;
-mod pace;
-mod planted;
+mod injected;
 mod random;
 mod world;
