--- a/crates/gateway/tests/all/fleet/world.rs
+++ b/crates/gateway/tests/all/fleet/world.rs
@@ -250,8 +250,8 @@
             }
             Message::Loan(loan) => {
                 gateway.receive_loan(&loan, peers(from), local);
-                let word = gateway.roster.own_heartbeat(Vec::new(), local);
-                self.send(number, peers(from), Message::Heartbeat(word), now);
+                let heartbeat = gateway.roster.own_heartbeat(Vec::new(), local);
+                self.send(number, peers(from), Message::Heartbeat(heartbeat), now);
             }
             Message::Ask(request) => {
                 let reply = gateway.reply(request, local);
--- a/crates/gateway/tests/all/neighbour.rs
+++ b/crates/gateway/tests/all/neighbour.rs
@@ -78,11 +78,11 @@
 fn a_gateway_that_leaves_is_offered_no_more_at_once() {
     let mut roster = roster();
     roster.receive(&heartbeat(entry("b", 1, 9, true), Vec::new()), millis(0));
-    let news = roster.receive(
+    let updates = roster.receive(
         &heartbeat(entry("b", 1, 10, false), Vec::new()),
         millis(100),
     );
-    assert_that!(news, len(eq(1)));
+    assert_that!(updates, len(eq(1)));
     assert_that!(offered(&roster, 100), eq(1));
 }
 
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -211,8 +211,8 @@
 fn handle_heartbeat(shared: &Shared, heartbeat: Heartbeat) {
     let now = shared.now();
     let mut gateway = shared.gateway();
-    for news in gateway.roster.receive(&heartbeat, now) {
-        log::info!(target: "neighbours", instance = &*news.instance, is_ready = news.is_ready; "heard");
+    for update in gateway.roster.receive(&heartbeat, now) {
+        log::info!(target: "neighbours", instance = &*update.instance, is_ready = update.is_ready; "heard");
     }
     let neighbour = stable(0, heartbeat.from.instance.as_bytes());
     gateway
