--- a/crates/sidecar/src/lead.rs
+++ b/crates/sidecar/src/leader.rs
@@ -31,41 +31,46 @@
 /// not yet in the last one.
 pub(crate) const DIGEST_PERIOD: Duration = Duration::from_millis(190);
 /// Time between two lines that tell how the group runs.
-const PULSE_PERIOD: Duration = Duration::from_secs(1);
+const STATS_PERIOD: Duration = Duration::from_secs(1);
 
 /// Sidecar of another rank.
-struct Seat {
+struct Peer {
     address: SocketAddr,
     failure_domain: FailureDomainId,
 }
 
 /// State of the sidecar that leads.
-pub(crate) struct Lead {
+pub(crate) struct Leader {
     group: String,
     service: Service,
     coordinator: Coordinator,
     /// Where each rank's sidecar was heard from.
-    seats: BTreeMap<Rank, Seat>,
+    peers: BTreeMap<Rank, Peer>,
     /// When each rank's engine started, in Unix milliseconds.
     born: BTreeMap<Rank, u64>,
-    told_at: Monotonic,
-    told_step: Step,
-    digested_at: Monotonic,
+    logged_at: Monotonic,
+    logged_step: Step,
+    digest_sent_at: Monotonic,
     was_open: bool,
 }
 
-impl Lead {
+impl Leader {
     /// Returns the lead of a group.
-    pub(crate) fn new(group: String, service: Service, started: Duration, now: Monotonic) -> Lead {
-        Lead {
+    pub(crate) fn new(
+        group: String,
+        service: Service,
+        started: Duration,
+        now: Monotonic,
+    ) -> Leader {
+        Leader {
             group,
             service,
             coordinator: Coordinator::new(service, started, now),
-            seats: BTreeMap::new(),
+            peers: BTreeMap::new(),
             born: BTreeMap::new(),
-            told_at: now,
-            told_step: 0,
-            digested_at: Monotonic::ZERO,
+            logged_at: now,
+            logged_step: 0,
+            digest_sent_at: Monotonic::ZERO,
             was_open: false,
         }
     }
@@ -81,13 +86,13 @@
     }
 
     fn addresses(&self) -> impl Iterator<Item = (Rank, SocketAddr)> {
-        let seats = self.seats.iter();
-        seats.map(|(rank, seat)| (*rank, seat.address))
+        let peers = self.peers.iter();
+        peers.map(|(rank, peer)| (*rank, peer.address))
     }
 
     /// Returns where a rank's sidecar was heard from.
     pub(crate) fn address(&self, rank: Rank) -> Option<SocketAddr> {
-        self.seats.get(&rank).map(|seat| seat.address)
+        self.peers.get(&rank).map(|peer| peer.address)
     }
 
     /// Returns whether all ranks were heard lately.
@@ -97,16 +102,16 @@
 
     /// Returns the other ranks that were heard.
     pub(crate) fn ranks(&self) -> impl Iterator<Item = Rank> {
-        self.seats.keys().copied()
+        self.peers.keys().copied()
     }
 
     /// Returns the sidecars of some ranks, those of a failure domain together, so that what they pass on to each other or
     /// collect mostly stays within it.
     pub(crate) fn sidecars(&self, ranks: impl IntoIterator<Item = Rank>) -> Vec<SocketAddr> {
-        let seats = ranks.into_iter().filter_map(|rank| self.seats.get(&rank));
-        let mut seats: Vec<&Seat> = seats.collect();
-        seats.sort_by(|one, other| one.failure_domain.cmp(&other.failure_domain));
-        seats.into_iter().map(|seat| seat.address).collect()
+        let peers = ranks.into_iter().filter_map(|rank| self.peers.get(&rank));
+        let mut peers: Vec<&Peer> = peers.collect();
+        peers.sort_by(|one, other| one.failure_domain.cmp(&other.failure_domain));
+        peers.into_iter().map(|peer| peer.address).collect()
     }
 
     /// Returns how many of the sidecars of so many ranks collect the counts of others.
@@ -139,11 +144,11 @@
         now: Monotonic,
     ) -> Option<Digest> {
         let is_open = self.coordinator.is_open();
-        let is_due = now.saturating_sub(self.digested_at) >= DIGEST_PERIOD;
+        let is_due = now.saturating_sub(self.digest_sent_at) >= DIGEST_PERIOD;
         if !is_due && is_open == self.was_open {
             return None;
         }
-        self.digested_at = now;
+        self.digest_sent_at = now;
         self.was_open = is_open;
         let sidecars: BTreeMap<Rank, SocketAddr> =
             self.addresses().chain([(LEADER, own)]).collect();
@@ -176,11 +181,11 @@
         }
         if let Some(address) = from {
             let failure_domain = show.failure_domain;
-            let seat = Seat {
+            let peer = Peer {
                 address,
                 failure_domain,
             };
-            self.seats.insert(show.sight.rank, seat);
+            self.peers.insert(show.sight.rank, peer);
         }
         let before = show
             .born
@@ -193,16 +198,16 @@
     }
 
     /// Tells how the group runs, once a while.
-    pub(crate) fn tell_pulse(&mut self, now: Monotonic) {
-        let since = now.saturating_sub(self.told_at);
-        if since < PULSE_PERIOD {
+    pub(crate) fn log_stats(&mut self, now: Monotonic) {
+        let since = now.saturating_sub(self.logged_at);
+        if since < STATS_PERIOD {
             return;
         }
         let pulse = self.coordinator.pulse();
-        let passes = pulse.step.saturating_sub(self.told_step);
+        let passes = pulse.step.saturating_sub(self.logged_step);
         let pass = since.checked_div(u32::try_from(passes).unwrap_or(0));
-        self.told_at = now;
-        self.told_step = pulse.step;
+        self.logged_at = now;
+        self.logged_step = pulse.step;
         log::info!(
             target: "experts",
             group = self.group.as_str(),
@@ -225,13 +230,13 @@
     pub(crate) fn tick(&mut self, now: Monotonic) -> Vec<Send> {
         let sends = self.coordinator.tick(now);
         for note in self.coordinator.notes() {
-            log_note(&self.group, &note);
+            log_event(&self.group, &note);
         }
         sends
     }
 }
 
-fn log_note(group: &str, note: &Note) {
+fn log_event(group: &str, note: &Note) {
     match note {
         Note::Begun(version, plan) => log::info!(
             target: "experts",
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -6,7 +6,7 @@
 //! [`Engine`].
 
 mod engine;
-mod lead;
+mod leader;
 pub mod order;
 mod run;
 mod settings;
--- a/crates/sidecar/src/order.rs
+++ b/crates/sidecar/src/order.rs
@@ -16,20 +16,20 @@
 
 /// Longest wait for the answer to one order. The engine is on this instance and answers within 5 ms; a
 /// wait as long as for a report (150 ms and more) held groups for a quarter of a second at each loss.
-pub const PATIENCE: Duration = Duration::from_millis(40);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 /// Times that an order without answer is given: where one in three gets lost, one in eighty does then.
-pub const TRIES: usize = 4;
+pub const MAX_ATTEMPTS: usize = 4;
 
 /// Gives an order until it is answered; returns the answer, or none if all were lost.
-pub async fn give<E: Engine>(
+pub async fn send_order<E: Engine>(
     engine: &E,
     epoch: Epoch,
     order: Order,
     layout: Option<&Layout>,
 ) -> Option<Reply> {
-    for _ in 0..TRIES {
-        let asked = engine.order(epoch, order, layout);
-        let reply = timeout(PATIENCE, asked).await;
+    for _ in 0..MAX_ATTEMPTS {
+        let answer = engine.order(epoch, order, layout);
+        let reply = timeout(ANSWER_TIMEOUT, answer).await;
         let reply = reply.unwrap_or(Err(Failure::Lost));
         log::info!(target: "engine", epoch, order:?, reply:?; "order");
         let outcome = if reply.is_ok() {
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -1,8 +1,8 @@
 //! One sidecar: reads its rank, and leads or follows.
 
 mod following;
-mod hearing;
 mod leading;
+mod receiving;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,30 +28,30 @@
 use crate::engine::Counts;
 use crate::engine::Engine;
 use crate::engine::Report;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::settings::Settings;
 use crate::sidecar::following::State;
 
 /// Time between two looks at the rank: a change of demand is seen within two to three of them, and each
 /// costs about half a millisecond of the instance's processor.
-const PERIOD: Duration = Duration::from_millis(100);
+const POLL_PERIOD: Duration = Duration::from_millis(100);
 /// Least time between two readings of the counts; a little less than between two looks.
 pub(crate) const COUNT_PERIOD: Duration = Duration::from_millis(90);
 /// Time after which a rank is shown though nothing about it changed; a little less than between two looks.
-const SHOW_PERIOD: Duration = Duration::from_millis(180);
+const REPORT_PERIOD: Duration = Duration::from_millis(180);
 /// Time between two looks while an order awaits its effect.
-const QUICK_PERIOD: Duration = Duration::from_millis(40);
+const FAST_POLL_PERIOD: Duration = Duration::from_millis(40);
 /// Time for which looks stay quick after an order to switch, hold or release: its effect shows at once.
-const QUICK: Duration = Duration::from_millis(200);
+const FAST_POLL_TIME: Duration = Duration::from_millis(200);
 /// Time for which looks stay quick after an order to prepare: a plan copies for 0.3 s at most, and the group
 /// waits for its last rank to be seen ready.
-const QUICK_COPY: Duration = Duration::from_millis(700);
+const FAST_POLL_TIME_PREPARE: Duration = Duration::from_millis(700);
 /// Largest datagram.
-const MAX_BYTES: usize = 60 << 10;
+const MAX_DATAGRAM_BYTES: usize = 60 << 10;
 
 /// The sidecar that leads, as it told.
 #[derive(Clone, Copy, Debug)]
-struct Leader {
+struct KnownLeader {
     address: SocketAddr,
     heard: Monotonic,
     wants_layout: bool,
@@ -67,27 +67,27 @@
     clock: Clock,
     /// Time of day at the clock's start.
     started: Duration,
-    lead: Option<Lead>,
+    leader: Option<Leader>,
     members: Option<Members>,
     asking: Asking,
-    leader: Option<Leader>,
+    known_leader: Option<KnownLeader>,
     counts: Counts,
-    counted: Option<Monotonic>,
+    counted_at: Option<Monotonic>,
     /// Counts of other ranks that are to go on with the own ones.
     tally: Tally,
     /// When the rank was looked at last.
-    looked: Monotonic,
+    polled_at: Monotonic,
     /// Until when looks are quick.
-    quick_until: Monotonic,
+    fast_poll_until: Monotonic,
     /// What was told last of the own rank, and when.
-    shown: Option<(State, Monotonic)>,
+    last_report: Option<(State, Monotonic)>,
     /// When the others were told who leads.
-    announced: Monotonic,
+    heartbeat_sent_at: Monotonic,
     deputy: Deputy,
     /// Maps that orders to prepare brought: the one in force, and the next.
     layouts: Vec<(Version, Layout)>,
     /// Who gave the order after which the rank is looked at.
-    asked_by: Option<SocketAddr>,
+    report_to: Option<SocketAddr>,
     /// Gateways whose turn it is to be told of the group.
     turn: Turn,
     is_reachable: bool,
@@ -108,20 +108,20 @@
             started: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default(),
-            lead: None,
+            leader: None,
             members: None,
             asking: Asking::default(),
-            leader: None,
+            known_leader: None,
             counts: Counts::default(),
-            counted: None,
+            counted_at: None,
             tally: Tally::default(),
-            looked: Monotonic::ZERO,
-            quick_until: Monotonic::ZERO,
-            shown: None,
-            announced: Monotonic::ZERO,
+            polled_at: Monotonic::ZERO,
+            fast_poll_until: Monotonic::ZERO,
+            last_report: None,
+            heartbeat_sent_at: Monotonic::ZERO,
             deputy: Deputy::default(),
             layouts: Vec::new(),
-            asked_by: None,
+            report_to: None,
             turn: Turn::default(),
             is_reachable: true,
             group: None,
@@ -132,16 +132,16 @@
 
     /// Runs until the process ends.
     pub(crate) async fn run(mut self) {
-        let mut bytes = vec![0; MAX_BYTES];
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            let pause = self.pause();
+            let wait = self.time_to_poll();
             tokio::select! {
-                () = sleep(pause) => self.look().await,
+                () = sleep(wait) => self.poll().await,
                 received = self.socket.recv_from(&mut bytes) => match received {
                     Ok((length, from)) => {
-                        self.hear(&bytes[..length], from).await;
-                        self.drain(&mut bytes).await;
-                        self.step().await;
+                        self.receive(&bytes[..length], from).await;
+                        self.receive_queued(&mut bytes).await;
+                        self.send_orders().await;
                     }
                     Err(error) => {
                         let cause = error.to_string();
@@ -153,31 +153,31 @@
     }
 
     /// Returns the time until the next look.
-    fn pause(&self) -> Duration {
+    fn time_to_poll(&self) -> Duration {
         let now = self.clock.now();
-        let period = if now < self.quick_until {
-            QUICK_PERIOD
+        let period = if now < self.fast_poll_until {
+            FAST_POLL_PERIOD
         } else {
-            PERIOD
+            POLL_PERIOD
         };
-        (self.looked + period).saturating_sub(now)
+        (self.polled_at + period).saturating_sub(now)
     }
 
     /// Looks at the rank, and leads or shows it.
-    async fn look(&mut self) {
-        self.looked = self.clock.now();
+    async fn poll(&mut self) {
+        self.polled_at = self.clock.now();
         let report = match self.engine.report().await {
             Ok(report) => report,
-            Err(failure) => return self.lost(&failure.to_string()),
+            Err(failure) => return self.set_unreachable(&failure.to_string()),
         };
         if !self.is_reachable {
             self.is_reachable = true;
             log::info!(target: "engine", epoch = report.sight.epoch; "regained");
         }
-        self.note_epoch(&report);
-        self.note_start(report.born);
-        let choices = self.choices().await;
-        let held = self.held().await;
+        self.update_epoch(&report);
+        self.update_start(report.born);
+        let choices = self.read_activations().await;
+        let held = self.read_held().await;
         let show = Show {
             born: report.born,
             group: report.group,
@@ -189,19 +189,19 @@
         if show.sight.rank == LEADER {
             self.lead(show).await;
         } else {
-            self.lead = None;
-            self.show(show).await;
+            self.leader = None;
+            self.report(show).await;
         }
     }
 
-    fn lost(&mut self, cause: &str) {
+    fn set_unreachable(&mut self, cause: &str) {
         if self.is_reachable {
             self.is_reachable = false;
             log::warn!(target: "engine", cause; "lost");
         }
     }
 
-    fn note_epoch(&mut self, report: &Report) {
+    fn update_epoch(&mut self, report: &Report) {
         let sight = &report.sight;
         if self.epoch != Some(sight.epoch) {
             self.epoch = Some(sight.epoch);
@@ -212,7 +212,7 @@
     }
 
     /// Takes when the rank started; one that started anew counts from nothing.
-    fn note_start(&mut self, born: Option<u64>) {
+    fn update_start(&mut self, born: Option<u64>) {
         if self
             .born
             .zip(born)
@@ -225,10 +225,10 @@
     }
 
     /// Returns the choices since the last look, at the slow pace.
-    async fn choices(&mut self) -> Vec<u32> {
+    async fn read_activations(&mut self) -> Vec<u32> {
         let now = self.clock.now();
         let is_due = self
-            .counted
+            .counted_at
             .is_none_or(|at| now.saturating_sub(at) >= COUNT_PERIOD);
         if !is_due {
             return Vec::new();
@@ -241,7 +241,7 @@
                 return Vec::new();
             }
         };
-        self.counted = Some(now);
+        self.counted_at = Some(now);
         let before = std::mem::replace(&mut self.counts, counts);
         let mut choices = self.counts.since(&before);
         self.tally.add_to(&mut choices, self.epoch);
@@ -253,12 +253,12 @@
     }
 
     /// Returns the experts that the rank holds, if they were asked for.
-    async fn held(&self) -> Option<Vec<Vec<u16>>> {
-        let is_asked = match &self.lead {
-            Some(lead) => lead.wants_layout(),
-            None => self.leader.is_some_and(|leader| leader.wants_layout),
+    async fn read_held(&self) -> Option<Vec<Vec<u16>>> {
+        let is_wanted = match &self.leader {
+            Some(leader) => leader.wants_layout(),
+            None => self.known_leader.is_some_and(|leader| leader.wants_layout),
         };
-        if !is_asked {
+        if !is_wanted {
             return None;
         }
         let held = self.engine.held().await;
@@ -270,11 +270,11 @@
     }
 
     /// Looks at the rank often until an order's effect must have shown.
-    fn hasten(&mut self, order: Order) {
+    fn poll_fast_after(&mut self, order: Order) {
         let time = match order {
-            Order::Prepare(_) => QUICK_COPY,
-            Order::Hold(_) | Order::Arm(_) | Order::Release(_) => QUICK,
+            Order::Prepare(_) => FAST_POLL_TIME_PREPARE,
+            Order::Hold(_) | Order::Arm(_) | Order::Release(_) => FAST_POLL_TIME,
         };
-        self.quick_until = self.quick_until.max(self.clock.now() + time);
+        self.fast_poll_until = self.fast_poll_until.max(self.clock.now() + time);
     }
 }
--- a/crates/sidecar/src/sidecar/following.rs
+++ b/crates/sidecar/src/sidecar/following.rs
@@ -19,17 +19,17 @@
 use auburnline_lockstep::sight::Switch;
 use auburnline_lockstep::sight::Version;
 
-use super::Leader;
-use super::SHOW_PERIOD;
+use super::KnownLeader;
+use super::REPORT_PERIOD;
 use super::Sidecar;
 use crate::engine::Engine;
-use crate::order::give;
+use crate::order::send_order;
 
 /// Time for which the deputy's looks stay quick after a hold was pledged: until it is over, or its lead is silent for
 /// long enough.
-pub(super) const QUICK_PLEDGE: Duration = Duration::from_millis(600);
+pub(super) const FAST_POLL_TIME_HOLD: Duration = Duration::from_millis(600);
 /// Age at which the word of the one that leads is forgotten.
-const LEAD_AGE: Duration = Duration::from_secs(3);
+const LEADER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What a change waits for at one rank; between two slow looks a word is sent only when it differs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,30 +54,30 @@
 }
 
 impl<E: Engine> Sidecar<E> {
-    pub(super) async fn show(&mut self, mut show: Show) {
+    pub(super) async fn report(&mut self, mut show: Show) {
         let now = self.clock.now();
-        let is_fresh = |leader: &Leader| now.saturating_sub(leader.heard) < LEAD_AGE;
-        self.see_through(&show.sight, now).await;
-        let leader = self.leader.filter(is_fresh);
-        let Some(address) = self.asked_by.or(leader.map(|leader| leader.address)) else {
+        let is_fresh = |leader: &KnownLeader| now.saturating_sub(leader.heard) < LEADER_TIMEOUT;
+        self.act_as_standby(&show.sight, now).await;
+        let leader = self.known_leader.filter(is_fresh);
+        let Some(address) = self.report_to.or(leader.map(|leader| leader.address)) else {
             return;
         };
         if let Some(collector) = leader.and_then(|leader| leader.collector) {
-            self.give_counts(&mut show, collector).await;
+            self.send_counts(&mut show, collector).await;
         }
         let state = State::of(&show.sight);
-        let is_told = self.shown.is_some_and(|(shown, at)| {
-            shown == state && now.saturating_sub(at) < SHOW_PERIOD && show.held.is_none()
+        let is_reported = self.last_report.is_some_and(|(reported, at)| {
+            reported == state && now.saturating_sub(at) < REPORT_PERIOD && show.held.is_none()
         });
-        if is_told && show.choices.is_empty() {
+        if is_reported && show.choices.is_empty() {
             return;
         }
-        self.shown = Some((state, now));
-        self.tell(&Message::Show(show), address).await;
+        self.last_report = Some((state, now));
+        self.send(&Message::Show(show), address).await;
     }
 
     /// Gives the counts of the own rank to the sidecar that collects them.
-    async fn give_counts(&self, show: &mut Show, collector: SocketAddr) {
+    async fn send_counts(&self, show: &mut Show, collector: SocketAddr) {
         let choices = std::mem::take(&mut show.choices);
         if choices.is_empty() || collector == self.settings.peers {
             show.choices = choices;
@@ -88,21 +88,21 @@
             epoch: show.sight.epoch,
             choices,
         };
-        self.tell(&Message::Counts(counts), collector).await;
+        self.send(&Message::Counts(counts), collector).await;
     }
 
     /// As the deputy, ends a hold whose lead fell silent, or takes the change forward if ranks may be armed.
-    async fn see_through(&mut self, own: &Sight, now: Monotonic) {
+    async fn act_as_standby(&mut self, own: &Sight, now: Monotonic) {
         self.deputy.see(own);
         let Some(pledge) = self.deputy.due(own, now).cloned() else {
             return;
         };
-        self.quick_until = now + QUICK_PLEDGE;
+        self.fast_poll_until = now + FAST_POLL_TIME_HOLD;
         let group = pledge.group.as_str();
         let epoch = pledge.epoch;
         if let Some(step) = self.deputy.end(own) {
             log::info!(target: "experts", group, epoch, step; "hold ended, its lead is silent");
-            give(&self.engine, epoch, Order::Release(step), None).await;
+            send_order(&self.engine, epoch, Order::Release(step), None).await;
             return;
         }
         let orders = self.deputy.orders(own);
@@ -112,7 +112,7 @@
         }
         for (rank, order) in orders {
             if rank == own.rank {
-                give(&self.engine, epoch, order, None).await;
+                send_order(&self.engine, epoch, order, None).await;
             } else if let Some((_, address)) = pledge.sidecars.iter().find(|(of, _)| *of == rank) {
                 let command = Command {
                     group: pledge.group.clone(),
@@ -121,14 +121,18 @@
                     layout: None,
                     reports_to: None,
                 };
-                self.tell(&Message::Command(command), *address).await;
+                self.send(&Message::Command(command), *address).await;
             }
         }
     }
 
     /// Returns the layout that comes with an order, and keeps it; the version that it builds on if that is not
     /// known here.
-    fn unpack(&mut self, order: Order, parcel: Option<Parcel>) -> Result<Option<Layout>, Version> {
+    fn resolve_layout(
+        &mut self,
+        order: Order,
+        parcel: Option<Parcel>,
+    ) -> Result<Option<Layout>, Version> {
         let (Order::Prepare(version), Some(parcel)) = (order, parcel) else {
             return Ok(None);
         };
@@ -147,7 +151,7 @@
     }
 
     /// Passes an order of the one that leads or its deputy on, and shows what came of it.
-    pub(super) async fn follow(&mut self, command: Command, from: SocketAddr) {
+    pub(super) async fn execute(&mut self, command: Command, from: SocketAddr) {
         let reports_to = command.reports_to.unwrap_or(from);
         let is_ours = self.group.as_ref() == Some(&command.group);
         if !is_ours || self.epoch != Some(command.epoch) {
@@ -158,7 +162,7 @@
         {
             log::info!(target: "experts", group = command.group.as_str(), epoch = command.epoch, step = switch.step; "not armed, the hold was ended");
             // The order that ended it may have been lost, and the lead that lives again waits for this rank.
-            give(
+            send_order(
                 &self.engine,
                 command.epoch,
                 Order::Release(switch.step),
@@ -167,7 +171,7 @@
             .await;
             return;
         }
-        let layout = match self.unpack(command.order, command.layout) {
+        let layout = match self.resolve_layout(command.order, command.layout) {
             Ok(layout) => layout,
             Err(base) => {
                 // The lead sends all of it once it sees that nothing is copied here.
@@ -175,11 +179,11 @@
                 return;
             }
         };
-        give(&self.engine, command.epoch, command.order, layout.as_ref()).await;
-        self.hasten(command.order);
-        self.shown = None;
-        self.asked_by = Some(reports_to);
-        self.look().await;
-        self.asked_by = None;
+        send_order(&self.engine, command.epoch, command.order, layout.as_ref()).await;
+        self.poll_fast_after(command.order);
+        self.last_report = None;
+        self.report_to = Some(reports_to);
+        self.poll().await;
+        self.report_to = None;
     }
 }
--- a/crates/sidecar/src/sidecar/leading.rs
+++ b/crates/sidecar/src/sidecar/leading.rs
@@ -16,7 +16,7 @@
 use auburnline_lockstep::message::Digest;
 use auburnline_lockstep::message::Forward;
 use auburnline_lockstep::message::Forwarded;
-use auburnline_lockstep::message::Lead as LeadWord;
+use auburnline_lockstep::message::Lead as Heartbeat;
 use auburnline_lockstep::message::Message;
 use auburnline_lockstep::message::Show;
 use auburnline_lockstep::told::Send;
@@ -24,12 +24,12 @@
 use auburnline_lockstep::traffic::hops;
 use auburnline_lockstep::traffic::parts;
 
-use super::SHOW_PERIOD;
+use super::REPORT_PERIOD;
 use super::Sidecar;
 use crate::engine::Engine;
-use crate::lead::DIGEST_PERIOD;
-use crate::lead::Lead;
-use crate::order::give;
+use crate::leader::DIGEST_PERIOD;
+use crate::leader::Leader;
+use crate::order::send_order;
 
 /// Bytes that a word to gateways takes for each engine.
 const ENGINE_BYTES: usize = 11;
@@ -37,7 +37,7 @@
 impl<E: Engine> Sidecar<E> {
     pub(super) async fn lead(&mut self, show: Show) {
         let now = self.clock.now();
-        self.ask(now).await;
+        self.query_members(now).await;
         let members = self.members.as_ref();
         let published = members.and_then(|members| members.shape.zip(members.cost));
         let Some((shape, cost)) = published else {
@@ -46,27 +46,27 @@
         let link = Link::of_mbps(self.settings.link_mbps);
         let service = Service { shape, cost, link };
         let started = self.started;
-        let lead = self
-            .lead
-            .get_or_insert_with(|| Lead::new(show.group.clone(), service, started, now));
-        let word = LeadWord {
+        let leader = self
+            .leader
+            .get_or_insert_with(|| Leader::new(show.group.clone(), service, started, now));
+        let heartbeat = Heartbeat {
             group: show.group.clone(),
             epoch: show.sight.epoch,
-            wants_layout: lead.wants_layout(),
+            wants_layout: leader.wants_layout(),
             collector: None,
         };
-        lead.see(show, None, now);
-        lead.tell_pulse(now);
+        leader.see(show, None, now);
+        leader.log_stats(now);
         let members = self.members.as_ref();
         let own = self.settings.peers;
-        let digest = members.and_then(|members| lead.digest(members, own, now));
-        self.announce(&word, now).await;
-        self.tell_gateways(digest).await;
-        self.step().await;
+        let digest = members.and_then(|members| leader.digest(members, own, now));
+        self.send_heartbeats(&heartbeat, now).await;
+        self.send_digest(digest).await;
+        self.send_orders().await;
     }
 
     /// Asks a gateway who serves the service.
-    async fn ask(&mut self, now: Monotonic) {
+    async fn query_members(&mut self, now: Monotonic) {
         if !self.asking.is_due(now) {
             return;
         }
@@ -74,37 +74,37 @@
             service: self.settings.service.clone(),
         });
         for gateway in self.settings.gateways.clone() {
-            self.tell(&ask, gateway).await;
+            self.send(&ask, gateway).await;
         }
     }
 
     /// Tells the other sidecars who leads, and who collects their counts. Until all ranks were heard, nobody knows which other
     /// sidecars of the service belong to the group.
-    async fn announce(&mut self, word: &LeadWord, now: Monotonic) {
-        if now.saturating_sub(self.announced) < SHOW_PERIOD {
+    async fn send_heartbeats(&mut self, heartbeat: &Heartbeat, now: Monotonic) {
+        if now.saturating_sub(self.heartbeat_sent_at) < REPORT_PERIOD {
             return;
         }
-        self.announced = now;
-        let (Some(lead), Some(members)) = (&self.lead, &self.members) else {
+        self.heartbeat_sent_at = now;
+        let (Some(leader), Some(members)) = (&self.leader, &self.members) else {
             return;
         };
-        let known = lead.sidecars(lead.ranks());
+        let known = leader.sidecars(leader.ranks());
         let port = self.settings.peers.port();
         let all = members.upstreams.iter();
         let all = all.map(|upstream| SocketAddr::new(upstream.ip(), port));
-        let is_searching = !lead.is_in_reach(now);
+        let is_searching = !leader.is_in_reach(now);
         let unknown = all.filter(|address| is_searching && *address != self.settings.peers);
-        for receiver in receivers(&known, lead.collectors(known.len()), unknown) {
-            let message = Message::Lead(LeadWord {
+        for receiver in receivers(&known, leader.collectors(known.len()), unknown) {
+            let message = Message::Lead(Heartbeat {
                 collector: receiver.collector,
-                ..word.clone()
+                ..heartbeat.clone()
             });
-            self.tell(&message, receiver.address).await;
+            self.send(&message, receiver.address).await;
         }
     }
 
     /// Tells gateways of the group: all, or so many as the link bears, in turn, which pass it on to the others.
-    async fn tell_gateways(&mut self, digest: Option<Digest>) {
+    async fn send_digest(&mut self, digest: Option<Digest>) {
         let (Some(digest), Some(members)) = (digest, &self.members) else {
             return;
         };
@@ -124,52 +124,55 @@
                     digest: digest.clone(),
                 })
             };
-            self.tell(&message, *first).await;
+            self.send(&message, *first).await;
         }
     }
 
     /// Gives the orders that are due.
-    pub(super) async fn step(&mut self) {
+    pub(super) async fn send_orders(&mut self) {
         let now = self.clock.now();
-        let Some(lead) = &mut self.lead else {
+        let Some(leader) = &mut self.leader else {
             return;
         };
-        let sends = lead.tick(now);
-        let pledge = lead.pledge(&sends, self.settings.peers);
-        let pledge = pledge.zip(lead.address(DEPUTY));
-        self.tell_deputy(pledge.as_ref()).await;
+        let sends = leader.tick(now);
+        let pledge = leader.pledge(&sends, self.settings.peers);
+        let pledge = pledge.zip(leader.address(DEPUTY));
+        self.notify_standby(pledge.as_ref()).await;
         // Others first: an answer of the own engine that is lost would hold their orders up.
         let (own, others): (Vec<_>, Vec<_>) =
             sends.into_iter().partition(|send| send.rank == LEADER);
         let (differences, others): (Vec<_>, Vec<_>) =
             others.into_iter().partition(|send| send.base.is_some());
-        self.spread(differences).await;
+        self.send_forwarded(differences).await;
         for send in others {
-            self.hasten(send.order);
+            self.poll_fast_after(send.order);
             match send.order {
-                Order::Hold(_) | Order::Release(_) => self.reach(send).await,
-                Order::Prepare(_) | Order::Arm(_) => self.pass_on(send).await,
+                Order::Hold(_) | Order::Release(_) => self.send_to_engine(send).await,
+                Order::Prepare(_) | Order::Arm(_) => self.send_to_sidecar(send).await,
             }
         }
         for send in own {
-            self.hasten(send.order);
+            self.poll_fast_after(send.order);
             let layout = send.layout.as_deref();
-            give(&self.engine, send.epoch, send.order, layout).await;
+            send_order(&self.engine, send.epoch, send.order, layout).await;
         }
         // Once more: the rank that holds is looked at at once, and the word may have been lost.
-        self.tell_deputy(pledge.as_ref()).await;
+        self.notify_standby(pledge.as_ref()).await;
     }
 
-    async fn tell_deputy(&self, pledge: Option<&(Pledge, SocketAddr)>) {
+    async fn notify_standby(&self, pledge: Option<&(Pledge, SocketAddr)>) {
         if let Some((pledge, deputy)) = pledge {
-            self.tell(&Message::Pledge(pledge.clone()), *deputy).await;
+            self.send(&Message::Pledge(pledge.clone()), *deputy).await;
         }
     }
 
     /// Gives an order to another rank's engine without its sidecar: if the instance that gave a hold freezes, the one
     /// beside which the group is held lives on.
-    async fn reach(&self, send: Send) {
-        let instance = self.lead.as_ref().and_then(|lead| lead.address(send.rank));
+    async fn send_to_engine(&self, send: Send) {
+        let instance = self
+            .leader
+            .as_ref()
+            .and_then(|leader| leader.address(send.rank));
         let members = self.members.as_ref();
         let engine = instance.zip(members).and_then(|(instance, members)| {
             let mut engines = members.upstreams.iter();
@@ -180,20 +183,20 @@
             return;
         };
         let engine = self.engine.at(*engine);
-        give(&engine, send.epoch, send.order, None).await;
+        send_order(&engine, send.epoch, send.order, None).await;
     }
 
     /// Gives one order to prepare what differs to all its ranks: to some of them, which pass it on to others.
-    async fn spread(&mut self, sends: Vec<Send>) {
-        let (Some(lead), Some(send)) = (&self.lead, sends.first()) else {
+    async fn send_forwarded(&mut self, sends: Vec<Send>) {
+        let (Some(leader), Some(send)) = (&self.leader, sends.first()) else {
             return;
         };
         let command = Command {
             reports_to: Some(self.settings.peers),
-            ..command(lead, send)
+            ..command(leader, send)
         };
-        let sidecars = lead.sidecars(sends.iter().map(|send| send.rank));
-        self.hasten(send.order);
+        let sidecars = leader.sidecars(sends.iter().map(|send| send.rank));
+        self.poll_fast_after(send.order);
         for part in parts(&sidecars, hops(sidecars.len())) {
             let Some((first, others)) = part.split_first() else {
                 continue;
@@ -202,25 +205,25 @@
                 to: others.to_vec(),
                 command: command.clone(),
             });
-            self.tell(&message, *first).await;
+            self.send(&message, *first).await;
         }
     }
 
-    async fn pass_on(&self, send: Send) {
-        let Some(lead) = &self.lead else {
+    async fn send_to_sidecar(&self, send: Send) {
+        let Some(leader) = &self.leader else {
             return;
         };
-        let Some(address) = lead.address(send.rank) else {
+        let Some(address) = leader.address(send.rank) else {
             return;
         };
-        let message = Message::Command(command(lead, &send));
-        self.tell(&message, address).await;
+        let message = Message::Command(command(leader, &send));
+        self.send(&message, address).await;
     }
 }
 
-fn command(lead: &Lead, send: &Send) -> Command {
+fn command(leader: &Leader, send: &Send) -> Command {
     Command {
-        group: lead.group().to_owned(),
+        group: leader.group().to_owned(),
         epoch: send.epoch,
         order: send.order,
         layout: send.parcel(),
--- a/crates/sidecar/src/sidecar/hearing.rs
+++ b/crates/sidecar/src/sidecar/receiving.rs
@@ -6,26 +6,26 @@
 use auburnline_lockstep::traffic::MOST_PASSED_ON;
 use serde::Serialize;
 
-use super::Leader;
+use super::KnownLeader;
 use super::Sidecar;
-use super::following::QUICK_PLEDGE;
+use super::following::FAST_POLL_TIME_HOLD;
 use crate::engine::Engine;
 
 /// Words that are taken before the next decision: one of each rank of a large group, so that looks are not held up for long.
-const MOST_AT_ONCE: usize = 64;
+const MAX_BATCH: usize = 64;
 impl<E: Engine> Sidecar<E> {
     /// Takes what else has come, so that the lead decides once for all of it: the ranks of a large group tell of themselves
     /// some hundred times a second.
-    pub(super) async fn drain(&mut self, bytes: &mut [u8]) {
-        for _ in 0..MOST_AT_ONCE {
+    pub(super) async fn receive_queued(&mut self, bytes: &mut [u8]) {
+        for _ in 0..MAX_BATCH {
             let Ok((length, from)) = self.socket.try_recv_from(bytes) else {
                 return;
             };
-            self.hear(&bytes[..length], from).await;
+            self.receive(&bytes[..length], from).await;
         }
     }
 
-    pub(super) async fn hear(&mut self, bytes: &[u8], from: SocketAddr) {
+    pub(super) async fn receive(&mut self, bytes: &[u8], from: SocketAddr) {
         let message: Message = match postcard::from_bytes(bytes) {
             Ok(message) => message,
             Err(error) => {
@@ -45,20 +45,20 @@
                     self.members = Some(members);
                 }
             }
-            Message::Lead(word) => {
-                if self.group.as_ref() == Some(&word.group) {
+            Message::Lead(heartbeat) => {
+                if self.group.as_ref() == Some(&heartbeat.group) {
                     self.deputy.heard(now);
-                    self.leader = Some(Leader {
+                    self.known_leader = Some(KnownLeader {
                         address: from,
                         heard: now,
-                        wants_layout: word.wants_layout,
-                        collector: word.collector,
+                        wants_layout: heartbeat.wants_layout,
+                        collector: heartbeat.collector,
                     });
                 }
             }
             Message::Show(show) => {
-                if let Some(lead) = &mut self.lead {
-                    lead.see(show, Some(from), now);
+                if let Some(leader) = &mut self.leader {
+                    leader.see(show, Some(from), now);
                 } else if self.group.as_ref() == Some(&show.group) {
                     self.deputy.see(&show.sight);
                 }
@@ -68,29 +68,29 @@
                     self.tally.take(counts.epoch, &counts.choices);
                 }
             }
-            Message::Command(command) => self.follow(command, from).await,
+            Message::Command(command) => self.execute(command, from).await,
             Message::Forward(forward) => {
                 let message = Message::Command(forward.command);
                 for address in forward.to.into_iter().take(MOST_PASSED_ON) {
-                    self.tell(&message, address).await;
+                    self.send(&message, address).await;
                 }
                 if let Message::Command(command) = message {
-                    self.follow(command, from).await;
+                    self.execute(command, from).await;
                 }
             }
             Message::Pledge(pledge) => {
                 if self.group.as_ref() == Some(&pledge.group) {
                     let is_known = self.deputy.pledge(pledge, now);
-                    self.quick_until = self.quick_until.max(now + QUICK_PLEDGE);
+                    self.fast_poll_until = self.fast_poll_until.max(now + FAST_POLL_TIME_HOLD);
                     if is_known {
-                        self.look().await;
+                        self.poll().await;
                     }
                 }
             }
         }
     }
 
-    pub(super) async fn tell(&self, message: &impl Serialize, to: SocketAddr) {
+    pub(super) async fn send(&self, message: &impl Serialize, to: SocketAddr) {
         let Ok(bytes) = postcard::to_stdvec(message) else {
             log::error!(target: "sidecar", "a message can't be written");
             return;
--- a/crates/sidecar/tests/all/order.rs
+++ b/crates/sidecar/tests/all/order.rs
@@ -17,8 +17,8 @@
 use auburnline_sidecar::Engine;
 use auburnline_sidecar::Reply;
 use auburnline_sidecar::Report;
-use auburnline_sidecar::order::TRIES;
-use auburnline_sidecar::order::give;
+use auburnline_sidecar::order::MAX_ATTEMPTS;
+use auburnline_sidecar::order::send_order;
 use googletest::prelude::*;
 use tokio::time::Instant;
 
@@ -70,7 +70,7 @@
 async fn play(lost: usize) -> (Option<Reply>, usize, Duration) {
     let engine = Silent::new(lost);
     let start = Instant::now();
-    let reply = give(&engine, 1, Order::Hold(7), None).await;
+    let reply = send_order(&engine, 1, Order::Hold(7), None).await;
     (reply, engine.given.get(), start.elapsed())
 }
 
@@ -94,6 +94,6 @@
 async fn orders_that_are_all_lost_end_so_that_the_rank_is_looked_at() {
     let (reply, given, took) = play(usize::MAX).await;
     assert_that!(reply, none());
-    assert_that!(given, eq(TRIES));
+    assert_that!(given, eq(MAX_ATTEMPTS));
     assert_that!(took, le(Duration::from_millis(200)));
 }
