--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine beside which a sidecar runs.
+//! Interface to an inference engine, implemented for each platform.
 
 use std::net::SocketAddr;
 
@@ -9,23 +9,23 @@
 use auburnline_lockstep::sight::Epoch;
 use auburnline_lockstep::sight::Sight;
 
-/// What an engine reports.
+/// Status report of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Name of its group.
+    /// Name of the group that its rank belongs to.
     pub group: String,
     /// State of its rank.
     pub sight: Sight,
-    /// Unix milliseconds of the rank's start, where it tells.
+    /// Start of the rank in Unix milliseconds; none if the engine does not report it.
     pub born: Option<u64>,
 }
 
-/// How often experts were chosen since the rank started.
+/// Expert activations since the rank started, layer by layer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts(pub Vec<u64>);
 
 impl Counts {
-    /// Returns the choices since an earlier count; all of this one if the rank started anew.
+    /// Returns the activations since an earlier count; all of these if a counter fell, because the rank restarted.
     pub(crate) fn since(&self, before: &Counts) -> Vec<u32> {
         let is_same = before.0.len() == self.0.len();
         let is_grown = is_same && before.0.iter().zip(&self.0).all(|(old, new)| new >= old);
@@ -37,33 +37,33 @@
     }
 }
 
-/// How an engine answered an order.
+/// Answer of an engine to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// It holds already, or is done.
+    /// The order is completed, or its effect was in force already.
     Done,
-    /// It has begun.
+    /// The engine has started to carry it out.
     Begun,
-    /// It does not fit the engine's state.
+    /// The order does not fit the engine's state; with the HTTP status code.
     Refused(u16),
 }
 
-/// An engine, as a platform lets one speak to it.
+/// Client of an engine, in the platform's protocol.
 pub trait Engine {
-    /// Returns the engine of another rank; its reports may be some hundred milliseconds old.
+    /// Returns a client of another rank's engine, whose reports may be some hundred milliseconds old.
     #[must_use]
     fn at(&self, address: SocketAddr) -> Self;
 
     /// Reads the rank's state.
     fn report(&self) -> impl Future<Output = Result<Report, Failure>>;
 
-    /// Reads how often experts were chosen.
+    /// Reads the expert activations since the rank started.
     fn counts(&self) -> impl Future<Output = Result<Counts, Failure>>;
 
-    /// Reads the experts that the rank holds by layer.
+    /// Reads the experts that the rank holds, by layer.
     fn held(&self) -> impl Future<Output = Result<Vec<Vec<Expert>>, Failure>>;
 
-    /// Gives an order; one without answer may still be carried out.
+    /// Sends an order. One that gets no answer may still be carried out.
     fn order(
         &self,
         epoch: Epoch,
