--- a/crates/sidecar/src/leader.rs
+++ b/crates/sidecar/src/leader.rs
@@ -1,4 +1,4 @@
-//! The part of a sidecar that leads its group.
+//! State of the sidecar that leads its group, the one next to rank 0.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,10 +27,10 @@
 
 use crate::sidecar::COUNT_PERIOD;
 
-/// Time between two words to gateways: by these they admit requests, and some passes of a group's load are
-/// not yet in the last one.
+/// Time between two digests to gateways. Gateways admit requests by them, although the latest digest lacks the
+/// load of the last few passes.
 pub(crate) const DIGEST_PERIOD: Duration = Duration::from_millis(190);
-/// Time between two lines that tell how the group runs.
+/// Time between two log lines with the group's statistics.
 const STATS_PERIOD: Duration = Duration::from_secs(1);
 
 /// Sidecar of another rank.
@@ -39,14 +39,14 @@
     failure_domain: FailureDomainId,
 }
 
-/// State of the sidecar that leads.
+/// State of the leader.
 pub(crate) struct Leader {
     group: String,
     service: Service,
     coordinator: Coordinator,
-    /// Where each rank's sidecar was heard from.
+    /// Sidecars of the other ranks that have reported.
     peers: BTreeMap<Rank, Peer>,
-    /// When each rank's engine started, in Unix milliseconds.
+    /// Start of each rank's engine in Unix milliseconds.
     born: BTreeMap<Rank, u64>,
     logged_at: Monotonic,
     logged_step: Step,
@@ -55,7 +55,7 @@
 }
 
 impl Leader {
-    /// Returns the lead of a group.
+    /// Returns the leader of a group. `started` is the time of day at which the clock of `now` was zero.
     pub(crate) fn new(
         group: String,
         service: Service,
@@ -75,12 +75,11 @@
         }
     }
 
-    /// Returns the name of the group.
     pub(crate) fn group(&self) -> &str {
         &self.group
     }
 
-    /// Returns whether the ranks must tell what they hold.
+    /// Returns whether the ranks must report the experts that they hold.
     pub(crate) fn wants_layout(&self) -> bool {
         self.coordinator.wants_layout()
     }
@@ -90,23 +89,23 @@
         peers.map(|(rank, peer)| (*rank, peer.address))
     }
 
-    /// Returns where a rank's sidecar was heard from.
+    /// Returns the address of a rank's sidecar; none if it has not reported.
     pub(crate) fn address(&self, rank: Rank) -> Option<SocketAddr> {
         self.peers.get(&rank).map(|peer| peer.address)
     }
 
-    /// Returns whether all ranks were heard lately.
+    /// Returns whether all ranks have reported recently.
     pub(crate) fn is_in_reach(&self, now: Monotonic) -> bool {
         self.coordinator.is_in_reach(now)
     }
 
-    /// Returns the other ranks that were heard.
+    /// Returns the other ranks that have reported.
     pub(crate) fn ranks(&self) -> impl Iterator<Item = Rank> {
         self.peers.keys().copied()
     }
 
-    /// Returns the sidecars of some ranks, those of a failure domain together, so that what they pass on to each other or
-    /// collect mostly stays within it.
+    /// Returns the sidecars of `ranks`, sorted by failure domain, so that forwarding and aggregation among them mostly
+    /// stay within one.
     pub(crate) fn sidecars(&self, ranks: impl IntoIterator<Item = Rank>) -> Vec<SocketAddr> {
         let peers = ranks.into_iter().filter_map(|rank| self.peers.get(&rank));
         let mut peers: Vec<&Peer> = peers.collect();
@@ -114,13 +113,13 @@
         peers.into_iter().map(|peer| peer.address).collect()
     }
 
-    /// Returns how many of the sidecars of so many ranks collect the counts of others.
+    /// Returns how many of the sidecars of `ranks` ranks aggregate expert counts.
     pub(crate) fn collectors(&self, ranks: usize) -> usize {
         let Service { shape, link, .. } = self.service;
         link.collectors(ranks, shape.layers * shape.experts, COUNT_PERIOD)
     }
 
-    /// Returns the pledge of the hold that is among `sends`, if one is.
+    /// Returns the notice to the standby for the hold among `sends`; none if there is no hold.
     pub(crate) fn pledge(&self, sends: &[Send], own: SocketAddr) -> Option<Pledge> {
         let hold = sends.iter().find_map(|send| match send.order {
             Order::Hold(step) => Some((send.epoch, step)),
@@ -136,7 +135,7 @@
         })
     }
 
-    /// Returns what to tell gateways if it is time for it: the group's ranks and whether it serves.
+    /// Returns a digest for the gateways if one is due, or if the group has begun or ceased to serve.
     pub(crate) fn digest(
         &mut self,
         members: &Members,
@@ -156,7 +155,7 @@
         let by_instance: HashMap<IpAddr, &Sight> = sights
             .filter_map(|(rank, sight)| Some((sidecars.get(&rank)?.ip(), sight)))
             .collect();
-        // An engine that started anew under another id is listed twice for a while.
+        // An engine that restarted under another id is listed twice for a while.
         let upstreams: BTreeSet<SocketAddr> = members.upstreams.iter().copied().collect();
         let engines = upstreams.into_iter().filter_map(|engine| {
             let sight = by_instance.get(&engine.ip())?;
@@ -174,7 +173,7 @@
         })
     }
 
-    /// Takes the state of a rank.
+    /// Records the report on a rank; `from` is its sidecar, none for the leader's own rank.
     pub(crate) fn see(&mut self, show: Show, from: Option<SocketAddr>, now: Monotonic) {
         if show.group != self.group {
             return;
@@ -197,7 +196,7 @@
             .see(show.sight, &show.choices, show.held, now);
     }
 
-    /// Tells how the group runs, once a while.
+    /// Logs the group's statistics and sets its gauges, once per period.
     pub(crate) fn log_stats(&mut self, now: Monotonic) {
         let since = now.saturating_sub(self.logged_at);
         if since < STATS_PERIOD {
@@ -218,7 +217,7 @@
             skew:? = pulse.skew,
             slowest = pulse.slowest,
             version:? = pulse.version;
-            "pulse"
+            "group statistics"
         );
         if let Some(skew) = pulse.skew {
             metrics::gauge!("auburnline_group_skew").set(skew);
@@ -226,7 +225,7 @@
         metrics::gauge!("auburnline_group_running").set(f64::from(pulse.running));
     }
 
-    /// Says what to order now.
+    /// Returns the orders to send now, and logs the events since the last call.
     pub(crate) fn tick(&mut self, now: Monotonic) -> Vec<Send> {
         let sends = self.coordinator.tick(now);
         for note in self.coordinator.notes() {
@@ -245,17 +244,19 @@
             skew_before = plan.skew_before,
             skew_after = plan.skew_after,
             copies = plan.copies;
-            "change begun"
+            "map change started"
         ),
         Note::Found(version, phase) => {
-            log::info!(target: "experts", group, version, phase:?; "change found");
+            log::info!(target: "experts", group, version, phase:?; "map change resumed after restart");
+        }
+        Note::Done(version) => {
+            log::info!(target: "experts", group, version; "map change completed")
         }
-        Note::Done(version) => log::info!(target: "experts", group, version; "change done"),
         Note::Void(version, reason) => {
-            log::info!(target: "experts", group, version, reason; "change void");
+            log::info!(target: "experts", group, version, reason; "map change aborted");
         }
         Note::Shifted(distance) => {
-            log::info!(target: "experts", group, distance; "demand shifted");
+            log::info!(target: "experts", group, distance; "expert popularity shifted");
         }
         Note::Formed(epoch) => log::info!(target: "experts", group, epoch; "group formed"),
     }
