--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,9 +1,9 @@
-//! The process beside an engine.
+//! Sidecar process, which runs next to each engine.
 //!
-//! A sidecar reads what its own rank shows and chose, and gives it orders. The one beside rank 0 leads
-//! the changes of its group's expert map; the others show their ranks to it and pass its orders on.
-//! What is decided is decided by `auburnline-lockstep`; how an engine spells its messages is told by an
-//! [`Engine`].
+//! A sidecar polls the state and the expert activations of its own rank and sends orders to its engine. The sidecar
+//! next to rank 0 is the leader, which changes the expert map of the group. The other sidecars report their ranks to
+//! it and carry out its orders. `auburnline-lockstep` makes all decisions; an [`Engine`] implements the protocol of
+//! the platform's engines.
 
 mod engine;
 mod leader;
