--- a/crates/sidecar/src/order.rs
+++ b/crates/sidecar/src/order.rs
@@ -1,7 +1,8 @@
-//! Orders to the own engine, given until they are answered.
+//! Delivery of orders to an engine, with retries.
 //!
-//! An order whose answer is lost may have been carried out, or may be seconds later; each may be
-//! repeated without harm. While one is missing the whole group may stand still, so the wait is short.
+//! An order that gets no answer may have been carried out, or may be carried out seconds later. All orders are
+//! idempotent, so each may be repeated. The whole group may be stopped until an order arrives, so the time-out is
+//! short.
 
 use std::time::Duration;
 
@@ -14,13 +15,13 @@
 use crate::engine::Engine;
 use crate::engine::Reply;
 
-/// Longest wait for the answer to one order. The engine is on this instance and answers within 5 ms; a
-/// wait as long as for a report (150 ms and more) held groups for a quarter of a second at each loss.
+/// Time-out of one attempt. The engine is on this instance and answers within 5 ms. With the time-out of a report
+/// (150 ms and more) each lost order held the group for a quarter of a second.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
-/// Times that an order without answer is given: where one in three gets lost, one in eighty does then.
+/// Most attempts to send an order. If one attempt in three is lost, four attempts lose one order in eighty.
 pub const MAX_ATTEMPTS: usize = 4;
 
-/// Gives an order until it is answered; returns the answer, or none if all were lost.
+/// Sends an order until it is answered; returns the answer, or none if all attempts were lost.
 pub async fn send_order<E: Engine>(
     engine: &E,
     epoch: Epoch,
