--- a/crates/sidecar/src/run.rs
+++ b/crates/sidecar/src/run.rs
@@ -1,4 +1,4 @@
-//! A sidecar from its start to its end.
+//! Process of a sidecar: start, signals and shutdown.
 
 use std::io;
 use std::path::Path;
@@ -16,11 +16,11 @@
 use crate::settings::Settings;
 use crate::sidecar::Sidecar;
 
-/// Runs a sidecar until it is told to end.
+/// Runs a sidecar until the process gets SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Returns the system's error if an address can't be had, or the logs or metrics can't start.
+/// Returns the system's error if an address can't be bound, or if logging or metrics can't be started.
 pub fn run<E: Engine + 'static>(settings: Settings, path: &Path, engine: E) -> io::Result<()> {
     program::run(|metrics| main(settings, path, engine, metrics))
 }
@@ -56,11 +56,11 @@
     Ok(())
 }
 
-/// Reads the settings anew when told; what they say holds from the next start on, since none of a
-/// sidecar's settings can change while its engine stays.
+/// Reads and checks the settings again on SIGHUP. They take effect at the next start, since none of a sidecar's
+/// settings can change while its engine runs.
 async fn reload(path: PathBuf) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
-        log::error!(target: "process", "the signal to read the settings can't be waited for");
+        log::error!(target: "process", "failed to install the SIGHUP handler; settings will not be reloaded");
         return std::future::pending().await;
     };
     while hangup.recv().await.is_some() {
