--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -10,21 +10,21 @@
 /// Settings of a sidecar, read from JSON.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Settings {
-    /// Name of the instance.
+    /// Name of the instance, as it is logged.
     pub instance: String,
-    /// Failure domain.
+    /// Failure domain of the instance; the leader groups sidecars by it.
     pub failure_domain: String,
-    /// Address towards other sidecars and gateways; its port is the same at all sidecars.
+    /// UDP address for messages of other sidecars and gateways; its port must be the same at all sidecars.
     pub peers: SocketAddr,
-    /// Address at which metrics are read.
+    /// TCP address at which metrics are scraped.
     pub metrics: SocketAddr,
-    /// Addresses of a few gateways.
+    /// Peer addresses of a few gateways, which are queried for the members of the service.
     pub gateways: Vec<SocketAddr>,
-    /// Address of the engine.
+    /// Address of the engine on this instance.
     pub engine: SocketAddr,
     /// Service that the engine belongs to.
     pub service: String,
-    /// Megabits a second of the instance's link.
+    /// Bandwidth of the instance's link in megabits per second.
     pub link_mbps: f64,
 }
 
@@ -39,7 +39,7 @@
         let mut faults: Vec<Fault> = empty.map(|(path, _)| fault(path, "is empty")).collect();
         let is_link = self.link_mbps.is_finite() && self.link_mbps > 0.0;
         if !is_link {
-            faults.push(fault("link_mbps", "is no positive number"));
+            faults.push(fault("link_mbps", "is not a positive number"));
         }
         if faults.is_empty() {
             Ok(())
