--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! One sidecar: reads its rank, and leads or follows.
+//! Main loop of a sidecar: it polls its rank, and acts as leader or follower.
 
 mod following;
 mod leading;
@@ -32,30 +32,31 @@
 use crate::settings::Settings;
 use crate::sidecar::following::State;
 
-/// Time between two looks at the rank: a change of demand is seen within two to three of them, and each
-/// costs about half a millisecond of the instance's processor.
+/// Time between two polls of the rank. A shift of demand is detected within two to three polls, and each costs about
+/// half a millisecond of the instance's processor time.
 const POLL_PERIOD: Duration = Duration::from_millis(100);
-/// Least time between two readings of the counts; a little less than between two looks.
+/// Minimum time between two reads of the expert counts; slightly less than [`POLL_PERIOD`].
 pub(crate) const COUNT_PERIOD: Duration = Duration::from_millis(90);
-/// Time after which a rank is shown though nothing about it changed; a little less than between two looks.
+/// Time after which an unchanged rank is reported again, and minimum time between two heartbeats; slightly less than
+/// two polls.
 const REPORT_PERIOD: Duration = Duration::from_millis(180);
-/// Time between two looks while an order awaits its effect.
+/// Time between two polls while an order's effect is awaited.
 const FAST_POLL_PERIOD: Duration = Duration::from_millis(40);
-/// Time for which looks stay quick after an order to switch, hold or release: its effect shows at once.
+/// Time of fast polling after an order to arm, hold or release, whose effect is visible at once.
 const FAST_POLL_TIME: Duration = Duration::from_millis(200);
-/// Time for which looks stay quick after an order to prepare: a plan copies for 0.3 s at most, and the group
-/// waits for its last rank to be seen ready.
+/// Time of fast polling after an order to prepare. A plan takes at most 0.3 s to copy, and the change waits until the
+/// last rank is seen prepared.
 const FAST_POLL_TIME_PREPARE: Duration = Duration::from_millis(700);
-/// Largest datagram.
+/// Size of the receive buffer; no longer datagram is received whole.
 const MAX_DATAGRAM_BYTES: usize = 60 << 10;
 
-/// The sidecar that leads, as it told.
+/// The leader, as its last heartbeat describes it.
 #[derive(Clone, Copy, Debug)]
 struct KnownLeader {
     address: SocketAddr,
     heard: Monotonic,
     wants_layout: bool,
-    /// Who collects the counts of the own rank; none if that is the one that leads.
+    /// Sidecar that aggregates the counts of the own rank; none if they go to the leader.
     collector: Option<SocketAddr>,
 }
 
@@ -73,28 +74,25 @@
     known_leader: Option<KnownLeader>,
     counts: Counts,
     counted_at: Option<Monotonic>,
-    /// Counts of other ranks that are to go on with the own ones.
+    /// Counts of other ranks, which are sent on with the own ones.
     tally: Tally,
-    /// When the rank was looked at last.
     polled_at: Monotonic,
-    /// Until when looks are quick.
     fast_poll_until: Monotonic,
-    /// What was told last of the own rank, and when.
+    /// State of the own rank as last reported to the leader, and when.
     last_report: Option<(State, Monotonic)>,
-    /// When the others were told who leads.
     heartbeat_sent_at: Monotonic,
     deputy: Deputy,
-    /// Maps that orders to prepare brought: the one in force, and the next.
+    /// Maps received with orders to prepare: the one in force, and the next.
     layouts: Vec<(Version, Layout)>,
-    /// Who gave the order after which the rank is looked at.
+    /// Receiver of the report that follows an order; none outside of that.
     report_to: Option<SocketAddr>,
-    /// Gateways whose turn it is to be told of the group.
+    /// Rotation of the gateways that get the digest directly.
     turn: Turn,
     is_reachable: bool,
-    /// Group and epoch that the rank showed last.
+    /// Group and epoch that the rank reported last.
     group: Option<String>,
     epoch: Option<Epoch>,
-    /// Unix milliseconds of the rank's start, as it told last.
+    /// Start of the rank in Unix milliseconds, as reported last.
     born: Option<u64>,
 }
 
@@ -130,7 +128,6 @@
         }
     }
 
-    /// Runs until the process ends.
     pub(crate) async fn run(mut self) {
         let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
         loop {
@@ -145,14 +142,13 @@
                     }
                     Err(error) => {
                         let cause = error.to_string();
-                        log::debug!(target: "sidecar", cause = cause.as_str(); "no datagram");
+                        log::debug!(target: "sidecar", cause = cause.as_str(); "failed to receive datagram");
                     }
                 }
             }
         }
     }
 
-    /// Returns the time until the next look.
     fn time_to_poll(&self) -> Duration {
         let now = self.clock.now();
         let period = if now < self.fast_poll_until {
@@ -163,7 +159,7 @@
         (self.polled_at + period).saturating_sub(now)
     }
 
-    /// Looks at the rank, and leads or shows it.
+    /// Polls the rank; then acts as leader, or reports the rank to the leader.
     async fn poll(&mut self) {
         self.polled_at = self.clock.now();
         let report = match self.engine.report().await {
@@ -211,20 +207,21 @@
         }
     }
 
-    /// Takes when the rank started; one that started anew counts from nothing.
+    /// Records the rank's start; the counts of one that restarted begin at zero.
     fn update_start(&mut self, born: Option<u64>) {
         if self
             .born
             .zip(born)
-            .is_some_and(|(known, told)| known != told)
+            .is_some_and(|(known, reported)| known != reported)
         {
-            log::info!(target: "engine", born:?; "started anew");
+            log::info!(target: "engine", born:?; "engine restarted");
             self.counts = Counts::default();
         }
         self.born = born.or(self.born);
     }
 
-    /// Returns the choices since the last look, at the slow pace.
+    /// Returns the expert activations since the last read, including those aggregated for other ranks; empty while
+    /// [`COUNT_PERIOD`] has not passed.
     async fn read_activations(&mut self) -> Vec<u32> {
         let now = self.clock.now();
         let is_due = self
@@ -237,7 +234,7 @@
             Ok(counts) => counts,
             Err(failure) => {
                 let cause = failure.to_string();
-                log::debug!(target: "engine", cause = cause.as_str(); "no counts");
+                log::debug!(target: "engine", cause = cause.as_str(); "failed to read expert counts");
                 return Vec::new();
             }
         };
@@ -245,14 +242,14 @@
         let before = std::mem::replace(&mut self.counts, counts);
         let mut choices = self.counts.since(&before);
         self.tally.add_to(&mut choices, self.epoch);
-        // An idle group would fill links with zeros.
+        // Zeros of an idle group would only use bandwidth.
         if choices.iter().all(|chosen| *chosen == 0) {
             choices.clear();
         }
         choices
     }
 
-    /// Returns the experts that the rank holds, if they were asked for.
+    /// Returns the experts that the rank holds, if the leader wants them.
     async fn read_held(&self) -> Option<Vec<Vec<u16>>> {
         let is_wanted = match &self.leader {
             Some(leader) => leader.wants_layout(),
@@ -264,12 +261,12 @@
         let held = self.engine.held().await;
         held.inspect_err(|failure| {
             let cause = failure.to_string();
-            log::debug!(target: "engine", cause = cause.as_str(); "no experts");
+            log::debug!(target: "engine", cause = cause.as_str(); "failed to read held experts");
         })
         .ok()
     }
 
-    /// Looks at the rank often until an order's effect must have shown.
+    /// Polls the rank fast until the effect of `order` should be visible.
     fn poll_fast_after(&mut self, order: Order) {
         let time = match order {
             Order::Prepare(_) => FAST_POLL_TIME_PREPARE,
