--- a/crates/sidecar/src/sidecar/following.rs
+++ b/crates/sidecar/src/sidecar/following.rs
@@ -1,5 +1,5 @@
-//! What the other sidecars do: they show their ranks to the one that leads, carry its orders out, and the one
-//! beside rank 1 sees a hold through whose lead fell silent.
+//! Follower role: reports the own rank to the leader and carries out its orders. The sidecar next to rank 1 is the
+//! standby, which also ends or completes a hold when the leader has gone silent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,13 +25,14 @@
 use crate::engine::Engine;
 use crate::order::send_order;
 
-/// Time for which the deputy's looks stay quick after a hold was pledged: until it is over, or its lead is silent for
-/// long enough.
+/// Time of fast polling at the standby after the notice of a hold: until the hold is over, or the leader was silent
+/// long enough for the standby to act.
 pub(super) const FAST_POLL_TIME_HOLD: Duration = Duration::from_millis(600);
-/// Age at which the word of the one that leads is forgotten.
+/// Age at which the leader's last heartbeat is no longer valid.
 const LEADER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a change waits for at one rank; between two slow looks a word is sent only when it differs.
+/// Fields of a rank's state that a map change waits for. Within [`REPORT_PERIOD`] a report without expert counts is
+/// sent only if one of them differs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct State {
     epoch: Epoch,
@@ -76,7 +77,7 @@
         self.send(&Message::Show(show), address).await;
     }
 
-    /// Gives the counts of the own rank to the sidecar that collects them.
+    /// Moves the expert counts out of `show` and sends them to `collector`; they stay if that is this sidecar.
     async fn send_counts(&self, show: &mut Show, collector: SocketAddr) {
         let choices = std::mem::take(&mut show.choices);
         if choices.is_empty() || collector == self.settings.peers {
@@ -91,7 +92,7 @@
         self.send(&Message::Counts(counts), collector).await;
     }
 
-    /// As the deputy, ends a hold whose lead fell silent, or takes the change forward if ranks may be armed.
+    /// As the standby, ends a hold whose leader is silent, or completes the change if ranks may be armed.
     async fn act_as_standby(&mut self, own: &Sight, now: Monotonic) {
         self.deputy.see(own);
         let Some(pledge) = self.deputy.due(own, now).cloned() else {
@@ -101,14 +102,14 @@
         let group = pledge.group.as_str();
         let epoch = pledge.epoch;
         if let Some(step) = self.deputy.end(own) {
-            log::info!(target: "experts", group, epoch, step; "hold ended, its lead is silent");
+            log::info!(target: "experts", group, epoch, step; "hold ended, leader is silent");
             send_order(&self.engine, epoch, Order::Release(step), None).await;
             return;
         }
         let orders = self.deputy.orders(own);
         if !orders.is_empty() {
             let step = pledge.switch.step;
-            log::info!(target: "experts", group, epoch, step, orders = orders.len(); "standing in");
+            log::info!(target: "experts", group, epoch, step, orders = orders.len(); "standby completes the change, leader is silent");
         }
         for (rank, order) in orders {
             if rank == own.rank {
@@ -126,8 +127,11 @@
         }
     }
 
-    /// Returns the layout that comes with an order, and keeps it; the version that it builds on if that is not
-    /// known here.
+    /// Returns the layout that comes with an order, and stores it.
+    ///
+    /// # Errors
+    ///
+    /// Returns the version that the layout is based on if that map is not known here.
     fn resolve_layout(
         &mut self,
         order: Order,
@@ -144,13 +148,13 @@
         let Some(layout) = parcel.open(&self.layouts) else {
             return Err(built_on.unwrap_or_default());
         };
-        // A change that is given up leaves its map behind; the one in force is the one built on.
+        // The map in force is the base of this one; others are left over from aborted changes.
         self.layouts.retain(|(known, _)| Some(*known) == built_on);
         self.layouts.push((version, layout.clone()));
         Ok(Some(layout))
     }
 
-    /// Passes an order of the one that leads or its deputy on, and shows what came of it.
+    /// Forwards an order of the leader or the standby to the own engine, and reports the resulting state.
     pub(super) async fn execute(&mut self, command: Command, from: SocketAddr) {
         let reports_to = command.reports_to.unwrap_or(from);
         let is_ours = self.group.as_ref() == Some(&command.group);
@@ -160,8 +164,8 @@
         if let Order::Arm(switch) = command.order
             && !self.deputy.may_arm(command.epoch, switch)
         {
-            log::info!(target: "experts", group = command.group.as_str(), epoch = command.epoch, step = switch.step; "not armed, the hold was ended");
-            // The order that ended it may have been lost, and the lead that lives again waits for this rank.
+            log::info!(target: "experts", group = command.group.as_str(), epoch = command.epoch, step = switch.step; "order to arm refused, the hold was ended");
+            // The order that ended the hold may have been lost, and a leader that is back waits for this rank.
             send_order(
                 &self.engine,
                 command.epoch,
@@ -174,8 +178,8 @@
         let layout = match self.resolve_layout(command.order, command.layout) {
             Ok(layout) => layout,
             Err(base) => {
-                // The lead sends all of it once it sees that nothing is copied here.
-                log::info!(target: "experts", group = command.group.as_str(), base, order:? = command.order; "map not known");
+                // The leader sends the full map once it sees that nothing is copied here.
+                log::info!(target: "experts", group = command.group.as_str(), base, order:? = command.order; "base map of the order is not known");
                 return;
             }
         };
