--- a/crates/sidecar/src/sidecar/receiving.rs
+++ b/crates/sidecar/src/sidecar/receiving.rs
@@ -1,4 +1,4 @@
-//! What a sidecar hears from gateways and from others of its group.
+//! Messages from gateways and from other sidecars of the group, and the sender for both.
 
 use std::net::SocketAddr;
 
@@ -11,11 +11,13 @@
 use super::following::FAST_POLL_TIME_HOLD;
 use crate::engine::Engine;
 
-/// Words that are taken before the next decision: one of each rank of a large group, so that looks are not held up for long.
+/// Most queued messages that are handled before the next orders: one of each rank of a large group. More would delay
+/// polls.
 const MAX_BATCH: usize = 64;
+
 impl<E: Engine> Sidecar<E> {
-    /// Takes what else has come, so that the lead decides once for all of it: the ranks of a large group tell of themselves
-    /// some hundred times a second.
+    /// Handles the messages that are already queued, so that the leader decides once for all of them: the ranks of a
+    /// large group send some hundred reports per second.
     pub(super) async fn receive_queued(&mut self, bytes: &mut [u8]) {
         for _ in 0..MAX_BATCH {
             let Ok((length, from)) = self.socket.try_recv_from(bytes) else {
@@ -30,7 +32,7 @@
             Ok(message) => message,
             Err(error) => {
                 let cause = error.to_string();
-                log::debug!(target: "sidecar", cause = cause.as_str(); "message not understood");
+                log::debug!(target: "sidecar", cause = cause.as_str(); "malformed message");
                 metrics::counter!("auburnline_messages_malformed_total").increment(1);
                 return;
             }
@@ -92,12 +94,12 @@
 
     pub(super) async fn send(&self, message: &impl Serialize, to: SocketAddr) {
         let Ok(bytes) = postcard::to_stdvec(message) else {
-            log::error!(target: "sidecar", "a message can't be written");
+            log::error!(target: "sidecar", "failed to encode message");
             return;
         };
         if let Err(error) = self.socket.send_to(&bytes, to).await {
             let cause = error.to_string();
-            log::debug!(target: "sidecar", cause = cause.as_str(); "message not sent");
+            log::debug!(target: "sidecar", cause = cause.as_str(); "failed to send message");
         }
     }
 }
