--- a/crates/sidecar/src/sidecar/leading.rs
+++ b/crates/sidecar/src/sidecar/leading.rs
@@ -1,5 +1,5 @@
-//! What the sidecar beside rank 0 does for its group: it asks who serves, tells who leads and how the group
-//! runs, and gives the orders that its lead decides on.
+//! Leader role: queries gateways for the members of the service, sends heartbeats to sidecars and digests to gateways,
+//! and sends the orders that the coordinator decides on.
 
 use std::net::SocketAddr;
 
@@ -31,7 +31,7 @@
 use crate::leader::Leader;
 use crate::order::send_order;
 
-/// Bytes that a word to gateways takes for each engine.
+/// Approximate encoded size of one engine in a digest.
 const ENGINE_BYTES: usize = 11;
 
 impl<E: Engine> Sidecar<E> {
@@ -65,7 +65,7 @@
         self.send_orders().await;
     }
 
-    /// Asks a gateway who serves the service.
+    /// Asks the configured gateways for the members of the service, if a query is due.
     async fn query_members(&mut self, now: Monotonic) {
         if !self.asking.is_due(now) {
             return;
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Tells the other sidecars who leads, and who collects their counts. Until all ranks were heard, nobody knows which other
-    /// sidecars of the service belong to the group.
+    /// Sends heartbeats to the other sidecars. Until all ranks have reported, they go to all sidecars of the service,
+    /// because it is not known which of these belong to the group.
     async fn send_heartbeats(&mut self, heartbeat: &Heartbeat, now: Monotonic) {
         if now.saturating_sub(self.heartbeat_sent_at) < REPORT_PERIOD {
             return;
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Tells gateways of the group: all, or so many as the link bears, in turn, which pass it on to the others.
+    /// Sends a digest to all gateways. If the link does not carry that many, some of them, in rotation, get it directly
+    /// and forward it to the others.
     async fn send_digest(&mut self, digest: Option<Digest>) {
         let (Some(digest), Some(members)) = (digest, &self.members) else {
             return;
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Gives the orders that are due.
+    /// Sends the orders that are due.
     pub(super) async fn send_orders(&mut self) {
         let now = self.clock.now();
         let Some(leader) = &mut self.leader else {
@@ -138,7 +139,7 @@
         let pledge = leader.pledge(&sends, self.settings.peers);
         let pledge = pledge.zip(leader.address(DEPUTY));
         self.notify_standby(pledge.as_ref()).await;
-        // Others first: an answer of the own engine that is lost would hold their orders up.
+        // Other ranks first: a lost answer of the own engine would delay their orders.
         let (own, others): (Vec<_>, Vec<_>) =
             sends.into_iter().partition(|send| send.rank == LEADER);
         let (differences, others): (Vec<_>, Vec<_>) =
@@ -156,7 +157,8 @@
             let layout = send.layout.as_deref();
             send_order(&self.engine, send.epoch, send.order, layout).await;
         }
-        // Once more: the rank that holds is looked at at once, and the word may have been lost.
+        // Repeated, because the first notice may have been lost and because the standby polls the held rank on a
+        // repetition.
         self.notify_standby(pledge.as_ref()).await;
     }
 
@@ -166,8 +168,8 @@
         }
     }
 
-    /// Gives an order to another rank's engine without its sidecar: if the instance that gave a hold freezes, the one
-    /// beside which the group is held lives on.
+    /// Sends an order to another rank's engine without its sidecar, so that the hold is ordered by this instance: if
+    /// it freezes, the sidecar next to the held rank still runs.
     async fn send_to_engine(&self, send: Send) {
         let instance = self
             .leader
@@ -179,14 +181,14 @@
             engines.find(|engine| engine.ip() == instance.ip())
         });
         let Some(engine) = engine else {
-            log::warn!(target: "experts", rank = send.rank, order:? = send.order; "engine not known");
+            log::warn!(target: "experts", rank = send.rank, order:? = send.order; "address of the engine is not known");
             return;
         };
         let engine = self.engine.at(*engine);
         send_order(&engine, send.epoch, send.order, None).await;
     }
 
-    /// Gives one order to prepare what differs to all its ranks: to some of them, which pass it on to others.
+    /// Sends one order to prepare a delta to all its ranks: directly to some sidecars, which forward it to the others.
     async fn send_forwarded(&mut self, sends: Vec<Send>) {
         let (Some(leader), Some(send)) = (&self.leader, sends.first()) else {
             return;
