--- a/crates/sidecar/tests/all/main.rs
+++ b/crates/sidecar/tests/all/main.rs
@@ -1,3 +1,3 @@
-//! Tests of the sidecar without an engine of a platform.
+//! Tests of the sidecar with a mock engine.
 
 mod order;
