--- a/crates/sidecar/tests/all/order.rs
+++ b/crates/sidecar/tests/all/order.rs
@@ -1,7 +1,7 @@
-//! Pattern: engines leave some orders unanswered and carry them out seconds later.
+//! Failure: engines leave some orders unanswered and carry them out seconds later.
 //!
-//! On the users' days one order in ten to one in three gets no answer while that lasts, and a change of
-//! a group of 24 ranks has 50 orders, so nearly every change meets a loss while it holds the group.
+//! In the users' deployments one order in ten to one in three gets no answer while this lasts. A map change of a group
+//! of 24 ranks has 50 orders, so nearly every change loses one while the group is held.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -22,7 +22,7 @@
 use googletest::prelude::*;
 use tokio::time::Instant;
 
-/// Engine that leaves its first orders unanswered.
+/// Mock engine that leaves its first `lost` orders unanswered.
 struct Silent {
     lost: usize,
     given: Cell<usize>,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Gives an order under a clock that only waits move; returns the answer, the tries and the time.
+/// Sends an order on a paused clock; returns the answer, the number of attempts and the time taken.
 async fn play(lost: usize) -> (Option<Reply>, usize, Duration) {
     let engine = Silent::new(lost);
     let start = Instant::now();
@@ -86,7 +86,7 @@
     let (reply, given, took) = play(1).await;
     assert_that!(reply, some(eq(Reply::Done)));
     assert_that!(given, eq(2));
-    // Passes of the users' groups take 50 ms and more; a pause of two is late at the caller.
+    // Passes take 50 ms and more in the users' deployments; callers notice a pause of two passes.
     assert_that!(took, le(Duration::from_millis(50)));
 }
 
