--- a/crates/lockstep/src/change.rs
+++ b/crates/lockstep/src/change.rs
@@ -4,7 +4,7 @@
 //! 2. *Hold*: once all ranks were seen prepared, one rank is ordered to hold the group before a future pass S.
 //! 3. *Arm*: only once the hold was seen, each rank is ordered to switch as S begins: first the held rank, then,
 //!    once it was seen armed, the others. Until it is ordered to arm, its own sidecar may end the hold (see
-//!    [`crate::deputy`]).
+//!    [`crate::standby`]).
 //! 4. *Release*: only once all ranks were seen armed for S, the hold is released.
 //!
 //! Orders may be lost, duplicated, or carried out seconds late. Within an epoch an observation stays true: a
--- a/crates/lockstep/src/lib.rs
+++ b/crates/lockstep/src/lib.rs
@@ -5,7 +5,7 @@
 //! may be lost, delayed or duplicated. [`popularity`] estimates which experts are selected, [`plan`] finds a
 //! layout that is worth a change at the [`cost`] of a pass, and [`coordinator`] combines them in the sidecar
 //! next to rank 0, the leader. [`told`] is the coordinator's output: orders to send and events to log.
-//! [`deputy`] is the leader's standby, which ends a hold when the leader has failed.
+//! [`standby`] is the leader's standby, which ends a hold when the leader has failed.
 //!
 //! [`message`] defines the messages between sidecars and to gateways. [`traffic`] bounds the share of an
 //! instance's link that they use, [`collecting`] assigns ranks to aggregators of expert counts and [`tally`]
@@ -19,7 +19,6 @@
 pub mod collecting;
 pub mod coordinator;
 pub mod cost;
-pub mod deputy;
 pub mod layout;
 pub mod message;
 mod outstanding;
@@ -27,6 +26,7 @@
 pub mod plan;
 pub mod popularity;
 pub mod sight;
+pub mod standby;
 pub mod tally;
 pub mod told;
 pub mod traffic;
--- a/crates/lockstep/src/message.rs
+++ b/crates/lockstep/src/message.rs
@@ -9,11 +9,11 @@
 
 use crate::change::Order;
 use crate::cost::Cost;
-use crate::deputy::Pledge;
 use crate::layout::Parcel;
 use crate::layout::Shape;
 use crate::sight::Epoch;
 use crate::sight::Sight;
+use crate::standby::Notice;
 
 /// Query of a sidecar to a gateway for the members of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
     /// Order of the leader or its standby to the receiver's rank.
     Command(Command),
     /// Notice of the leader to its standby that it is about to order a hold.
-    Pledge(Pledge),
+    HoldNotice(Notice),
     /// Expert counts of a rank, from its sidecar to the aggregator of several ranks.
     Counts(Counts),
     /// Order of the leader to many ranks, which the receiver forwards.
--- a/crates/lockstep/src/deputy.rs
+++ b/crates/lockstep/src/standby.rs
@@ -27,17 +27,17 @@
 use crate::sight::Switch;
 
 /// Rank whose sidecar is the standby.
-pub const DEPUTY: Rank = HOLDER;
+pub const STANDBY_RANK: Rank = HOLDER;
 /// Silence of the leader after which the standby acts: two heartbeats. Callers then see a pause of half a second
 /// instead of the seconds for which an instance freezes.
 const LEADER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Silence of the leader after which an announced hold is dropped: if the group is still stopped, the cause is
 /// another one.
-const PLEDGE_LIFETIME: Duration = Duration::from_secs(20);
+const NOTICE_LIFETIME: Duration = Duration::from_secs(20);
 
 /// Notice of a hold that the leader is about to order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Pledge {
+pub struct Notice {
     /// Name of the group.
     pub group: String,
     /// Epoch in which the hold is valid.
@@ -50,8 +50,8 @@
 
 /// State of the standby.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Deputy {
-    pledge: Option<Pledge>,
+pub struct Standby {
+    notice: Option<Notice>,
     /// When the leader was last heard from.
     heard: Monotonic,
     /// Ranks that were seen armed for the announced switch, or on its map.
@@ -64,18 +64,18 @@
     ended: Step,
 }
 
-impl Deputy {
+impl Standby {
     /// Records the notice of a hold; returns whether it was known already. A late one of an earlier epoch is ignored.
-    pub fn pledge(&mut self, pledge: Pledge, now: Monotonic) -> bool {
-        self.enter(pledge.epoch);
-        if pledge.epoch < self.epoch {
+    pub fn announce_hold(&mut self, notice: Notice, now: Monotonic) -> bool {
+        self.enter(notice.epoch);
+        if notice.epoch < self.epoch {
             return false;
         }
-        let is_known = self.pledge.as_ref() == Some(&pledge);
+        let is_known = self.notice.as_ref() == Some(&notice);
         if !is_known {
             self.armed.clear();
         }
-        self.pledge = Some(pledge);
+        self.notice = Some(notice);
         self.heard = now;
         is_known
     }
@@ -100,10 +100,10 @@
     }
 
     /// Ends the announced hold if no rank can be armed for it; returns the pass to release at the own rank.
-    pub fn end(&mut self, own: &Sight) -> Option<Step> {
-        let pledge = self.pledge.as_ref()?;
-        let step = pledge.switch.step;
-        let is_held = own.epoch == pledge.epoch && own.held == Some(step);
+    pub fn end_hold(&mut self, own: &Sight) -> Option<Step> {
+        let notice = self.notice.as_ref()?;
+        let step = notice.switch.step;
+        let is_held = own.epoch == notice.epoch && own.held == Some(step);
         // An order that was forwarded before this process started may have armed the rank.
         let is_armed = own.armed.is_some();
         if !is_held || is_armed || self.forwarded >= step {
@@ -114,30 +114,30 @@
     }
 
     /// Records a heartbeat of the leader.
-    pub const fn heard(&mut self, now: Monotonic) {
+    pub const fn record_heartbeat(&mut self, now: Monotonic) {
         self.heard = now;
     }
 
     /// Returns the announced hold that the standby must act on now, because the leader is silent and the own rank has
     /// not reached the held pass.
     #[must_use]
-    pub fn due(&mut self, own: &Sight, now: Monotonic) -> Option<&Pledge> {
+    pub fn due_hold(&mut self, own: &Sight, now: Monotonic) -> Option<&Notice> {
         let silent = now.saturating_sub(self.heard);
-        let is_over = |pledge: &Pledge| {
-            own.epoch != pledge.epoch || own.step >= pledge.switch.step || silent > PLEDGE_LIFETIME
+        let is_over = |notice: &Notice| {
+            own.epoch != notice.epoch || own.step >= notice.switch.step || silent > NOTICE_LIFETIME
         };
-        self.pledge.take_if(|pledge| is_over(pledge));
-        self.pledge.as_ref().filter(|_| silent >= LEADER_TIMEOUT)
+        self.notice.take_if(|notice| is_over(notice));
+        self.notice.as_ref().filter(|_| silent >= LEADER_TIMEOUT)
     }
 
     /// Records the state of a rank.
     pub fn see(&mut self, sight: &Sight) {
-        let Some(pledge) = &self.pledge else {
+        let Some(notice) = &self.notice else {
             return;
         };
-        let is_armed = sight.armed == Some(pledge.switch);
-        let is_switched = sight.version == pledge.switch.version;
-        if sight.epoch == pledge.epoch && (is_armed || is_switched) {
+        let is_armed = sight.armed == Some(notice.switch);
+        let is_switched = sight.version == notice.switch.version;
+        if sight.epoch == notice.epoch && (is_armed || is_switched) {
             self.armed.insert(sight.rank);
         }
     }
@@ -146,12 +146,12 @@
     #[must_use]
     pub fn orders(&mut self, holder: &Sight) -> Vec<(Rank, Order)> {
         self.see(holder);
-        let Some(pledge) = &self.pledge else {
+        let Some(notice) = &self.notice else {
             return Vec::new();
         };
-        let switch = pledge.switch;
+        let switch = notice.switch;
         // Without the hold in force the pass may begin at any moment, so no rank may be armed for it.
-        if holder.epoch != pledge.epoch || holder.held != Some(switch.step) {
+        if holder.epoch != notice.epoch || holder.held != Some(switch.step) {
             return Vec::new();
         }
         let is_armed = holder.armed == Some(switch);
--- a/crates/lockstep/tests/all/explore.rs
+++ b/crates/lockstep/tests/all/explore.rs
@@ -81,7 +81,7 @@
         ranks,
         changes,
         kills,
-        has_deputy: false,
+        has_standby: false,
         may_hold_next: false,
         injected: None,
     }
@@ -119,9 +119,9 @@
 }
 
 #[gtest]
-fn a_deputy_beside_a_coordinator_that_lives_does_no_harm() {
+fn a_standby_beside_a_coordinator_that_lives_does_no_harm() {
     let beside = Bounds {
-        has_deputy: true,
+        has_standby: true,
         ..bounds(2, 1, 0)
     };
     let outcome = explore(beside);
@@ -137,9 +137,9 @@
 /// A leader freezes between a hold and its release, its standby completes the change on observations of any age, and the
 /// leader wakes up and continues.
 #[gtest]
-fn three_ranks_switch_together_with_a_deputy() {
+fn three_ranks_switch_together_with_a_standby() {
     assert_walks_safe(Bounds {
-        has_deputy: true,
+        has_standby: true,
         ..bounds(3, 2, 2)
     });
 }
@@ -180,7 +180,7 @@
 #[gtest]
 fn ending_a_hold_for_which_ranks_may_be_armed_is_caught() {
     let faulty = Bounds {
-        has_deputy: true,
+        has_standby: true,
         injected: Some(Fault::EndsArmed),
         ..bounds(3, 2, 0)
     };
--- a/crates/lockstep/tests/all/explore/world.rs
+++ b/crates/lockstep/tests/all/explore/world.rs
@@ -10,11 +10,11 @@
 use auburnline_lockstep::change::Progress;
 use auburnline_lockstep::change::orphaned_hold;
 use auburnline_lockstep::coordinator::HOLDER;
-use auburnline_lockstep::deputy::Deputy;
-use auburnline_lockstep::deputy::Pledge;
 use auburnline_lockstep::sight::Sight;
 use auburnline_lockstep::sight::Switch;
 use auburnline_lockstep::sight::Version;
+use auburnline_lockstep::standby::Notice;
+use auburnline_lockstep::standby::Standby;
 
 use crate::support::Engine;
 
@@ -41,7 +41,7 @@
     pub(crate) changes: Version,
     pub(crate) kills: u8,
     /// Whether a standby acts concurrently with the coordinator, at any time and on observations of any age.
-    pub(crate) has_deputy: bool,
+    pub(crate) has_standby: bool,
     /// Whether a hold may also be placed only one pass ahead, at any time.
     pub(crate) may_hold_next: bool,
     /// Fault that is injected, if any.
@@ -59,7 +59,7 @@
     /// Newest pass that a previous coordinator may have held; zero until all ranks were seen.
     floor: Step,
     kills: u8,
-    deputy: Deputy,
+    standby: Standby,
     /// The held rank, as the standby last saw it.
     holder: Option<Sight>,
 }
@@ -110,7 +110,7 @@
             begun: 0,
             floor: PASSES_AHEAD,
             kills: 0,
-            deputy: Deputy::default(),
+            standby: Standby::default(),
             holder: None,
         }
     }
@@ -133,7 +133,7 @@
         if bounds.may_hold_next {
             worlds.push(self.tick(bounds, PASSES_AHEAD_IN_TIME));
         }
-        if bounds.has_deputy {
+        if bounds.has_standby {
             worlds.extend((0..bounds.ranks).map(|rank| self.standby_polls(rank, bounds)));
             worlds.push(self.complete_as_standby());
             worlds.push(self.end_hold(bounds));
@@ -153,8 +153,8 @@
     /// Delivers an order to its engine; an order to arm the held rank goes through the standby.
     fn carry_out(&mut self, rank: Rank, key: Key, bounds: Bounds) {
         match key {
-            Key::Arm(version, step) if bounds.has_deputy && rank == HOLDER => {
-                if self.deputy.may_arm(1, Switch { version, step }) {
+            Key::Arm(version, step) if bounds.has_standby && rank == HOLDER => {
+                if self.standby.may_arm(1, Switch { version, step }) {
                     self.orders.insert((rank, Key::ArmForwarded(version, step)));
                 } else {
                     self.orders.insert((rank, Key::Release(step)));
@@ -167,7 +167,10 @@
     /// Lets the standby end the hold by its observations, as if the leader were silent.
     fn end_hold(&self, bounds: Bounds) -> World {
         let mut world = self.clone();
-        let mut ended = self.holder.as_ref().and_then(|own| world.deputy.end(own));
+        let mut ended = self
+            .holder
+            .as_ref()
+            .and_then(|own| world.standby.end_hold(own));
         if bounds.injected == Some(Fault::EndsArmed) {
             ended = self.holder.as_ref().and_then(|own| own.held);
         }
@@ -205,7 +208,7 @@
         if rank == HOLDER {
             world.holder = Some(sight);
         } else {
-            world.deputy.see(&sight);
+            world.standby.see(&sight);
         }
         world
     }
@@ -216,18 +219,18 @@
         let Some(holder) = &self.holder else {
             return world;
         };
-        let orders = world.deputy.orders(holder).into_iter();
+        let orders = world.standby.orders(holder).into_iter();
         let keys = orders.map(|(rank, order)| (rank, Key::of(order)));
         world.orders.extend(keys);
         world
     }
 
     /// Notifies the standby of a hold that is among `orders`.
-    fn pledge(&mut self, version: Version, orders: &[(Rank, Order)]) {
+    fn announce_hold(&mut self, version: Version, orders: &[(Rank, Order)]) {
         let Some((_, Order::Hold(step))) = orders.first() else {
             return;
         };
-        let pledge = Pledge {
+        let notice = Notice {
             group: String::new(),
             epoch: 1,
             switch: Switch {
@@ -236,7 +239,7 @@
             },
             sidecars: Vec::new(),
         };
-        self.deputy.pledge(pledge, Duration::ZERO);
+        self.standby.announce_hold(notice, Duration::ZERO);
     }
 
     /// Lets the coordinator decide by its observations.
@@ -270,8 +273,8 @@
         let version = change.version();
         match change.advance(&seen, HOLDER, ahead) {
             Progress::Orders(orders) => {
-                if bounds.has_deputy {
-                    world.pledge(version, &orders);
+                if bounds.has_standby {
+                    world.announce_hold(version, &orders);
                 }
                 let keys = orders.iter().map(|(rank, order)| (*rank, Key::of(*order)));
                 world.orders.extend(keys);
--- a/crates/sidecar/src/leader.rs
+++ b/crates/sidecar/src/leader.rs
@@ -15,13 +15,13 @@
 use auburnline_lockstep::change::Order;
 use auburnline_lockstep::coordinator::LEADER;
 use auburnline_lockstep::coordinator::Service;
-use auburnline_lockstep::deputy::Pledge;
 use auburnline_lockstep::message::Busy;
 use auburnline_lockstep::message::Digest;
 use auburnline_lockstep::message::Members;
 use auburnline_lockstep::message::Show;
 use auburnline_lockstep::sight::Sight;
 use auburnline_lockstep::sight::Switch;
+use auburnline_lockstep::standby::Notice;
 use auburnline_lockstep::told::Note;
 use auburnline_lockstep::told::Send;
 
@@ -120,14 +120,14 @@
     }
 
     /// Returns the notice to the standby for the hold among `sends`; none if there is no hold.
-    pub(crate) fn pledge(&self, sends: &[Send], own: SocketAddr) -> Option<Pledge> {
+    pub(crate) fn hold_notice(&self, sends: &[Send], own: SocketAddr) -> Option<Notice> {
         let hold = sends.iter().find_map(|send| match send.order {
             Order::Hold(step) => Some((send.epoch, step)),
             Order::Prepare(_) | Order::Arm(_) | Order::Release(_) => None,
         });
         let (epoch, step) = hold?;
         let version = self.coordinator.changing()?;
-        Some(Pledge {
+        Some(Notice {
             group: self.group.clone(),
             epoch,
             switch: Switch { version, step },
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -14,12 +14,12 @@
 use auburnline_lockstep::asking::Asking;
 use auburnline_lockstep::change::Order;
 use auburnline_lockstep::coordinator::LEADER;
-use auburnline_lockstep::deputy::Deputy;
 use auburnline_lockstep::layout::Layout;
 use auburnline_lockstep::message::Members;
 use auburnline_lockstep::message::Show;
 use auburnline_lockstep::sight::Epoch;
 use auburnline_lockstep::sight::Version;
+use auburnline_lockstep::standby::Standby;
 use auburnline_lockstep::tally::Tally;
 use auburnline_lockstep::told::Turn;
 use tokio::net::UdpSocket;
@@ -81,7 +81,7 @@
     /// State of the own rank as last reported to the leader, and when.
     last_report: Option<(State, Monotonic)>,
     heartbeat_sent_at: Monotonic,
-    deputy: Deputy,
+    standby: Standby,
     /// Maps received with orders to prepare: the one in force, and the next.
     layouts: Vec<(Version, Layout)>,
     /// Receiver of the report that follows an order; none outside of that.
@@ -117,7 +117,7 @@
             fast_poll_until: Monotonic::ZERO,
             last_report: None,
             heartbeat_sent_at: Monotonic::ZERO,
-            deputy: Deputy::default(),
+            standby: Standby::default(),
             layouts: Vec::new(),
             report_to: None,
             turn: Turn::default(),
--- a/crates/sidecar/src/sidecar/following.rs
+++ b/crates/sidecar/src/sidecar/following.rs
@@ -94,29 +94,29 @@
 
     /// As the standby, ends a hold whose leader is silent, or completes the change if ranks may be armed.
     async fn act_as_standby(&mut self, own: &Sight, now: Monotonic) {
-        self.deputy.see(own);
-        let Some(pledge) = self.deputy.due(own, now).cloned() else {
+        self.standby.see(own);
+        let Some(notice) = self.standby.due_hold(own, now).cloned() else {
             return;
         };
         self.fast_poll_until = now + FAST_POLL_TIME_HOLD;
-        let group = pledge.group.as_str();
-        let epoch = pledge.epoch;
-        if let Some(step) = self.deputy.end(own) {
+        let group = notice.group.as_str();
+        let epoch = notice.epoch;
+        if let Some(step) = self.standby.end_hold(own) {
             log::info!(target: "experts", group, epoch, step; "hold ended, leader is silent");
             send_order(&self.engine, epoch, Order::Release(step), None).await;
             return;
         }
-        let orders = self.deputy.orders(own);
+        let orders = self.standby.orders(own);
         if !orders.is_empty() {
-            let step = pledge.switch.step;
+            let step = notice.switch.step;
             log::info!(target: "experts", group, epoch, step, orders = orders.len(); "standby completes the change, leader is silent");
         }
         for (rank, order) in orders {
             if rank == own.rank {
                 send_order(&self.engine, epoch, order, None).await;
-            } else if let Some((_, address)) = pledge.sidecars.iter().find(|(of, _)| *of == rank) {
+            } else if let Some((_, address)) = notice.sidecars.iter().find(|(of, _)| *of == rank) {
                 let command = Command {
-                    group: pledge.group.clone(),
+                    group: notice.group.clone(),
                     epoch,
                     order,
                     layout: None,
@@ -162,7 +162,7 @@
             return;
         }
         if let Order::Arm(switch) = command.order
-            && !self.deputy.may_arm(command.epoch, switch)
+            && !self.standby.may_arm(command.epoch, switch)
         {
             log::info!(target: "experts", group = command.group.as_str(), epoch = command.epoch, step = switch.step; "order to arm refused, the hold was ended");
             // The order that ended the hold may have been lost, and a leader that is back waits for this rank.
--- a/crates/sidecar/src/sidecar/leading.rs
+++ b/crates/sidecar/src/sidecar/leading.rs
@@ -9,8 +9,6 @@
 use auburnline_lockstep::collecting::receivers;
 use auburnline_lockstep::coordinator::LEADER;
 use auburnline_lockstep::coordinator::Service;
-use auburnline_lockstep::deputy::DEPUTY;
-use auburnline_lockstep::deputy::Pledge;
 use auburnline_lockstep::message::Ask;
 use auburnline_lockstep::message::Command;
 use auburnline_lockstep::message::Digest;
@@ -19,6 +17,8 @@
 use auburnline_lockstep::message::Lead as Heartbeat;
 use auburnline_lockstep::message::Message;
 use auburnline_lockstep::message::Show;
+use auburnline_lockstep::standby::Notice;
+use auburnline_lockstep::standby::STANDBY_RANK;
 use auburnline_lockstep::told::Send;
 use auburnline_lockstep::traffic::Link;
 use auburnline_lockstep::traffic::hops;
@@ -136,9 +136,9 @@
             return;
         };
         let sends = leader.tick(now);
-        let pledge = leader.pledge(&sends, self.settings.peers);
-        let pledge = pledge.zip(leader.address(DEPUTY));
-        self.notify_standby(pledge.as_ref()).await;
+        let notice = leader.hold_notice(&sends, self.settings.peers);
+        let notice = notice.zip(leader.address(STANDBY_RANK));
+        self.notify_standby(notice.as_ref()).await;
         // Other ranks first: a lost answer of the own engine would delay their orders.
         let (own, others): (Vec<_>, Vec<_>) =
             sends.into_iter().partition(|send| send.rank == LEADER);
@@ -159,12 +159,13 @@
         }
         // Repeated, because the first notice may have been lost and because the standby polls the held rank on a
         // repetition.
-        self.notify_standby(pledge.as_ref()).await;
+        self.notify_standby(notice.as_ref()).await;
     }
 
-    async fn notify_standby(&self, pledge: Option<&(Pledge, SocketAddr)>) {
-        if let Some((pledge, deputy)) = pledge {
-            self.send(&Message::Pledge(pledge.clone()), *deputy).await;
+    async fn notify_standby(&self, notice: Option<&(Notice, SocketAddr)>) {
+        if let Some((notice, standby)) = notice {
+            self.send(&Message::HoldNotice(notice.clone()), *standby)
+                .await;
         }
     }
 
--- a/crates/sidecar/src/sidecar/receiving.rs
+++ b/crates/sidecar/src/sidecar/receiving.rs
@@ -49,7 +49,7 @@
             }
             Message::Lead(heartbeat) => {
                 if self.group.as_ref() == Some(&heartbeat.group) {
-                    self.deputy.heard(now);
+                    self.standby.record_heartbeat(now);
                     self.known_leader = Some(KnownLeader {
                         address: from,
                         heard: now,
@@ -62,7 +62,7 @@
                 if let Some(leader) = &mut self.leader {
                     leader.see(show, Some(from), now);
                 } else if self.group.as_ref() == Some(&show.group) {
-                    self.deputy.see(&show.sight);
+                    self.standby.see(&show.sight);
                 }
             }
             Message::Counts(counts) => {
@@ -80,9 +80,9 @@
                     self.execute(command, from).await;
                 }
             }
-            Message::Pledge(pledge) => {
-                if self.group.as_ref() == Some(&pledge.group) {
-                    let is_known = self.deputy.pledge(pledge, now);
+            Message::HoldNotice(notice) => {
+                if self.group.as_ref() == Some(&notice.group) {
+                    let is_known = self.standby.announce_hold(notice, now);
                     self.fast_poll_until = self.fast_poll_until.max(now + FAST_POLL_TIME_HOLD);
                     if is_known {
                         self.poll().await;
