--- a/crates/gateway/src/choice.rs
+++ b/crates/gateway/src/choice.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use auburnline_core::time::Monotonic;
-use auburnline_lockstep::sight::slowness;
+use auburnline_lockstep::rank::slowdown;
 use auburnline_quota::Rate;
 use rand::Rng;
 use rand::seq::IteratorRandom as _;
@@ -110,7 +110,7 @@
             Preference::EvenLoad => {
                 // A slow rank's part of a pass is longer even before it runs anything, and all
                 // other ranks wait for it.
-                let slowness = usage.told.map_or(1.0, |load| slowness(load.pace));
+                let slowness = usage.told.map_or(1.0, |load| slowdown(load.pace));
                 load * slowness + (slowness - 1.0) * slots + failures
             }
             Preference::ShortestTime => (load + 1.0) * member.slowness(shortest, now) + failures,
--- a/crates/gateway/src/moving.rs
+++ b/crates/gateway/src/moving.rs
@@ -1,7 +1,7 @@
 //! Decides when a stream should move to another rank.
 
 use auburnline_core::time::Monotonic;
-use auburnline_lockstep::sight::slowness;
+use auburnline_lockstep::rank::slowdown;
 
 use crate::gateway::Gateway;
 use crate::request::Plan;
@@ -36,7 +36,7 @@
         let ranks = ranks.filter(|usage| self.group_of(usage.upstream) == group);
         let paces = ranks.filter_map(|usage| usage.told).map(|load| load.pace);
         let least = paces.min().unwrap_or(load.pace);
-        let slower = slowness(load.pace) - slowness(least);
+        let slower = slowdown(load.pace) - slowdown(least);
         engine.base().mul_f64(slower) > longest.mul_f64(MAX_WAIT_FRACTION)
     }
 
--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/pace.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use auburnline_core::time::Monotonic;
-use auburnline_lockstep::sight::USUAL_PACE;
-use auburnline_lockstep::sight::slowness;
+use auburnline_lockstep::rank::NOMINAL_SLOWDOWN_PERCENT;
+use auburnline_lockstep::rank::slowdown;
 
 use crate::caution;
 use crate::caution::Caution;
@@ -92,7 +92,7 @@
             factor: INITIAL_FACTOR,
             recent: INITIAL_FACTOR,
             caution: Caution::default(),
-            slowest: USUAL_PACE,
+            slowest: NOMINAL_SLOWDOWN_PERCENT,
             seen_at: None,
             mean_pass: 0.0,
         }
@@ -109,7 +109,7 @@
         load: Load,
         now: Monotonic,
     ) {
-        let slowest = load.slowest.max(USUAL_PACE);
+        let slowest = load.slowest.max(NOMINAL_SLOWDOWN_PERCENT);
         if slowest.abs_diff(self.slowest) > PACE_TOLERANCE {
             // Passes changed because a rank turned slow or recovered, which says nothing about
             // future shifts of demand.
@@ -186,7 +186,7 @@
 /// Returns the seconds of a pass without requests: those of the slowest busy rank, for which all
 /// others wait.
 fn base(engine: &Engine, load: Load) -> f64 {
-    engine.base().as_secs_f64() * slowness(load.slowest_busy)
+    engine.base().as_secs_f64() * slowdown(load.slowest_busy)
 }
 
 /// Returns the seconds that one request adds to a pass if the work is spread evenly over the ranks.
--- a/crates/gateway/src/report.rs
+++ b/crates/gateway/src/report.rs
@@ -11,7 +11,7 @@
 
 use auburnline_core::time::Monotonic;
 use auburnline_lockstep::message::Digest;
-use auburnline_lockstep::sight::USUAL_PACE;
+use auburnline_lockstep::rank::NOMINAL_SLOWDOWN_PERCENT;
 
 /// Age from which a report is ignored; by then two reports of the leader are missing.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
@@ -54,8 +54,8 @@
         for reported in &digest.engines {
             let report = self.0.entry(reported.engine).or_default();
             report.requests = reported.requests;
-            has_slowed |= reported.pace > report.pace.max(USUAL_PACE);
-            report.pace = reported.pace;
+            has_slowed |= reported.slowdown_percent > report.pace.max(NOMINAL_SLOWDOWN_PERCENT);
+            report.pace = reported.slowdown_percent;
             report.heard = now;
             report.sent_before = report.sent_since / UNSEEN_DIVISOR;
             report.sent_since = 0;
--- a/crates/gateway/tests/all/group.rs
+++ b/crates/gateway/tests/all/group.rs
@@ -11,7 +11,7 @@
     let busy = |port: &u16| Busy {
         engine: ([10, 0, 0, 1], *port).into(),
         requests: 0,
-        pace: 100,
+        slowdown_percent: 100,
     };
     Digest {
         service: "model".to_owned(),
--- a/crates/gateway/tests/all/limit.rs
+++ b/crates/gateway/tests/all/limit.rs
@@ -59,7 +59,7 @@
         let busy = |rank| Busy {
             engine: address(rank),
             requests: 0,
-            pace: 100,
+            slowdown_percent: 100,
         };
         let digest = Digest {
             service: "model".to_owned(),
@@ -209,10 +209,10 @@
 
 /// Delivers a report of the first group's leader that its first rank is slow.
 pub(crate) fn slow_down(gateway: &mut Gateway, now: u64) {
-    let busy = |rank, pace| Busy {
+    let busy = |rank, slowdown_percent| Busy {
         engine: address(rank),
         requests: 3,
-        pace,
+        slowdown_percent,
     };
     let slowed = Digest {
         service: "model".to_owned(),
--- a/crates/gateway/tests/all/load.rs
+++ b/crates/gateway/tests/all/load.rs
@@ -35,7 +35,7 @@
     let busy = |rank| Busy {
         engine: engine(group, rank),
         requests,
-        pace: 100,
+        slowdown_percent: 100,
     };
     Digest {
         service: "model".to_owned(),
@@ -268,7 +268,7 @@
 /// whether a rank turned slow.
 fn report_pace(gateway: &mut Gateway, pace: u16, requests: u32, now: u64) -> bool {
     let mut digest = digest(0, 5);
-    digest.engines[7].pace = pace;
+    digest.engines[7].slowdown_percent = pace;
     digest.engines[7].requests = requests;
     gateway.hear(&digest, millis(now)).has_slowed
 }
@@ -327,7 +327,7 @@
     deliver_heartbeats(&mut gateway, 2, 1_000);
     let mut digest = digest(0, 5);
     for busy in &mut digest.engines {
-        busy.pace = 400;
+        busy.slowdown_percent = 400;
     }
     gateway.hear(&digest, millis(1_000));
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 1_000).expect("a plan");
--- a/crates/lockstep/examples/cost.rs
+++ b/crates/lockstep/examples/cost.rs
@@ -17,8 +17,8 @@
 use auburnline_lockstep::layout::Shape;
 use auburnline_lockstep::plan::Scope;
 use auburnline_lockstep::plan::plan;
-use auburnline_lockstep::sight::Sight;
-use auburnline_lockstep::sight::USUAL_PACE;
+use auburnline_lockstep::rank::NOMINAL_SLOWDOWN_PERCENT;
+use auburnline_lockstep::rank::State;
 use auburnline_lockstep::traffic::Link;
 use rand::Rng as _;
 use rand::SeedableRng as _;
@@ -60,8 +60,8 @@
     (0..shape.layers).flat_map(|_| layer(rng)).collect()
 }
 
-fn sight(rank: Rank, size: Rank, step: u64, prepared: Option<u64>) -> Sight {
-    Sight {
+fn state(rank: Rank, size: Rank, step: u64, prepared: Option<u64>) -> State {
+    State {
         rank,
         size,
         epoch: 1,
@@ -74,7 +74,7 @@
         held: None,
         running: 3,
         waiting: 0,
-        pace: USUAL_PACE,
+        slowdown_percent: NOMINAL_SLOWDOWN_PERCENT,
     }
 }
 
@@ -103,7 +103,7 @@
         now += Duration::from_millis(100);
         for rank in 0..ranks {
             let prepared = version.filter(|_| rank < ranks / 2);
-            coordinator.see(sight(rank, ranks, turn, prepared), &counts, None, now);
+            coordinator.see(state(rank, ranks, turn, prepared), &counts, None, now);
         }
         for send in coordinator.tick(now) {
             if let Order::Prepare(ordered) = send.order {
@@ -115,7 +115,7 @@
         }
     }
     assert!(version.is_some(), "no change was started");
-    let report = mean(|| coordinator.see(sight(0, ranks, 50, version), &counts, None, now));
+    let report = mean(|| coordinator.see(state(0, ranks, 50, version), &counts, None, now));
     let tick = mean(|| {
         now += Duration::from_millis(1);
         let _ = coordinator.tick(now);
--- a/crates/lockstep/src/change.rs
+++ b/crates/lockstep/src/change.rs
@@ -18,10 +18,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::sight::Epoch;
-use crate::sight::Sight;
-use crate::sight::Switch;
-use crate::sight::Version;
+use crate::rank::Epoch;
+use crate::rank::State;
+use crate::rank::Switch;
+use crate::rank::Version;
 
 /// Order to one rank; all are idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -84,23 +84,23 @@
         }
     }
 
-    /// Reconstructs the change in progress from `sights`, one of each rank; none if no rank is armed and no hold
+    /// Reconstructs the change in progress from `states`, one of each rank; none if no rank is armed and no hold
     /// stands with all ranks prepared for one map.
     ///
     /// `holder` is the rank that is held.
     #[must_use]
-    pub fn recover(sights: &[&Sight], holder: Rank, floor: Step) -> Option<Change> {
-        let epoch = sights.first()?.epoch;
-        let armed = sights.iter().find_map(|sight| sight.armed);
-        let holding = sights.iter().find(|sight| sight.rank == holder)?.held;
+    pub fn recover(states: &[&State], holder: Rank, floor: Step) -> Option<Change> {
+        let epoch = states.first()?.epoch;
+        let armed = states.iter().find_map(|state| state.armed);
+        let holding = states.iter().find(|state| state.rank == holder)?.held;
         let step = armed.map(|armed| armed.step).or(holding)?;
         let version = match armed {
             Some(armed) => armed.version,
             // A hold is ordered only once all ranks are prepared, so they agree on the version.
-            None => common_prepared(sights)?,
+            None => common_prepared(states)?,
         };
         let switch = Switch { version, step };
-        let phase = if unarmed(sights, switch).next().is_none() {
+        let phase = if unarmed(states, switch).next().is_none() {
             Phase::Releasing(step)
         } else if holding == Some(step) {
             Phase::Arming(step)
@@ -141,22 +141,22 @@
 
     /// Advances the change by the state of all ranks and returns the next action.
     ///
-    /// `sights` holds one state of each rank; `ahead` is how many passes after the newest one seen to place a
+    /// `states` holds one state of each rank; `ahead` is how many passes after the newest one seen to place a
     /// hold.
     #[must_use]
-    pub fn advance(&mut self, sights: &[&Sight], holder: Rank, ahead: Step) -> Progress {
-        if sights.iter().any(|sight| sight.epoch != self.epoch) {
+    pub fn advance(&mut self, states: &[&State], holder: Rank, ahead: Step) -> Progress {
+        if states.iter().any(|state| state.epoch != self.epoch) {
             return Progress::Aborted;
         }
-        let Some(held) = sights.iter().find(|sight| sight.rank == holder) else {
+        let Some(held) = states.iter().find(|state| state.rank == holder) else {
             return Progress::Aborted;
         };
         if let Some(step) = self.orphaned_hold(held) {
             return orders(&[holder], Order::Release(step));
         }
-        let newest = sights.iter().map(|sight| sight.step).max().unwrap_or(0);
+        let newest = states.iter().map(|state| state.step).max().unwrap_or(0);
         if self.phase == Phase::Preparing {
-            let waiting: Vec<_> = self.unprepared(sights).collect();
+            let waiting: Vec<_> = self.unprepared(states).collect();
             if !waiting.is_empty() {
                 return orders(&waiting, Order::Prepare(self.version));
             }
@@ -191,7 +191,7 @@
             if held.armed != Some(switch) && !is_switched {
                 return orders(&[holder], Order::Arm(switch));
             }
-            let waiting: Vec<_> = unarmed(sights, switch).collect();
+            let waiting: Vec<_> = unarmed(states, switch).collect();
             if !waiting.is_empty() {
                 return orders(&waiting, Order::Arm(switch));
             }
@@ -203,7 +203,7 @@
         if held.held == Some(step) {
             return orders(&[holder], Order::Release(step));
         }
-        let is_in_force = sights.iter().all(|sight| sight.version == self.version);
+        let is_in_force = states.iter().all(|state| state.version == self.version);
         if is_in_force {
             Progress::Done
         } else {
@@ -216,7 +216,7 @@
     ///
     /// Such a hold comes from a late order of a coordinator that ended before it saw the hold, so no rank was
     /// armed for that pass. If it were not released, it would stop the group for good.
-    fn orphaned_hold(&self, holder: &Sight) -> Option<Step> {
+    fn orphaned_hold(&self, holder: &State) -> Option<Step> {
         let is_orphaned = |step: &Step| match self.phase {
             Phase::Preparing => true,
             // Once all are armed, an earlier pass may begin.
@@ -227,35 +227,35 @@
         holder.held.filter(is_orphaned)
     }
 
-    fn unprepared(&self, sights: &[&Sight]) -> impl Iterator<Item = Rank> {
+    fn unprepared(&self, states: &[&State]) -> impl Iterator<Item = Rank> {
         let version = Some(self.version);
-        let waiting = sights.iter().filter(move |sight| sight.prepared != version);
-        waiting.map(|sight| sight.rank)
+        let waiting = states.iter().filter(move |state| state.prepared != version);
+        waiting.map(|state| state.rank)
     }
 }
 
 /// Returns a held pass from which no change can be resumed, given that no change is in progress.
 #[must_use]
-pub fn orphaned_hold(sights: &[&Sight], holder: Rank) -> Option<Step> {
-    let is_armed = sights.iter().any(|sight| sight.armed.is_some());
-    if is_armed || Change::recover(sights, holder, 0).is_some() {
+pub fn orphaned_hold(states: &[&State], holder: Rank) -> Option<Step> {
+    let is_armed = states.iter().any(|state| state.armed.is_some());
+    if is_armed || Change::recover(states, holder, 0).is_some() {
         return None;
     }
-    sights.iter().find(|sight| sight.rank == holder)?.held
+    states.iter().find(|state| state.rank == holder)?.held
 }
 
-fn unarmed(sights: &[&Sight], switch: Switch) -> impl Iterator<Item = Rank> {
-    let waiting = sights.iter().filter(move |sight| {
-        let is_armed = sight.armed == Some(switch);
-        let is_switched = sight.version == switch.version;
+fn unarmed(states: &[&State], switch: Switch) -> impl Iterator<Item = Rank> {
+    let waiting = states.iter().filter(move |state| {
+        let is_armed = state.armed == Some(switch);
+        let is_switched = state.version == switch.version;
         !is_armed && !is_switched
     });
-    waiting.map(|sight| sight.rank)
+    waiting.map(|state| state.rank)
 }
 
-fn common_prepared(sights: &[&Sight]) -> Option<Version> {
-    let version = sights.first()?.prepared?;
-    let all = sights.iter().all(|sight| sight.prepared == Some(version));
+fn common_prepared(states: &[&State]) -> Option<Version> {
+    let version = states.first()?.prepared?;
+    let all = states.iter().all(|state| state.prepared == Some(version));
     all.then_some(version)
 }
 
--- a/crates/lockstep/src/coordinator.rs
+++ b/crates/lockstep/src/coordinator.rs
@@ -27,10 +27,10 @@
 use crate::outstanding::Outstanding;
 use crate::passes::Passes;
 use crate::popularity::Popularity;
-use crate::sight::Epoch;
-use crate::sight::Sight;
-use crate::sight::USUAL_PACE;
-use crate::sight::Version;
+use crate::rank::Epoch;
+use crate::rank::NOMINAL_SLOWDOWN_PERCENT;
+use crate::rank::State;
+use crate::rank::Version;
 use crate::told::Note;
 use crate::told::Send;
 use crate::traffic::Link;
@@ -50,12 +50,12 @@
 /// Time to arm all ranks on a small share of a core: four messages and one poll of each rank.
 const ARM_TIME: Duration = Duration::from_millis(45);
 
-/// Increase of a rank's pace, in hundredths, above which it counts as a new straggler.
-const STRAGGLER_PACE_RISE: u16 = 30;
+/// Increase of a rank's slowdown in percent, above which it counts as a new straggler.
+const STRAGGLER_PERCENT_RISE: u16 = 30;
 
 #[derive(Clone, Debug)]
 struct Member {
-    sight: Sight,
+    state: State,
     seen: Monotonic,
     held: Option<Vec<Vec<Expert>>>,
 }
@@ -143,7 +143,7 @@
     /// Returns whether all ranks were seen and report that the group serves.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        self.has_all_ranks() && self.members.values().all(|member| member.sight.is_open)
+        self.has_all_ranks() && self.members.values().all(|member| member.state.is_open)
     }
 
     /// Returns the map version of the change in progress.
@@ -161,15 +161,15 @@
     /// experts that it holds, if reported.
     pub fn see(
         &mut self,
-        sight: Sight,
+        state: State,
         activations: &[u32],
         held: Option<Vec<Vec<Expert>>>,
         now: Monotonic,
     ) {
-        if self.epoch.is_none_or(|epoch| sight.epoch > epoch) {
-            self.start_epoch(sight.epoch);
+        if self.epoch.is_none_or(|epoch| state.epoch > epoch) {
+            self.start_epoch(state.epoch);
         }
-        if self.epoch != Some(sight.epoch) {
+        if self.epoch != Some(state.epoch) {
             return;
         }
         let is_complete = activations.len() == self.shape.layers * self.shape.experts;
@@ -181,12 +181,12 @@
             self.planned_at = Monotonic::ZERO;
             self.stage = Stage::Immediate;
         }
-        self.passes.observe(sight.step, now);
-        let before = self.members.remove(&sight.rank);
-        let known = before
-            .as_ref()
-            .map_or(USUAL_PACE, |member| member.sight.pace);
-        if sight.pace > known.saturating_add(STRAGGLER_PACE_RISE) {
+        self.passes.observe(state.step, now);
+        let before = self.members.remove(&state.rank);
+        let known = before.as_ref().map_or(NOMINAL_SLOWDOWN_PERCENT, |member| {
+            member.state.slowdown_percent
+        });
+        if state.slowdown_percent > known.saturating_add(STRAGGLER_PERCENT_RISE) {
             // All other ranks wait for it, as after a shift of demand.
             self.planned_at = Monotonic::ZERO;
             self.stage = Stage::FollowUp;
@@ -195,9 +195,9 @@
         let member = Member {
             held,
             seen: now,
-            sight,
+            state,
         };
-        self.members.insert(member.sight.rank, member);
+        self.members.insert(member.state.rank, member);
     }
 
     /// Records that a rank's engine restarted under its id. It has lost its earlier state, so all ranks must
@@ -237,7 +237,7 @@
             self.resume(now);
         }
         if self.change.is_none() {
-            if let Some(step) = orphaned_hold(&self.sights(), HOLDER) {
+            if let Some(step) = orphaned_hold(&self.states(), HOLDER) {
                 return self.release_orphaned_hold(step, now);
             }
             self.start_change(now);
@@ -249,14 +249,14 @@
     /// that this coordinator sees first.
     fn init_floor(&mut self) {
         if self.floor == 0 {
-            let steps = self.members.values().map(|member| member.sight.step);
+            let steps = self.members.values().map(|member| member.state.step);
             self.floor = steps.max().unwrap_or(0) + PASSES_AHEAD;
         }
     }
 
     /// Returns whether every rank of the group was seen.
     fn has_all_ranks(&self) -> bool {
-        let size = self.members.values().next().map(|member| member.sight.size);
+        let size = self.members.values().next().map(|member| member.state.size);
         size.is_some_and(|size| self.members.len() == usize::from(size))
     }
 
@@ -270,18 +270,18 @@
         }
     }
 
-    fn sights(&self) -> Vec<&Sight> {
-        self.members.values().map(|member| &member.sight).collect()
+    fn states(&self) -> Vec<&State> {
+        self.members.values().map(|member| &member.state).collect()
     }
 
     /// Determines the layout in force once all ranks report the same version.
     fn update_in_force(&mut self) {
-        let sights = self.sights();
-        let Some(first) = sights.first() else {
+        let states = self.states();
+        let Some(first) = states.first() else {
             return;
         };
         let version = first.version;
-        if sights.iter().any(|sight| sight.version != version) {
+        if states.iter().any(|state| state.version != version) {
             return;
         }
         if self
@@ -318,7 +318,7 @@
     }
 
     fn resume(&mut self, now: Monotonic) {
-        let Some(change) = Change::recover(&self.sights(), HOLDER, self.floor) else {
+        let Some(change) = Change::recover(&self.states(), HOLDER, self.floor) else {
             return;
         };
         self.notes
--- a/crates/lockstep/src/coordinator/ordering.rs
+++ b/crates/lockstep/src/coordinator/ordering.rs
@@ -13,7 +13,7 @@
 use crate::coordinator::HOLDER;
 use crate::coordinator::planning::Stage;
 use crate::outstanding::Observation;
-use crate::sight::Epoch;
+use crate::rank::Epoch;
 use crate::told::Note;
 use crate::told::Send;
 
@@ -39,7 +39,7 @@
             self.next = None;
             return Vec::new();
         }
-        let progress = change.advance(&self.sights(), HOLDER, self.passes_ahead(now));
+        let progress = change.advance(&self.states(), HOLDER, self.passes_ahead(now));
         let (epoch, version) = (change.epoch(), change.version());
         match progress {
             Progress::Orders(orders) => {
@@ -70,7 +70,7 @@
         let member = self.members.get(&rank);
         let observed = member.map(|member| Observation {
             at: member.seen,
-            is_busy: member.sight.is_busy,
+            is_busy: member.state.is_busy,
         });
         self.outstanding
             .is_due(rank, order, self.copy_time, observed, now)
--- a/crates/lockstep/src/coordinator/planning.rs
+++ b/crates/lockstep/src/coordinator/planning.rs
@@ -12,8 +12,8 @@
 use crate::plan::Plan;
 use crate::plan::Scope;
 use crate::plan::plan;
-use crate::sight::Sight;
-use crate::sight::Version;
+use crate::rank::State;
+use crate::rank::Version;
 use crate::told::Note;
 
 /// Age of the last report beyond which a rank counts as unreachable.
@@ -80,10 +80,10 @@
         let known = self.in_force.as_ref()?;
         let shares = self.popularity.shares()?;
         self.planned_at = now;
-        let slowness = self.slowness();
+        let slowdown = self.slowdown();
         let requests = self.requests_per_rank();
         let skew = known.layout.skew(&shares);
-        if self.cost.is_short(requests * max_slowdown(&slowness), skew) {
+        if self.cost.is_short(requests * max_slowdown(&slowdown), skew) {
             return None;
         }
         let work = self.cost.expert_work(requests);
@@ -96,7 +96,7 @@
                 &self.shape,
                 stage.scope(),
                 work,
-                &slowness,
+                &slowdown,
             );
             if found.is_some() || stage == Stage::Steady {
                 return found;
@@ -115,21 +115,21 @@
     /// Returns whether all ranks are reachable and serve on the map in force, with no change in progress.
     fn is_idle(&self, now: Monotonic) -> bool {
         let version = self.in_force.as_ref().map(|known| known.version);
-        let mut sights = self.members.values().map(|member| &member.sight);
-        let is_still = |sight: &Sight| {
-            let is_free = sight.armed.is_none() && sight.held.is_none() && !sight.is_busy;
-            is_free && sight.is_open && Some(sight.version) == version
+        let mut states = self.members.values().map(|member| &member.state);
+        let is_still = |state: &State| {
+            let is_free = state.armed.is_none() && state.held.is_none() && !state.is_busy;
+            is_free && state.is_open && Some(state.version) == version
         };
-        self.is_in_reach(now) && sights.all(is_still)
+        self.is_in_reach(now) && states.all(is_still)
     }
 
     /// Returns a version above all that were seen and all that a previous coordinator chose. Its orders may
     /// arrive late and must be refused then.
     fn next_version(&self, now: Monotonic) -> Version {
-        let sights = self.members.values().map(|member| &member.sight);
-        let newest = sights.flat_map(|sight| {
-            let armed = sight.armed.map(|armed| armed.version);
-            [Some(sight.version), sight.prepared, armed]
+        let states = self.members.values().map(|member| &member.state);
+        let newest = states.flat_map(|state| {
+            let armed = state.armed.map(|armed| armed.version);
+            [Some(state.version), state.prepared, armed]
         });
         let newest = newest.flatten().max().unwrap_or(0);
         let time = u64::try_from((self.started + now).as_millis());
--- a/crates/lockstep/src/layout.rs
+++ b/crates/lockstep/src/layout.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::sight::Version;
+use crate::rank::Version;
 use crate::to_f64;
 
 /// Most cells of an initial map that is built from a message: well over 58 layers of 256 experts, and a bound on the
--- a/crates/lockstep/src/lib.rs
+++ b/crates/lockstep/src/lib.rs
@@ -25,7 +25,7 @@
 pub mod passes;
 pub mod plan;
 pub mod popularity;
-pub mod sight;
+pub mod rank;
 pub mod standby;
 pub mod tally;
 pub mod told;
--- a/crates/lockstep/src/message.rs
+++ b/crates/lockstep/src/message.rs
@@ -11,8 +11,8 @@
 use crate::cost::Cost;
 use crate::layout::Parcel;
 use crate::layout::Shape;
-use crate::sight::Epoch;
-use crate::sight::Sight;
+use crate::rank::Epoch;
+use crate::rank::State;
 use crate::standby::Notice;
 
 /// Query of a sidecar to a gateway for the members of a service.
@@ -65,15 +65,15 @@
     }
 }
 
-/// Load and pace of one engine of a group.
+/// Load and slowdown of one engine of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Busy {
     /// Address of the engine.
     pub engine: SocketAddr,
     /// Requests that run or wait at it.
     pub requests: u32,
-    /// Slowdown factor of its part of a pass, in hundredths.
-    pub pace: u16,
+    /// Slowdown factor of its part of a pass, in percent; 100 if it is not slow.
+    pub slowdown_percent: u16,
 }
 
 /// Digest of a group's state, from its leader to gateways.
@@ -119,7 +119,7 @@
     /// Name of the group.
     pub group: String,
     /// State of the rank.
-    pub sight: Sight,
+    pub state: State,
     /// Failure domain of its instance.
     pub failure_domain: FailureDomainId,
     /// Expert activations since the last report, layer by layer; empty if there are none.
--- a/crates/lockstep/src/plan.rs
+++ b/crates/lockstep/src/plan.rs
@@ -88,13 +88,13 @@
         shares: &[f64],
         shape: &Shape,
         max_changes: usize,
-        slowness: &[f64],
+        slowdown: &[f64],
     ) -> LayerSearch {
         let start = padded(held, shares, shape.places);
         let ranks = held.len();
         let sum: f64 = shares.iter().sum();
         let mean = sum / to_f64(ranks.max(1));
-        let outlook = outlook(shares, slowness);
+        let outlook = outlook(shares, slowdown);
         let path = search::improve(&start, ranks, outlook, max_changes);
         LayerSearch {
             start,
@@ -129,7 +129,7 @@
 }
 
 /// Returns the layout that is worth a change from `before` under `shares`; none if there is none. The experts' part
-/// of a pass would take `work` if it were spread evenly over all ranks, and each rank takes `slowness` times as long
+/// of a pass would take `work` if it were spread evenly over all ranks, and each rank takes `slowdown` times as long
 /// for its own part.
 #[must_use]
 pub fn plan(
@@ -138,7 +138,7 @@
     shape: &Shape,
     scope: &Scope,
     work: Duration,
-    slowness: &[f64],
+    slowdown: &[f64],
 ) -> Option<Plan> {
     let skew_of = |time: Duration| time.as_secs_f64() / work.as_secs_f64().max(f64::EPSILON);
     let min_gain_per_copy = skew_of(scope.min_gain_per_copy);
@@ -147,7 +147,7 @@
         .0
         .iter()
         .zip(shares)
-        .map(|(held, shares)| LayerSearch::new(held, shares, shape, scope.max_changes, slowness))
+        .map(|(held, shares)| LayerSearch::new(held, shares, shape, scope.max_changes, slowdown))
         .collect();
     let skew_before = skew(&searches);
     let mut candidate = Candidate::new(before, shape, scope.max_copy_time);
@@ -260,9 +260,9 @@
 
 /// Returns the objective of the search of a layer. Empty places are allowed only if a rank is slow; otherwise one
 /// more replica evens out the loads.
-fn outlook<'a>(shares: &'a [f64], slowness: &'a [f64]) -> Outlook<'a> {
-    let outlook = Outlook::steady(shares).slowed(slowness);
-    if slowness.iter().any(|times| *times > 1.0) {
+fn outlook<'a>(shares: &'a [f64], slowdown: &'a [f64]) -> Outlook<'a> {
+    let outlook = Outlook::steady(shares).slowed(slowdown);
+    if slowdown.iter().any(|times| *times > 1.0) {
         outlook.with_empty_places()
     } else {
         outlook
--- a/crates/lockstep/src/sight.rs
+++ b/crates/lockstep/src/rank.rs
@@ -5,8 +5,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Pace of a rank that is not slow, in hundredths.
-pub const USUAL_PACE: u16 = 100;
+/// Slowdown of a rank that is not slow, in percent.
+pub const NOMINAL_SLOWDOWN_PERCENT: u16 = 100;
 
 /// Version of a map; it only grows within an epoch.
 pub type Version = u64;
@@ -24,7 +24,7 @@
 
 /// State of one rank, as its engine reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Sight {
+pub struct State {
     /// Index of the rank in its group.
     pub rank: Rank,
     /// Number of ranks in its group.
@@ -49,20 +49,20 @@
     pub running: u32,
     /// Number of waiting requests.
     pub waiting: u32,
-    /// Slowdown factor of its part of a pass, in hundredths; 100 if it is not slow.
-    pub pace: u16,
+    /// Slowdown factor of its part of a pass, in percent; 100 if it is not slow.
+    pub slowdown_percent: u16,
 }
 
-impl Sight {
+impl State {
     /// Returns the slowdown factor of the rank's part of a pass; 1 if it is not slow.
     #[must_use]
-    pub fn slowness(&self) -> f64 {
-        slowness(self.pace)
+    pub fn slowdown(&self) -> f64 {
+        slowdown(self.slowdown_percent)
     }
 }
 
-/// Converts a pace in hundredths to a slowdown factor of at least 1.
+/// Converts a slowdown in percent to a slowdown factor of at least 1.
 #[must_use]
-pub fn slowness(pace: u16) -> f64 {
-    f64::from(pace.max(USUAL_PACE)) / f64::from(USUAL_PACE)
+pub fn slowdown(percent: u16) -> f64 {
+    f64::from(percent.max(NOMINAL_SLOWDOWN_PERCENT)) / f64::from(NOMINAL_SLOWDOWN_PERCENT)
 }
--- a/crates/lockstep/src/standby.rs
+++ b/crates/lockstep/src/standby.rs
@@ -22,9 +22,9 @@
 
 use crate::change::Order;
 use crate::coordinator::HOLDER;
-use crate::sight::Epoch;
-use crate::sight::Sight;
-use crate::sight::Switch;
+use crate::rank::Epoch;
+use crate::rank::State;
+use crate::rank::Switch;
 
 /// Rank whose sidecar is the standby.
 pub const STANDBY_RANK: Rank = HOLDER;
@@ -100,7 +100,7 @@
     }
 
     /// Ends the announced hold if no rank can be armed for it; returns the pass to release at the own rank.
-    pub fn end_hold(&mut self, own: &Sight) -> Option<Step> {
+    pub fn end_hold(&mut self, own: &State) -> Option<Step> {
         let notice = self.notice.as_ref()?;
         let step = notice.switch.step;
         let is_held = own.epoch == notice.epoch && own.held == Some(step);
@@ -121,7 +121,7 @@
     /// Returns the announced hold that the standby must act on now, because the leader is silent and the own rank has
     /// not reached the held pass.
     #[must_use]
-    pub fn due_hold(&mut self, own: &Sight, now: Monotonic) -> Option<&Notice> {
+    pub fn due_hold(&mut self, own: &State, now: Monotonic) -> Option<&Notice> {
         let silent = now.saturating_sub(self.heard);
         let is_over = |notice: &Notice| {
             own.epoch != notice.epoch || own.step >= notice.switch.step || silent > NOTICE_LIFETIME
@@ -131,20 +131,20 @@
     }
 
     /// Records the state of a rank.
-    pub fn see(&mut self, sight: &Sight) {
+    pub fn see(&mut self, state: &State) {
         let Some(notice) = &self.notice else {
             return;
         };
-        let is_armed = sight.armed == Some(notice.switch);
-        let is_switched = sight.version == notice.switch.version;
-        if sight.epoch == notice.epoch && (is_armed || is_switched) {
-            self.armed.insert(sight.rank);
+        let is_armed = state.armed == Some(notice.switch);
+        let is_switched = state.version == notice.switch.version;
+        if state.epoch == notice.epoch && (is_armed || is_switched) {
+            self.armed.insert(state.rank);
         }
     }
 
     /// Returns the orders that complete the change, given the state of the own rank.
     #[must_use]
-    pub fn orders(&mut self, holder: &Sight) -> Vec<(Rank, Order)> {
+    pub fn orders(&mut self, holder: &State) -> Vec<(Rank, Order)> {
         self.see(holder);
         let Some(notice) = &self.notice else {
             return Vec::new();
--- a/crates/lockstep/src/tally.rs
+++ b/crates/lockstep/src/tally.rs
@@ -4,7 +4,7 @@
 //! others and send the sums with their own. While such an aggregator is gone, the leader learns of demand from the
 //! remaining ranks.
 
-use crate::sight::Epoch;
+use crate::rank::Epoch;
 
 /// Summed counts, by layer and expert, that were not sent on yet.
 #[derive(Clone, Debug, Default)]
--- a/crates/lockstep/src/told.rs
+++ b/crates/lockstep/src/told.rs
@@ -10,8 +10,8 @@
 use crate::layout::Layout;
 use crate::layout::Parcel;
 use crate::plan::Plan;
-use crate::sight::Epoch;
-use crate::sight::Version;
+use crate::rank::Epoch;
+use crate::rank::Version;
 
 /// An order to send to a rank.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/lockstep/tests/all/change.rs
+++ b/crates/lockstep/tests/all/change.rs
@@ -4,8 +4,8 @@
 use auburnline_lockstep::change::Order;
 use auburnline_lockstep::change::Phase;
 use auburnline_lockstep::change::Progress;
-use auburnline_lockstep::sight::Sight;
-use auburnline_lockstep::sight::Switch;
+use auburnline_lockstep::rank::State;
+use auburnline_lockstep::rank::Switch;
 use googletest::prelude::*;
 
 use crate::support::Engine;
@@ -15,11 +15,11 @@
     step: 12,
 };
 
-fn sights(engines: &[Engine]) -> Vec<Sight> {
+fn states(engines: &[Engine]) -> Vec<State> {
     let size = u16::try_from(engines.len()).expect("few ranks");
     let ranks = engines.iter().zip(0..);
     ranks
-        .map(|(engine, rank)| engine.sight(rank, size, 10))
+        .map(|(engine, rank)| engine.state(rank, size, 10))
         .collect()
 }
 
@@ -32,8 +32,8 @@
 }
 
 fn advance(change: &mut Change, engines: &[Engine]) -> Progress {
-    let sights = sights(engines);
-    change.advance(&sights.iter().collect::<Vec<_>>(), 0, 2)
+    let states = states(engines);
+    change.advance(&states.iter().collect::<Vec<_>>(), 0, 2)
 }
 
 #[gtest]
@@ -99,21 +99,21 @@
     holder.held = Some(12);
     let _ = advance(&mut change, &[holder, prepared()]);
     let ranks = [prepared(), prepared()];
-    let sights: Vec<Sight> = ranks
+    let states: Vec<State> = ranks
         .iter()
         .zip(0..)
-        .map(|(engine, rank)| engine.sight(rank, 2, 40))
+        .map(|(engine, rank)| engine.state(rank, 2, 40))
         .collect();
-    let progress = change.advance(&sights.iter().collect::<Vec<_>>(), 0, 2);
+    let progress = change.advance(&states.iter().collect::<Vec<_>>(), 0, 2);
     assert_that!(progress, eq(&Progress::Orders(vec![(0, Order::Hold(42))])));
 }
 
 #[gtest]
 fn a_new_epoch_voids_a_change() {
     let mut change = Change::new(1, 7, 0);
-    let mut sights = sights(&[prepared(), prepared()]);
-    sights[1].epoch = 2;
-    let progress = change.advance(&sights.iter().collect::<Vec<_>>(), 0, 2);
+    let mut states = states(&[prepared(), prepared()]);
+    states[1].epoch = 2;
+    let progress = change.advance(&states.iter().collect::<Vec<_>>(), 0, 2);
     assert_that!(progress, eq(&Progress::Aborted));
 }
 
@@ -121,8 +121,8 @@
 fn a_hold_found_after_a_start_is_taken_forward() {
     let mut holder = prepared();
     holder.held = Some(12);
-    let sights = sights(&[holder, prepared()]);
-    let found = Change::recover(&sights.iter().collect::<Vec<_>>(), 0, 0);
+    let states = states(&[holder, prepared()]);
+    let found = Change::recover(&states.iter().collect::<Vec<_>>(), 0, 0);
     let found = found.expect("a change under way");
     assert_that!(found.phase(), eq(Phase::Arming(12)));
     assert_that!(found.version(), eq(7));
@@ -130,9 +130,9 @@
 
 #[gtest]
 fn nothing_is_found_where_nothing_is_under_way() {
-    let sights = sights(&[prepared(), prepared()]);
+    let states = states(&[prepared(), prepared()]);
     assert_that!(
-        Change::recover(&sights.iter().collect::<Vec<_>>(), 0, 0),
+        Change::recover(&states.iter().collect::<Vec<_>>(), 0, 0),
         none()
     );
 }
--- a/crates/lockstep/tests/all/coordinator.rs
+++ b/crates/lockstep/tests/all/coordinator.rs
@@ -81,8 +81,8 @@
         activations[2] = 5_000;
         let activations = activations.repeat(self.layers);
         for (rank, engine) in (0..).zip(&self.engines) {
-            let sight = engine.sight(rank, 2, self.step);
-            self.coordinator.see(sight, &activations, None, self.now);
+            let state = engine.state(rank, 2, self.step);
+            self.coordinator.see(state, &activations, None, self.now);
         }
         let sends = self.coordinator.tick(self.now);
         for send in &sends {
@@ -178,9 +178,9 @@
     for _ in 0..10 {
         world.tick();
     }
-    let mut sight = Engine::default().sight(0, 2, 1);
-    sight.epoch = 2;
-    world.coordinator.see(sight, &[], None, world.now);
+    let mut state = Engine::default().state(0, 2, 1);
+    state.epoch = 2;
+    world.coordinator.see(state, &[], None, world.now);
     assert_that!(world.coordinator.tick(world.now), is_empty());
     assert_that!(world.coordinator.notes(), contains(eq(&Note::Formed(2))));
 }
--- a/crates/lockstep/tests/all/explore.rs
+++ b/crates/lockstep/tests/all/explore.rs
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 
 use auburnline_core::id::Rank;
-use auburnline_lockstep::sight::Version;
+use auburnline_lockstep::rank::Version;
 use googletest::prelude::*;
 use rand::Rng as _;
 use rand::SeedableRng as _;
--- a/crates/lockstep/tests/all/explore/world.rs
+++ b/crates/lockstep/tests/all/explore/world.rs
@@ -10,9 +10,9 @@
 use auburnline_lockstep::change::Progress;
 use auburnline_lockstep::change::orphaned_hold;
 use auburnline_lockstep::coordinator::HOLDER;
-use auburnline_lockstep::sight::Sight;
-use auburnline_lockstep::sight::Switch;
-use auburnline_lockstep::sight::Version;
+use auburnline_lockstep::rank::State;
+use auburnline_lockstep::rank::Switch;
+use auburnline_lockstep::rank::Version;
 use auburnline_lockstep::standby::Notice;
 use auburnline_lockstep::standby::Standby;
 
@@ -53,7 +53,7 @@
     pub(crate) step: Step,
     pub(crate) engines: Vec<Engine>,
     orders: BTreeSet<(Rank, Key)>,
-    sights: Vec<Option<Sight>>,
+    states: Vec<Option<State>>,
     change: Option<Change>,
     begun: Version,
     /// Newest pass that a previous coordinator may have held; zero until all ranks were seen.
@@ -61,7 +61,7 @@
     kills: u8,
     standby: Standby,
     /// The held rank, as the standby last saw it.
-    holder: Option<Sight>,
+    holder: Option<State>,
 }
 
 /// An order in a form that implements `Ord`.
@@ -105,7 +105,7 @@
             step: 1,
             engines: vec![Engine::default(); ranks],
             orders: BTreeSet::new(),
-            sights: vec![None; ranks],
+            states: vec![None; ranks],
             change: None,
             begun: 0,
             floor: PASSES_AHEAD,
@@ -143,7 +143,7 @@
             world.kills += 1;
             world.change = None;
             world.floor = 0;
-            world.sights.fill(None);
+            world.states.fill(None);
             worlds.push(world);
         }
         worlds.retain(|world| world != self);
@@ -197,18 +197,18 @@
     fn poll(&self, rank: Rank, bounds: Bounds) -> World {
         let mut world = self.clone();
         let index = usize::from(rank);
-        let sight = world.engines[index].sight(rank, bounds.ranks, self.step);
-        world.sights[index] = Some(sight);
+        let state = world.engines[index].state(rank, bounds.ranks, self.step);
+        world.states[index] = Some(state);
         world
     }
 
     fn standby_polls(&self, rank: Rank, bounds: Bounds) -> World {
         let mut world = self.clone();
-        let sight = world.engines[usize::from(rank)].sight(rank, bounds.ranks, self.step);
+        let state = world.engines[usize::from(rank)].state(rank, bounds.ranks, self.step);
         if rank == HOLDER {
-            world.holder = Some(sight);
+            world.holder = Some(state);
         } else {
-            world.standby.see(&sight);
+            world.standby.see(&state);
         }
         world
     }
@@ -245,13 +245,13 @@
     /// Lets the coordinator decide by its observations.
     fn tick(&self, bounds: Bounds, ahead: Step) -> World {
         let mut world = self.clone();
-        let sights: Vec<Sight> = self.sights.iter().flatten().cloned().collect();
-        if sights.len() < usize::from(bounds.ranks) {
+        let states: Vec<State> = self.states.iter().flatten().cloned().collect();
+        if states.len() < usize::from(bounds.ranks) {
             return world;
         }
-        let seen: Vec<&Sight> = sights.iter().collect();
+        let seen: Vec<&State> = states.iter().collect();
         if world.floor == 0 {
-            world.floor = seen.iter().map(|sight| sight.step).max().unwrap_or(0) + PASSES_AHEAD;
+            world.floor = seen.iter().map(|state| state.step).max().unwrap_or(0) + PASSES_AHEAD;
         }
         if world.change.is_none() {
             world.change = Change::recover(&seen, HOLDER, world.floor);
@@ -262,7 +262,7 @@
         }
         let is_idle = seen
             .iter()
-            .all(|sight| sight.armed.is_none() && sight.held.is_none());
+            .all(|state| state.armed.is_none() && state.held.is_none());
         if world.change.is_none() && is_idle && world.begun < bounds.changes {
             world.begun += 1;
             world.change = Some(Change::new(1, world.begun, world.floor));
--- a/crates/lockstep/tests/all/plan.rs
+++ b/crates/lockstep/tests/all/plan.rs
@@ -229,15 +229,15 @@
     let initial = Layout::initial(&LARGE, 24);
     let shares = hot_shares(0);
     let even = plan(&initial, &shares, &LARGE, &Scope::FOLLOW_UP, WORK, &[]).expect("a plan");
-    let mut slowness = vec![1.0; 24];
-    slowness[5] = 2.0;
+    let mut slowdown = vec![1.0; 24];
+    slowdown[5] = 2.0;
     let plan = plan(
         &even.layout,
         &shares,
         &LARGE,
         &Scope::STEADY,
         WORK,
-        &slowness,
+        &slowdown,
     );
     let load = |layout: &Layout| loads(layout, &shares)[5];
     assert_that!(load(&even.layout), gt(0.8));
@@ -250,11 +250,11 @@
 #[gtest]
 fn a_rank_that_almost_stands_is_emptied() {
     let shares = hot_shares(0);
-    let mut slowness = vec![1.0; 24];
-    slowness[5] = 12.0;
+    let mut slowdown = vec![1.0; 24];
+    slowdown[5] = 12.0;
     let mut layout = Layout::initial(&LARGE, 24);
     for _ in 0..8 {
-        let plan = plan(&layout, &shares, &LARGE, &Scope::FOLLOW_UP, WORK, &slowness);
+        let plan = plan(&layout, &shares, &LARGE, &Scope::FOLLOW_UP, WORK, &slowdown);
         let Some(plan) = plan else { break };
         assert_that!(plan.copies, le(11));
         layout = plan.layout;
@@ -265,7 +265,7 @@
     });
     assert_that!(all, eq(true));
     // Plans bring the most loaded rank down to 1.3 to 1.4 times the mean; the slow rank may take no longer than that.
-    assert_that!(loads(&layout, &shares)[5] * slowness[5], le(1.4));
+    assert_that!(loads(&layout, &shares)[5] * slowdown[5], le(1.4));
 }
 
 /// Returns the load of each rank over the mean, averaged over the layers.
--- a/crates/lockstep/tests/all/standby.rs
+++ b/crates/lockstep/tests/all/standby.rs
@@ -4,8 +4,8 @@
 
 use auburnline_core::time::Monotonic;
 use auburnline_lockstep::change::Order;
-use auburnline_lockstep::sight::Sight;
-use auburnline_lockstep::sight::Switch;
+use auburnline_lockstep::rank::State;
+use auburnline_lockstep::rank::Switch;
 use auburnline_lockstep::standby::Notice;
 use auburnline_lockstep::standby::Standby;
 use googletest::prelude::*;
@@ -32,12 +32,12 @@
     standby
 }
 
-fn sight(rank: u16, step: u64) -> Sight {
+fn state(rank: u16, step: u64) -> State {
     let engine = Engine {
         prepared: Some(SWITCH.version),
         ..Engine::default()
     };
-    engine.sight(rank, 2, step)
+    engine.state(rank, 2, step)
 }
 
 fn millis(number: u64) -> Duration {
@@ -49,22 +49,22 @@
 #[gtest]
 fn a_standby_acts_once_its_leader_is_silent_and_its_rank_stands_before_the_held_pass() {
     let mut standby = notified();
-    assert_that!(standby.due_hold(&sight(1, 11), millis(300)), none());
+    assert_that!(standby.due_hold(&state(1, 11), millis(300)), none());
     assert_that!(
-        standby.due_hold(&sight(1, 11), millis(450)),
+        standby.due_hold(&state(1, 11), millis(450)),
         some(eq(&notice()))
     );
     standby.record_heartbeat(millis(500));
-    assert_that!(standby.due_hold(&sight(1, 11), millis(600)), none());
+    assert_that!(standby.due_hold(&state(1, 11), millis(600)), none());
 }
 
 #[gtest]
 fn a_notice_ends_with_its_pass_and_its_epoch() {
     let mut standby = notified();
-    assert_that!(standby.due_hold(&sight(1, 12), millis(450)), none());
-    assert_that!(standby.due_hold(&sight(1, 11), millis(450)), none());
+    assert_that!(standby.due_hold(&state(1, 12), millis(450)), none());
+    assert_that!(standby.due_hold(&state(1, 11), millis(450)), none());
     let mut standby = notified();
-    let mut anew = sight(1, 0);
+    let mut anew = state(1, 0);
     anew.epoch = 2;
     assert_that!(standby.due_hold(&anew, millis(450)), none());
 }
@@ -74,7 +74,7 @@
 #[gtest]
 fn a_hold_whose_lead_fell_silent_is_ended_while_nobody_can_be_armed() {
     let mut standby = notified();
-    let mut own = sight(1, 11);
+    let mut own = state(1, 11);
     assert_that!(standby.end_hold(&own), none());
     own.held = Some(SWITCH.step);
     assert_that!(standby.end_hold(&own), some(eq(SWITCH.step)));
@@ -88,7 +88,7 @@
 #[gtest]
 fn a_hold_is_not_ended_once_an_order_to_arm_was_passed_on() {
     let mut standby = notified();
-    let mut own = sight(1, 11);
+    let mut own = state(1, 11);
     own.held = Some(SWITCH.step);
     assert_that!(standby.may_arm(1, SWITCH), eq(true));
     assert_that!(standby.end_hold(&own), none());
@@ -100,7 +100,7 @@
 #[gtest]
 fn a_new_epoch_begins_with_no_hold_ended() {
     let mut standby = notified();
-    let mut own = sight(1, 11);
+    let mut own = state(1, 11);
     own.held = Some(SWITCH.step);
     let _ = standby.end_hold(&own);
     assert_that!(standby.may_arm(2, SWITCH), eq(true));
@@ -115,7 +115,7 @@
     };
     let mut standby = Standby::default();
     standby.announce_hold(anew, Monotonic::ZERO);
-    let mut own = sight(1, 11);
+    let mut own = state(1, 11);
     own.epoch = 2;
     own.held = Some(SWITCH.step);
     assert_that!(standby.end_hold(&own), some(eq(SWITCH.step)));
@@ -128,7 +128,7 @@
 #[gtest]
 fn a_hold_is_not_ended_while_the_own_rank_is_armed() {
     let mut standby = notified();
-    let mut own = sight(1, 11);
+    let mut own = state(1, 11);
     own.held = Some(SWITCH.step);
     own.armed = Some(SWITCH);
     assert_that!(standby.end_hold(&own), none());
@@ -138,7 +138,7 @@
 #[gtest]
 fn nobody_is_armed_without_the_hold_and_nothing_released_before_all_are_armed() {
     let mut standby = notified();
-    let mut holder = sight(1, 10);
+    let mut holder = state(1, 10);
     assert_that!(standby.orders(&holder), is_empty());
     holder.held = Some(SWITCH.step);
     assert_that!(standby.may_arm(1, SWITCH), eq(true));
@@ -146,7 +146,7 @@
     assert_that!(standby.orders(&holder), eq(&vec![(0, arm), (1, arm)]));
     holder.armed = Some(SWITCH);
     assert_that!(standby.orders(&holder), eq(&vec![(0, arm)]));
-    let mut other = sight(0, 11);
+    let mut other = state(0, 11);
     other.armed = Some(SWITCH);
     standby.see(&other);
     let release = Order::Release(SWITCH.step);
@@ -157,7 +157,7 @@
 fn a_hold_of_another_pass_is_left_alone() {
     let mut standby = notified();
     assert_that!(standby.may_arm(1, SWITCH), eq(true));
-    let mut holder = sight(1, 10);
+    let mut holder = state(1, 10);
     holder.held = Some(SWITCH.step + 1);
     assert_that!(standby.orders(&holder), is_empty());
     assert_that!(standby.end_hold(&holder), none());
--- a/crates/lockstep/tests/all/support.rs
+++ b/crates/lockstep/tests/all/support.rs
@@ -3,10 +3,10 @@
 use auburnline_core::id::Rank;
 use auburnline_core::id::Step;
 use auburnline_lockstep::change::Order;
-use auburnline_lockstep::sight::Sight;
-use auburnline_lockstep::sight::Switch;
-use auburnline_lockstep::sight::USUAL_PACE;
-use auburnline_lockstep::sight::Version;
+use auburnline_lockstep::rank::NOMINAL_SLOWDOWN_PERCENT;
+use auburnline_lockstep::rank::State;
+use auburnline_lockstep::rank::Switch;
+use auburnline_lockstep::rank::Version;
 
 /// One rank. Orders that do not fit its state are refused without effect.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -41,8 +41,8 @@
         }
     }
 
-    pub(crate) fn sight(&self, rank: Rank, size: Rank, step: Step) -> Sight {
-        Sight {
+    pub(crate) fn state(&self, rank: Rank, size: Rank, step: Step) -> State {
+        State {
             rank,
             size,
             epoch: 1,
@@ -55,7 +55,7 @@
             held: self.held,
             running: 1,
             waiting: 0,
-            pace: USUAL_PACE,
+            slowdown_percent: NOMINAL_SLOWDOWN_PERCENT,
         }
     }
 }
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -6,8 +6,8 @@
 use auburnline_http::Failure;
 use auburnline_lockstep::change::Order;
 use auburnline_lockstep::layout::Layout;
-use auburnline_lockstep::sight::Epoch;
-use auburnline_lockstep::sight::Sight;
+use auburnline_lockstep::rank::Epoch;
+use auburnline_lockstep::rank::State;
 
 /// Status report of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
     /// Name of the group that its rank belongs to.
     pub group: String,
     /// State of its rank.
-    pub sight: Sight,
+    pub state: State,
     /// Start of the rank in Unix milliseconds; none if the engine does not report it.
     pub born: Option<u64>,
 }
--- a/crates/sidecar/src/leader.rs
+++ b/crates/sidecar/src/leader.rs
@@ -19,8 +19,8 @@
 use auburnline_lockstep::message::Digest;
 use auburnline_lockstep::message::Members;
 use auburnline_lockstep::message::Show;
-use auburnline_lockstep::sight::Sight;
-use auburnline_lockstep::sight::Switch;
+use auburnline_lockstep::rank::State;
+use auburnline_lockstep::rank::Switch;
 use auburnline_lockstep::standby::Notice;
 use auburnline_lockstep::told::Note;
 use auburnline_lockstep::told::Send;
@@ -151,18 +151,18 @@
         self.was_open = is_open;
         let sidecars: BTreeMap<Rank, SocketAddr> =
             self.addresses().chain([(LEADER, own)]).collect();
-        let sights = self.coordinator.sights_by_rank();
-        let by_instance: HashMap<IpAddr, &Sight> = sights
-            .filter_map(|(rank, sight)| Some((sidecars.get(&rank)?.ip(), sight)))
+        let states = self.coordinator.states_by_rank();
+        let by_instance: HashMap<IpAddr, &State> = states
+            .filter_map(|(rank, state)| Some((sidecars.get(&rank)?.ip(), state)))
             .collect();
         // An engine that restarted under another id is listed twice for a while.
         let upstreams: BTreeSet<SocketAddr> = members.upstreams.iter().copied().collect();
         let engines = upstreams.into_iter().filter_map(|engine| {
-            let sight = by_instance.get(&engine.ip())?;
+            let state = by_instance.get(&engine.ip())?;
             Some(Busy {
                 engine,
-                requests: sight.running + sight.waiting,
-                pace: sight.pace,
+                requests: state.running + state.waiting,
+                slowdown_percent: state.slowdown_percent,
             })
         });
         Some(Digest {
@@ -184,16 +184,16 @@
                 address,
                 failure_domain,
             };
-            self.peers.insert(show.sight.rank, peer);
+            self.peers.insert(show.state.rank, peer);
         }
         let before = show
             .born
-            .and_then(|born| self.born.insert(show.sight.rank, born));
+            .and_then(|born| self.born.insert(show.state.rank, born));
         if before.is_some_and(|before| show.born != Some(before)) {
-            self.coordinator.restarted(show.sight.rank);
+            self.coordinator.restarted(show.state.rank);
         }
         self.coordinator
-            .see(show.sight, &show.choices, show.held, now);
+            .see(show.state, &show.choices, show.held, now);
     }
 
     /// Logs the group's statistics and sets its gauges, once per period.
--- a/crates/sidecar/src/order.rs
+++ b/crates/sidecar/src/order.rs
@@ -9,7 +9,7 @@
 use auburnline_http::Failure;
 use auburnline_lockstep::change::Order;
 use auburnline_lockstep::layout::Layout;
-use auburnline_lockstep::sight::Epoch;
+use auburnline_lockstep::rank::Epoch;
 use tokio::time::timeout;
 
 use crate::engine::Engine;
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -17,8 +17,8 @@
 use auburnline_lockstep::layout::Layout;
 use auburnline_lockstep::message::Members;
 use auburnline_lockstep::message::Show;
-use auburnline_lockstep::sight::Epoch;
-use auburnline_lockstep::sight::Version;
+use auburnline_lockstep::rank::Epoch;
+use auburnline_lockstep::rank::Version;
 use auburnline_lockstep::standby::Standby;
 use auburnline_lockstep::tally::Tally;
 use auburnline_lockstep::told::Turn;
@@ -30,7 +30,7 @@
 use crate::engine::Report;
 use crate::leader::Leader;
 use crate::settings::Settings;
-use crate::sidecar::following::State;
+use crate::sidecar::following::ChangeState;
 
 /// Time between two polls of the rank. A shift of demand is detected within two to three polls, and each costs about
 /// half a millisecond of the instance's processor time.
@@ -60,7 +60,7 @@
     collector: Option<SocketAddr>,
 }
 
-/// State of one sidecar.
+/// ChangeState of one sidecar.
 pub(crate) struct Sidecar<E> {
     settings: Settings,
     engine: E,
@@ -78,8 +78,8 @@
     tally: Tally,
     polled_at: Monotonic,
     fast_poll_until: Monotonic,
-    /// State of the own rank as last reported to the leader, and when.
-    last_report: Option<(State, Monotonic)>,
+    /// ChangeState of the own rank as last reported to the leader, and when.
+    last_report: Option<(ChangeState, Monotonic)>,
     heartbeat_sent_at: Monotonic,
     standby: Standby,
     /// Maps received with orders to prepare: the one in force, and the next.
@@ -168,7 +168,7 @@
         };
         if !self.is_reachable {
             self.is_reachable = true;
-            log::info!(target: "engine", epoch = report.sight.epoch; "regained");
+            log::info!(target: "engine", epoch = report.state.epoch; "regained");
         }
         self.update_epoch(&report);
         self.update_start(report.born);
@@ -177,12 +177,12 @@
         let show = Show {
             born: report.born,
             group: report.group,
-            sight: report.sight,
+            state: report.state,
             failure_domain: self.settings.failure_domain.as_str().into(),
             choices,
             held,
         };
-        if show.sight.rank == LEADER {
+        if show.state.rank == LEADER {
             self.lead(show).await;
         } else {
             self.leader = None;
@@ -198,12 +198,12 @@
     }
 
     fn update_epoch(&mut self, report: &Report) {
-        let sight = &report.sight;
-        if self.epoch != Some(sight.epoch) {
-            self.epoch = Some(sight.epoch);
+        let state = &report.state;
+        if self.epoch != Some(state.epoch) {
+            self.epoch = Some(state.epoch);
             self.group = Some(report.group.clone());
             let group = report.group.as_str();
-            log::info!(target: "engine", group, epoch = sight.epoch, rank = sight.rank, is_open = sight.is_open; "epoch");
+            log::info!(target: "engine", group, epoch = state.epoch, rank = state.rank, is_open = state.is_open; "epoch");
         }
     }
 
--- a/crates/sidecar/src/sidecar/following.rs
+++ b/crates/sidecar/src/sidecar/following.rs
@@ -14,10 +14,10 @@
 use auburnline_lockstep::message::Counts;
 use auburnline_lockstep::message::Message;
 use auburnline_lockstep::message::Show;
-use auburnline_lockstep::sight::Epoch;
-use auburnline_lockstep::sight::Sight;
-use auburnline_lockstep::sight::Switch;
-use auburnline_lockstep::sight::Version;
+use auburnline_lockstep::rank::Epoch;
+use auburnline_lockstep::rank::State;
+use auburnline_lockstep::rank::Switch;
+use auburnline_lockstep::rank::Version;
 
 use super::KnownLeader;
 use super::REPORT_PERIOD;
@@ -34,7 +34,7 @@
 /// Fields of a rank's state that a map change waits for. Within [`REPORT_PERIOD`] a report without expert counts is
 /// sent only if one of them differs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct State {
+pub(super) struct ChangeState {
     epoch: Epoch,
     version: Version,
     prepared: Option<Version>,
@@ -42,14 +42,14 @@
     held: Option<Step>,
 }
 
-impl State {
-    fn of(sight: &Sight) -> State {
-        State {
-            epoch: sight.epoch,
-            version: sight.version,
-            prepared: sight.prepared,
-            armed: sight.armed,
-            held: sight.held,
+impl ChangeState {
+    fn of(state: &State) -> ChangeState {
+        ChangeState {
+            epoch: state.epoch,
+            version: state.version,
+            prepared: state.prepared,
+            armed: state.armed,
+            held: state.held,
         }
     }
 }
@@ -58,7 +58,7 @@
     pub(super) async fn report(&mut self, mut show: Show) {
         let now = self.clock.now();
         let is_fresh = |leader: &KnownLeader| now.saturating_sub(leader.heard) < LEADER_TIMEOUT;
-        self.act_as_standby(&show.sight, now).await;
+        self.act_as_standby(&show.state, now).await;
         let leader = self.known_leader.filter(is_fresh);
         let Some(address) = self.report_to.or(leader.map(|leader| leader.address)) else {
             return;
@@ -66,7 +66,7 @@
         if let Some(collector) = leader.and_then(|leader| leader.collector) {
             self.send_counts(&mut show, collector).await;
         }
-        let state = State::of(&show.sight);
+        let state = ChangeState::of(&show.state);
         let is_reported = self.last_report.is_some_and(|(reported, at)| {
             reported == state && now.saturating_sub(at) < REPORT_PERIOD && show.held.is_none()
         });
@@ -86,14 +86,14 @@
         }
         let counts = Counts {
             group: show.group.clone(),
-            epoch: show.sight.epoch,
+            epoch: show.state.epoch,
             choices,
         };
         self.send(&Message::Counts(counts), collector).await;
     }
 
     /// As the standby, ends a hold whose leader is silent, or completes the change if ranks may be armed.
-    async fn act_as_standby(&mut self, own: &Sight, now: Monotonic) {
+    async fn act_as_standby(&mut self, own: &State, now: Monotonic) {
         self.standby.see(own);
         let Some(notice) = self.standby.due_hold(own, now).cloned() else {
             return;
--- a/crates/sidecar/src/sidecar/leading.rs
+++ b/crates/sidecar/src/sidecar/leading.rs
@@ -51,7 +51,7 @@
             .get_or_insert_with(|| Leader::new(show.group.clone(), service, started, now));
         let heartbeat = Heartbeat {
             group: show.group.clone(),
-            epoch: show.sight.epoch,
+            epoch: show.state.epoch,
             wants_layout: leader.wants_layout(),
             collector: None,
         };
--- a/crates/sidecar/src/sidecar/receiving.rs
+++ b/crates/sidecar/src/sidecar/receiving.rs
@@ -62,7 +62,7 @@
                 if let Some(leader) = &mut self.leader {
                     leader.see(show, Some(from), now);
                 } else if self.group.as_ref() == Some(&show.group) {
-                    self.standby.see(&show.sight);
+                    self.standby.see(&show.state);
                 }
             }
             Message::Counts(counts) => {
--- a/crates/sidecar/tests/all/order.rs
+++ b/crates/sidecar/tests/all/order.rs
@@ -12,7 +12,7 @@
 use auburnline_http::Failure;
 use auburnline_lockstep::change::Order;
 use auburnline_lockstep::layout::Layout;
-use auburnline_lockstep::sight::Epoch;
+use auburnline_lockstep::rank::Epoch;
 use auburnline_sidecar::Counts;
 use auburnline_sidecar::Engine;
 use auburnline_sidecar::Reply;
