--- a/crates/lockstep/src/layout.rs
+++ b/crates/lockstep/src/layout.rs
@@ -120,7 +120,7 @@
 
 /// A layout as it is sent to a rank.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Parcel {
+pub enum Update {
     /// The full layout.
     Full(Layout),
     /// Differences to a map that the receiver knows.
@@ -189,10 +189,10 @@
     pub hash: u64,
 }
 
-impl Parcel {
+impl Update {
     /// Returns the delta from `before`, the map of version `base`, to `layout`.
     #[must_use]
-    pub fn delta(base: Version, before: &Layout, layout: &Layout) -> Parcel {
+    pub fn delta(base: Version, before: &Layout, layout: &Layout) -> Update {
         let mut cells = Vec::new();
         for (layer, (ranks, old)) in (0..).zip(layout.0.iter().zip(&before.0)) {
             for (rank, (held, had)) in (0..).zip(ranks.iter().zip(old)) {
@@ -201,7 +201,7 @@
                 }
             }
         }
-        Parcel::Delta(Delta {
+        Update::Delta(Delta {
             base: Base::of(base, before),
             cells,
             hash: layout.fingerprint(),
@@ -212,18 +212,18 @@
     #[must_use]
     pub const fn base(&self) -> Option<Base> {
         match self {
-            Parcel::Full(_) => None,
-            Parcel::Delta(delta) => Some(delta.base),
+            Update::Full(_) => None,
+            Update::Delta(delta) => Some(delta.base),
         }
     }
 
     /// Returns the layout; none if its base is not among `known`, a rank or layer does not exist there, or the hash of
     /// the result does not match.
     #[must_use]
-    pub fn open(self, known: &[(Version, Layout)]) -> Option<Layout> {
+    pub fn resolve(self, known: &[(Version, Layout)]) -> Option<Layout> {
         let delta = match self {
-            Parcel::Full(layout) => return Some(layout),
-            Parcel::Delta(delta) => delta,
+            Update::Full(layout) => return Some(layout),
+            Update::Delta(delta) => delta,
         };
         let mut layout = delta.base.layout(known)?;
         for cell in delta.cells {
--- a/crates/lockstep/src/message.rs
+++ b/crates/lockstep/src/message.rs
@@ -9,8 +9,8 @@
 
 use crate::change::Order;
 use crate::cost::Cost;
-use crate::layout::Parcel;
 use crate::layout::Shape;
+use crate::layout::Update;
 use crate::rank::Epoch;
 use crate::rank::State;
 use crate::standby::Notice;
@@ -149,7 +149,7 @@
     /// The order itself.
     pub order: Order,
     /// Layout to prepare; only with [`Order::Prepare`].
-    pub layout: Option<Parcel>,
+    pub layout: Option<Update>,
     /// Sidecar that the rank's state is reported to afterwards; none if that is the sender.
     pub reports_to: Option<SocketAddr>,
 }
--- a/crates/lockstep/src/told.rs
+++ b/crates/lockstep/src/told.rs
@@ -8,7 +8,7 @@
 use crate::change::Order;
 use crate::change::Phase;
 use crate::layout::Layout;
-use crate::layout::Parcel;
+use crate::layout::Update;
 use crate::plan::Plan;
 use crate::rank::Epoch;
 use crate::rank::Version;
@@ -32,11 +32,11 @@
 impl Send {
     /// Returns the layout as it is sent to another instance: as a delta if there is a base, else in full.
     #[must_use]
-    pub fn parcel(&self) -> Option<Parcel> {
+    pub fn update(&self) -> Option<Update> {
         let layout = self.layout.as_ref()?;
         Some(match &self.base {
-            Some((version, base)) => Parcel::delta(*version, base, layout),
-            None => Parcel::Full((**layout).clone()),
+            Some((version, base)) => Update::delta(*version, base, layout),
+            None => Update::Full((**layout).clone()),
         })
     }
 }
--- a/crates/lockstep/tests/all/layout.rs
+++ b/crates/lockstep/tests/all/layout.rs
@@ -5,8 +5,8 @@
 use auburnline_lockstep::layout::Base;
 use auburnline_lockstep::layout::Delta;
 use auburnline_lockstep::layout::Layout;
-use auburnline_lockstep::layout::Parcel;
 use auburnline_lockstep::layout::Shape;
+use auburnline_lockstep::layout::Update;
 use googletest::prelude::*;
 
 fn before() -> Layout {
@@ -26,41 +26,44 @@
 /// The full layout of a large group takes 2 ms of the leader's link for each rank, and 50 ms for all.
 #[gtest]
 fn a_parcel_of_what_changed_is_smaller_and_opens_to_the_same_layout() {
-    let parcel = Parcel::delta(7, &before(), &after());
-    assert_that!(parcel.base(), some(eq(Base::Sent(7))));
-    let Parcel::Delta(delta) = &parcel else {
+    let update = Update::delta(7, &before(), &after());
+    assert_that!(update.base(), some(eq(Base::Sent(7))));
+    let Update::Delta(delta) = &update else {
         panic!("not a delta");
     };
     assert_that!(delta.cells.len(), eq(1));
     let known = [(6, after()), (7, before())];
-    assert_that!(parcel.open(&known), some(eq(&after())));
+    assert_that!(update.resolve(&known), some(eq(&after())));
 }
 
 #[gtest]
 fn a_parcel_on_an_unknown_map_does_not_open() {
-    let parcel = Parcel::delta(7, &before(), &after());
-    assert_that!(parcel.open(&[(6, before())]), none());
+    let update = Update::delta(7, &before(), &after());
+    assert_that!(update.resolve(&[(6, before())]), none());
 }
 
 /// All ranks must use one map in every pass, so a rank whose map of that version differs from the leader's must reject the
 /// delta.
 #[gtest]
 fn a_parcel_on_another_map_of_the_same_version_does_not_open() {
-    let parcel = Parcel::delta(7, &before(), &after());
+    let update = Update::delta(7, &before(), &after());
     let mut other = before();
     other.0[1][0] = vec![1, 2];
-    assert_that!(parcel.open(&[(7, other)]), none());
+    assert_that!(update.resolve(&[(7, other)]), none());
 }
 
 #[gtest]
 fn a_parcel_that_names_ranks_which_are_not_there_does_not_open() {
-    let parcel = Parcel::delta(7, &before(), &after());
-    assert_that!(parcel.open(&[(7, Layout(vec![vec![vec![0, 1]]]))]), none());
+    let update = Update::delta(7, &before(), &after());
+    assert_that!(
+        update.resolve(&[(7, Layout(vec![vec![vec![0, 1]]]))]),
+        none()
+    );
 }
 
 #[gtest]
 fn a_whole_layout_needs_nothing() {
-    assert_that!(Parcel::Full(after()).open(&[]), some(eq(&after())));
+    assert_that!(Update::Full(after()).resolve(&[]), some(eq(&after())));
 }
 
 /// In the first change of a group of 64 ranks, the full map takes some 8 KB for each rank, more than a link of 6 Mbit/s
@@ -82,13 +85,13 @@
         ranks[layer + 1].push(17);
         ranks[layer + 1].sort_unstable();
     }
-    let parcel = Parcel::delta(0, &before, &after);
-    assert_that!(parcel.open(&[]), some(eq(&after)));
+    let update = Update::delta(0, &before, &after);
+    assert_that!(update.resolve(&[]), some(eq(&after)));
 }
 
 #[gtest]
 fn a_first_map_beyond_all_sizes_is_not_laid_out() {
-    let parcel = Parcel::Delta(Delta {
+    let update = Update::Delta(Delta {
         base: Base::Initial {
             layers: u16::MAX,
             experts: u16::MAX,
@@ -97,5 +100,5 @@
         cells: Vec::new(),
         hash: 0,
     });
-    assert_that!(parcel.open(&[]), none());
+    assert_that!(update.resolve(&[]), none());
 }
--- a/crates/sidecar/src/sidecar/following.rs
+++ b/crates/sidecar/src/sidecar/following.rs
@@ -9,7 +9,7 @@
 use auburnline_lockstep::change::Order;
 use auburnline_lockstep::layout::Base;
 use auburnline_lockstep::layout::Layout;
-use auburnline_lockstep::layout::Parcel;
+use auburnline_lockstep::layout::Update;
 use auburnline_lockstep::message::Command;
 use auburnline_lockstep::message::Counts;
 use auburnline_lockstep::message::Message;
@@ -135,17 +135,17 @@
     fn resolve_layout(
         &mut self,
         order: Order,
-        parcel: Option<Parcel>,
+        update: Option<Update>,
     ) -> Result<Option<Layout>, Version> {
-        let (Order::Prepare(version), Some(parcel)) = (order, parcel) else {
+        let (Order::Prepare(version), Some(update)) = (order, update) else {
             return Ok(None);
         };
-        let base = parcel.base();
+        let base = update.base();
         let built_on = match base {
             Some(Base::Sent(version)) => Some(version),
             Some(Base::Initial { .. }) | None => None,
         };
-        let Some(layout) = parcel.open(&self.layouts) else {
+        let Some(layout) = update.resolve(&self.layouts) else {
             return Err(built_on.unwrap_or_default());
         };
         // The map in force is the base of this one; others are left over from aborted changes.
--- a/crates/sidecar/src/sidecar/leading.rs
+++ b/crates/sidecar/src/sidecar/leading.rs
@@ -229,7 +229,7 @@
         group: leader.group().to_owned(),
         epoch: send.epoch,
         order: send.order,
-        layout: send.parcel(),
+        layout: send.update(),
         reports_to: None,
     }
 }
