--- a/crates/lockstep/examples/cost.rs
+++ b/crates/lockstep/examples/cost.rs
@@ -105,8 +105,8 @@
             let prepared = version.filter(|_| rank < ranks / 2);
             coordinator.see(state(rank, ranks, turn, prepared), &counts, None, now);
         }
-        for send in coordinator.tick(now) {
-            if let Order::Prepare(ordered) = send.order {
+        for dispatch in coordinator.tick(now) {
+            if let Order::Prepare(ordered) = dispatch.order {
                 version = Some(ordered);
             }
         }
--- a/crates/lockstep/src/coordinator.rs
+++ b/crates/lockstep/src/coordinator.rs
@@ -7,7 +7,7 @@
 
 mod ordering;
 mod planning;
-mod pulse;
+mod stats;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,6 +24,8 @@
 use crate::cost::Cost;
 use crate::layout::Layout;
 use crate::layout::Shape;
+use crate::output::Dispatch;
+use crate::output::Event;
 use crate::outstanding::Outstanding;
 use crate::passes::Passes;
 use crate::popularity::Popularity;
@@ -31,8 +33,6 @@
 use crate::rank::NOMINAL_SLOWDOWN_PERCENT;
 use crate::rank::State;
 use crate::rank::Version;
-use crate::told::Note;
-use crate::told::Send;
 use crate::traffic::Link;
 use crate::traffic::Pacer;
 
@@ -102,7 +102,7 @@
     floor: Step,
     /// Time of day at the start of the process.
     started: Duration,
-    notes: Vec<Note>,
+    events: Vec<Event>,
 }
 
 impl Coordinator {
@@ -130,7 +130,7 @@
             stage: Stage::Immediate,
             floor: 0,
             started,
-            notes: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -153,8 +153,8 @@
     }
 
     /// Returns the events since the last call.
-    pub fn notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.notes)
+    pub fn take_events(&mut self) -> Vec<Event> {
+        std::mem::take(&mut self.events)
     }
 
     /// Records the state of one rank, its expert activations since the last report, layer by layer, and the
@@ -177,7 +177,7 @@
             .then(|| self.popularity.add(activations, now))
             .flatten();
         if let Some(distance) = shift {
-            self.notes.push(Note::Shifted(distance));
+            self.events.push(Event::Shifted(distance));
             self.planned_at = Monotonic::ZERO;
             self.stage = Stage::Immediate;
         }
@@ -213,7 +213,8 @@
     /// Starts an epoch; whatever was prepared, armed or held before is void.
     fn start_epoch(&mut self, epoch: Epoch) {
         if let Some(change) = self.change.take() {
-            self.notes.push(Note::Void(change.version(), "new epoch"));
+            self.events
+                .push(Event::Aborted(change.version(), "new epoch"));
         }
         self.epoch = Some(epoch);
         self.members.clear();
@@ -223,11 +224,11 @@
         self.floor = 0;
         self.passes = Passes::default();
         self.stage = Stage::Immediate;
-        self.notes.push(Note::Formed(epoch));
+        self.events.push(Event::Formed(epoch));
     }
 
     /// Returns the orders to send now.
-    pub fn tick(&mut self, now: Monotonic) -> Vec<Send> {
+    pub fn tick(&mut self, now: Monotonic) -> Vec<Dispatch> {
         if !self.has_all_ranks() {
             return Vec::new();
         }
@@ -321,8 +322,8 @@
         let Some(change) = Change::recover(&self.states(), HOLDER, self.floor) else {
             return;
         };
-        self.notes
-            .push(Note::Found(change.version(), change.phase()));
+        self.events
+            .push(Event::Resumed(change.version(), change.phase()));
         self.change = Some(change);
         self.change_started = now;
     }
--- a/crates/lockstep/src/coordinator/ordering.rs
+++ b/crates/lockstep/src/coordinator/ordering.rs
@@ -12,30 +12,30 @@
 use crate::coordinator::Coordinator;
 use crate::coordinator::HOLDER;
 use crate::coordinator::planning::Stage;
+use crate::output::Dispatch;
+use crate::output::Event;
 use crate::outstanding::Observation;
 use crate::rank::Epoch;
-use crate::told::Note;
-use crate::told::Send;
 
 /// Time after which a change that is still being prepared is abandoned and another one is planned.
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Coordinator {
-    pub(super) fn release_orphaned_hold(&mut self, step: Step, now: Monotonic) -> Vec<Send> {
+    pub(super) fn release_orphaned_hold(&mut self, step: Step, now: Monotonic) -> Vec<Dispatch> {
         let order = (HOLDER, Order::Release(step));
         let epoch = self.epoch.filter(|_| self.is_due(order, now));
-        let send = epoch.and_then(|epoch| self.issue(HOLDER, epoch, order.1, now));
-        send.into_iter().collect()
+        let dispatch = epoch.and_then(|epoch| self.issue(HOLDER, epoch, order.1, now));
+        dispatch.into_iter().collect()
     }
 
-    pub(super) fn advance(&mut self, now: Monotonic) -> Vec<Send> {
+    pub(super) fn advance(&mut self, now: Monotonic) -> Vec<Dispatch> {
         let Some(mut change) = self.change.take() else {
             return Vec::new();
         };
         let is_late = now.saturating_sub(self.change_started) > PREPARE_TIMEOUT;
         if change.can_abort() && is_late {
-            self.notes
-                .push(Note::Void(change.version(), "not prepared in time"));
+            self.events
+                .push(Event::Aborted(change.version(), "not prepared in time"));
             self.next = None;
             return Vec::new();
         }
@@ -51,14 +51,15 @@
                     .collect()
             }
             Progress::Done => {
-                self.notes.push(Note::Done(version));
+                self.events.push(Event::Done(version));
                 if self.stage != Stage::Steady {
                     self.planned_at = Monotonic::ZERO;
                 }
                 Vec::new()
             }
             Progress::Aborted => {
-                self.notes.push(Note::Void(version, "the group changed"));
+                self.events
+                    .push(Event::Aborted(version, "the group changed"));
                 self.next = None;
                 Vec::new()
             }
@@ -77,8 +78,14 @@
     }
 
     /// Returns the order to send; none if it needs the full map and the link is still busy with earlier ones.
-    fn issue(&mut self, rank: Rank, epoch: Epoch, order: Order, now: Monotonic) -> Option<Send> {
-        let mut send = Send {
+    fn issue(
+        &mut self,
+        rank: Rank,
+        epoch: Epoch,
+        order: Order,
+        now: Monotonic,
+    ) -> Option<Dispatch> {
+        let mut dispatch = Dispatch {
             rank,
             epoch,
             order,
@@ -86,19 +93,19 @@
             base: None,
         };
         if let (Order::Prepare(_), Some(next)) = (order, &self.next) {
-            send.layout = Some(Arc::clone(&next.layout));
+            dispatch.layout = Some(Arc::clone(&next.layout));
             // A rank that did not act on a delta may not know the map in force; a repeated order carries the full map.
             let is_repeated = self.outstanding.is_repeated(rank, order);
             let known = self.in_force.as_ref().filter(|_| !is_repeated);
-            send.base = known.map(|known| (known.version, Arc::clone(&known.layout)));
+            dispatch.base = known.map(|known| (known.version, Arc::clone(&known.layout)));
         }
-        if let (Some(layout), None) = (&send.layout, &send.base) {
+        if let (Some(layout), None) = (&dispatch.layout, &dispatch.base) {
             let time = self.link.map_time(layout.encoded_bytes());
             if !self.full_maps.try_acquire(time, now) {
                 return None;
             }
         }
         self.outstanding.record(rank, order, now);
-        Some(send)
+        Some(dispatch)
     }
 }
--- a/crates/lockstep/src/coordinator/planning.rs
+++ b/crates/lockstep/src/coordinator/planning.rs
@@ -8,13 +8,13 @@
 use crate::change::Change;
 use crate::coordinator::Coordinator;
 use crate::coordinator::Versioned;
-use crate::coordinator::pulse::max_slowdown;
+use crate::coordinator::stats::max_slowdown;
+use crate::output::Event;
 use crate::plan::Plan;
 use crate::plan::Scope;
 use crate::plan::plan;
 use crate::rank::State;
 use crate::rank::Version;
-use crate::told::Note;
 
 /// Age of the last report beyond which a rank counts as unreachable.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(1_200);
@@ -72,7 +72,7 @@
         self.change = Some(Change::new(epoch, version, self.floor));
         self.change_started = now;
         self.outstanding.clear();
-        self.notes.push(Note::Begun(version, plan));
+        self.events.push(Event::Started(version, plan));
     }
 
     /// Returns the plan of the current stage or of the first later one that finds a change worth making.
--- a/crates/lockstep/src/coordinator/pulse.rs
+++ b/crates/lockstep/src/coordinator/stats.rs
@@ -3,9 +3,9 @@
 use auburnline_core::id::Rank;
 
 use crate::coordinator::Coordinator;
+use crate::output::Stats;
 use crate::rank::State;
 use crate::to_f64;
-use crate::told::Pulse;
 
 impl Coordinator {
     /// Returns the latest reported state of each rank.
@@ -28,14 +28,14 @@
 
     /// Returns the group's current statistics.
     #[must_use]
-    pub fn pulse(&self) -> Pulse {
+    pub fn stats(&self) -> Stats {
         let states = || self.members.values().map(|member| &member.state);
         let shares = self.popularity.shares();
         let known = self.in_force.as_ref();
         let skew = known
             .zip(shares)
             .map(|(known, shares)| known.layout.skew(&shares));
-        Pulse {
+        Stats {
             step: states().map(|state| state.step).max().unwrap_or(0),
             running: states().map(|state| state.running).sum(),
             waiting: states().map(|state| state.waiting).sum(),
--- a/crates/lockstep/src/lib.rs
+++ b/crates/lockstep/src/lib.rs
@@ -4,7 +4,7 @@
 //! change on all of them at the same pass or on none. [`change`] is the protocol for one change; its orders
 //! may be lost, delayed or duplicated. [`popularity`] estimates which experts are selected, [`plan`] finds a
 //! layout that is worth a change at the [`cost`] of a pass, and [`coordinator`] combines them in the sidecar
-//! next to rank 0, the leader. [`told`] is the coordinator's output: orders to send and events to log.
+//! next to rank 0, the leader. [`output`] is the coordinator's output: orders to send and events to log.
 //! [`standby`] is the leader's standby, which ends a hold when the leader has failed.
 //!
 //! [`message`] defines the messages between sidecars and to gateways. [`traffic`] bounds the share of an
@@ -21,6 +21,7 @@
 pub mod cost;
 pub mod layout;
 pub mod message;
+pub mod output;
 mod outstanding;
 pub mod passes;
 pub mod plan;
@@ -28,7 +29,6 @@
 pub mod rank;
 pub mod standby;
 pub mod tally;
-pub mod told;
 pub mod traffic;
 
 pub use coordinator::Coordinator;
--- a/crates/lockstep/src/told.rs
+++ b/crates/lockstep/src/output.rs
@@ -15,7 +15,7 @@
 
 /// An order to send to a rank.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Send {
+pub struct Dispatch {
     /// Rank that the order is for.
     pub rank: Rank,
     /// Epoch in which the order is valid.
@@ -29,7 +29,7 @@
     pub base: Option<(Version, Arc<Layout>)>,
 }
 
-impl Send {
+impl Dispatch {
     /// Returns the layout as it is sent to another instance: as a delta if there is a base, else in full.
     #[must_use]
     pub fn update(&self) -> Option<Update> {
@@ -46,9 +46,9 @@
 /// A receiver that is gone forwards nothing. Others come first with each message, so that no receiver misses
 /// more than one in a row because of it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Turn(usize);
+pub struct Rotation(usize);
 
-impl Turn {
+impl Rotation {
     /// Returns all receivers, starting one further along than the last call.
     pub fn take<'a, T>(&mut self, all: &'a [T]) -> impl Iterator<Item = &'a T> + use<'a, T> {
         let from = self.0;
@@ -59,15 +59,15 @@
 
 /// Event for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum Event {
     /// A change to this version starts.
-    Begun(Version, Plan),
+    Started(Version, Plan),
     /// A change that was found after a start of the coordinator is resumed.
-    Found(Version, Phase),
+    Resumed(Version, Phase),
     /// A change is in force on all ranks.
     Done(Version),
     /// A change was aborted for this reason, without effect.
-    Void(Version, &'static str),
+    Aborted(Version, &'static str),
     /// Demand shifted by this distance between expert shares (0 to 2).
     Shifted(f64),
     /// The group formed again, or was seen for the first time.
@@ -76,7 +76,7 @@
 
 /// Statistics of a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Pulse {
+pub struct Stats {
     /// Newest pass that any rank has begun.
     pub step: Step,
     /// Running requests, summed over the ranks.
--- a/crates/lockstep/tests/all/coordinator.rs
+++ b/crates/lockstep/tests/all/coordinator.rs
@@ -9,8 +9,8 @@
 use auburnline_lockstep::coordinator::Service;
 use auburnline_lockstep::cost::Cost;
 use auburnline_lockstep::layout::Shape;
-use auburnline_lockstep::told::Note;
-use auburnline_lockstep::told::Send;
+use auburnline_lockstep::output::Dispatch;
+use auburnline_lockstep::output::Event;
 use auburnline_lockstep::traffic::Link;
 use googletest::prelude::*;
 
@@ -44,7 +44,7 @@
     step: u64,
     engines: Vec<Engine>,
     coordinator: Coordinator,
-    notes: Vec<Note>,
+    events: Vec<Event>,
     /// Times at which changes started and were in force.
     begun: Vec<Duration>,
     done: Vec<Duration>,
@@ -64,18 +64,18 @@
             step: 0,
             engines: vec![Engine::default(); 2],
             coordinator: Coordinator::new(service(shape, COST), STARTED, Duration::ZERO),
-            notes: Vec::new(),
+            events: Vec::new(),
             begun: Vec::new(),
             done: Vec::new(),
             unreachable: None,
         }
     }
 
-    fn tick(&mut self) -> Vec<Send> {
+    fn tick(&mut self) -> Vec<Dispatch> {
         self.tick_after(Duration::from_millis(200))
     }
 
-    fn tick_after(&mut self, pause: Duration) -> Vec<Send> {
+    fn tick_after(&mut self, pause: Duration) -> Vec<Dispatch> {
         self.now += pause;
         let mut activations = [100; 8];
         activations[2] = 5_000;
@@ -84,19 +84,19 @@
             let state = engine.state(rank, 2, self.step);
             self.coordinator.see(state, &activations, None, self.now);
         }
-        let sends = self.coordinator.tick(self.now);
-        for send in &sends {
-            if Some(send.rank) != self.unreachable {
-                self.engines[usize::from(send.rank)].order(send.order, self.step);
+        let dispatches = self.coordinator.tick(self.now);
+        for dispatch in &dispatches {
+            if Some(dispatch.rank) != self.unreachable {
+                self.engines[usize::from(dispatch.rank)].order(dispatch.order, self.step);
             }
         }
-        for note in self.coordinator.notes() {
-            match note {
-                Note::Begun(..) => self.begun.push(self.now),
-                Note::Done(_) => self.done.push(self.now),
+        for event in self.coordinator.take_events() {
+            match event {
+                Event::Started(..) => self.begun.push(self.now),
+                Event::Done(_) => self.done.push(self.now),
                 _ => {}
             }
-            self.notes.push(note);
+            self.events.push(event);
         }
         if !self
             .engines
@@ -109,12 +109,12 @@
                 .iter_mut()
                 .for_each(|engine| engine.enter(step));
         }
-        sends
+        dispatches
     }
 }
 
-fn is_done(note: &Note) -> bool {
-    matches!(note, Note::Done(_))
+fn is_done(event: &Event) -> bool {
+    matches!(event, Event::Done(_))
 }
 
 #[gtest]
@@ -127,7 +127,7 @@
     }
     assert_that!(world.engines[0].version, gt(0));
     assert_that!(
-        world.notes.iter().filter(|note| is_done(note)).count(),
+        world.events.iter().filter(|event| is_done(event)).count(),
         eq(1)
     );
 }
@@ -137,15 +137,17 @@
     let mut world = World::new();
     world.unreachable = Some(1);
     for _ in 0..60 {
-        let sends = world.tick();
-        let is_armed = sends.iter().any(|send| matches!(send.order, Order::Arm(_)));
+        let dispatches = world.tick();
+        let is_armed = dispatches
+            .iter()
+            .any(|dispatch| matches!(dispatch.order, Order::Arm(_)));
         assert_that!(is_armed, eq(false));
     }
     assert_that!(world.engines[0].version, eq(0));
     let voids = world
-        .notes
+        .events
         .iter()
-        .filter(|note| matches!(note, Note::Void(..)));
+        .filter(|event| matches!(event, Event::Aborted(..)));
     assert_that!(voids.count(), gt(0));
 }
 
@@ -153,11 +155,13 @@
 fn a_successor_picks_a_higher_version_than_any_that_was_ordered() {
     let mut world = World::new();
     world.unreachable = Some(1);
-    let versions = |sends: Vec<Send>| {
-        let versions = sends.into_iter().filter_map(|send| match send.order {
-            Order::Prepare(version) => Some(version),
-            Order::Hold(_) | Order::Arm(_) | Order::Release(_) => None,
-        });
+    let versions = |dispatches: Vec<Dispatch>| {
+        let versions = dispatches
+            .into_iter()
+            .filter_map(|dispatch| match dispatch.order {
+                Order::Prepare(version) => Some(version),
+                Order::Hold(_) | Order::Arm(_) | Order::Release(_) => None,
+            });
         versions.collect::<Vec<_>>()
     };
     let ordered: Vec<_> = (0..20).flat_map(|_| versions(world.tick())).collect();
@@ -182,7 +186,10 @@
     state.epoch = 2;
     world.coordinator.see(state, &[], None, world.now);
     assert_that!(world.coordinator.tick(world.now), is_empty());
-    assert_that!(world.coordinator.notes(), contains(eq(&Note::Formed(2))));
+    assert_that!(
+        world.coordinator.take_events(),
+        contains(eq(&Event::Formed(2)))
+    );
 }
 
 #[gtest]
@@ -191,10 +198,10 @@
     world.unreachable = Some(1);
     let mut given = Vec::new();
     for _ in 0..80 {
-        let sends = world.tick_after(Duration::from_millis(20));
-        let prepares = sends
+        let dispatches = world.tick_after(Duration::from_millis(20));
+        let prepares = dispatches
             .iter()
-            .filter(|send| send.rank == 1 && matches!(send.order, Order::Prepare(_)));
+            .filter(|dispatch| dispatch.rank == 1 && matches!(dispatch.order, Order::Prepare(_)));
         given.extend(prepares.map(|_| world.now));
     }
     assert_that!(given.len(), ge(2));
@@ -216,14 +223,17 @@
     for _ in 0..60 {
         world.tick_after(Duration::from_millis(40));
     }
-    let copies = world.notes.iter().filter_map(|note| match note {
-        Note::Begun(_, plan) => Some(plan.copies),
+    let copies = world.events.iter().filter_map(|event| match event {
+        Event::Started(_, plan) => Some(plan.copies),
         _ => None,
     });
     let copies: Vec<_> = copies.collect();
     assert_that!(copies, eq(&vec![1, 1]));
-    let done = world.notes.iter().position(is_done).expect("a change");
-    assert_that!(world.notes[done + 1], matches_pattern!(Note::Begun(_, _)));
+    let done = world.events.iter().position(is_done).expect("a change");
+    assert_that!(
+        world.events[done + 1],
+        matches_pattern!(Event::Started(_, _))
+    );
     assert_that!(
         world.begun[1],
         le(world.done[0] + Duration::from_millis(40))
@@ -242,9 +252,10 @@
     world.unreachable = Some(1);
     let mut prepares = Vec::new();
     for _ in 0..20 {
-        let sends = world.tick_after(Duration::from_millis(40));
-        let is_prepare = |send: &Send| send.rank == 1 && matches!(send.order, Order::Prepare(_));
-        if sends.iter().any(is_prepare) {
+        let dispatches = world.tick_after(Duration::from_millis(40));
+        let is_prepare =
+            |dispatch: &Dispatch| dispatch.rank == 1 && matches!(dispatch.order, Order::Prepare(_));
+        if dispatches.iter().any(is_prepare) {
             prepares.push(world.now);
         }
     }
@@ -265,13 +276,19 @@
     while world.begun.len() < 2 {
         sent = world.tick_after(Duration::from_millis(40));
     }
-    assert_that!(sent.iter().all(|send| send.base.is_some()), eq(true));
+    assert_that!(
+        sent.iter().all(|dispatch| dispatch.base.is_some()),
+        eq(true)
+    );
     world.unreachable = Some(1);
     world.engines[1].prepared = None;
     let again = (0..4).flat_map(|_| world.tick_after(Duration::from_millis(40)));
-    let again: Vec<_> = again.filter(|send| send.rank == 1).collect();
+    let again: Vec<_> = again.filter(|dispatch| dispatch.rank == 1).collect();
     assert_that!(again, not(is_empty()));
-    assert_that!(again.iter().all(|send| send.base.is_none()), eq(true));
+    assert_that!(
+        again.iter().all(|dispatch| dispatch.base.is_none()),
+        eq(true)
+    );
 }
 
 /// Many small groups with little load, in each of which demand shifts. In a users' deployment with 300 instances, weight
@@ -295,8 +312,8 @@
     let mut world = World::new();
     for _ in 0..200 {
         let running = world.step;
-        let sends = world.tick_after(pass);
-        let hold = sends.iter().find_map(|send| match send.order {
+        let dispatches = world.tick_after(pass);
+        let hold = dispatches.iter().find_map(|dispatch| match dispatch.order {
             Order::Hold(step) => Some(step - running),
             Order::Prepare(_) | Order::Arm(_) | Order::Release(_) => None,
         });
--- a/crates/sidecar/src/leader.rs
+++ b/crates/sidecar/src/leader.rs
@@ -19,11 +19,11 @@
 use auburnline_lockstep::message::Digest;
 use auburnline_lockstep::message::Members;
 use auburnline_lockstep::message::Show;
+use auburnline_lockstep::output::Dispatch;
+use auburnline_lockstep::output::Event;
 use auburnline_lockstep::rank::State;
 use auburnline_lockstep::rank::Switch;
 use auburnline_lockstep::standby::Notice;
-use auburnline_lockstep::told::Note;
-use auburnline_lockstep::told::Send;
 
 use crate::sidecar::COUNT_PERIOD;
 
@@ -119,10 +119,10 @@
         link.collectors(ranks, shape.layers * shape.experts, COUNT_PERIOD)
     }
 
-    /// Returns the notice to the standby for the hold among `sends`; none if there is no hold.
-    pub(crate) fn hold_notice(&self, sends: &[Send], own: SocketAddr) -> Option<Notice> {
-        let hold = sends.iter().find_map(|send| match send.order {
-            Order::Hold(step) => Some((send.epoch, step)),
+    /// Returns the notice to the standby for the hold among `dispatches`; none if there is no hold.
+    pub(crate) fn hold_notice(&self, dispatches: &[Dispatch], own: SocketAddr) -> Option<Notice> {
+        let hold = dispatches.iter().find_map(|dispatch| match dispatch.order {
+            Order::Hold(step) => Some((dispatch.epoch, step)),
             Order::Prepare(_) | Order::Arm(_) | Order::Release(_) => None,
         });
         let (epoch, step) = hold?;
@@ -202,42 +202,42 @@
         if since < STATS_PERIOD {
             return;
         }
-        let pulse = self.coordinator.pulse();
-        let passes = pulse.step.saturating_sub(self.logged_step);
+        let stats = self.coordinator.stats();
+        let passes = stats.step.saturating_sub(self.logged_step);
         let pass = since.checked_div(u32::try_from(passes).unwrap_or(0));
         self.logged_at = now;
-        self.logged_step = pulse.step;
+        self.logged_step = stats.step;
         log::info!(
             target: "experts",
             group = self.group.as_str(),
             pass_ms:? = pass.map(|pass| pass.as_secs_f64() * 1_000.0),
-            running = pulse.running,
-            waiting = pulse.waiting,
-            most_running = pulse.most_running,
-            skew:? = pulse.skew,
-            slowest = pulse.slowest,
-            version:? = pulse.version;
+            running = stats.running,
+            waiting = stats.waiting,
+            most_running = stats.most_running,
+            skew:? = stats.skew,
+            slowest = stats.slowest,
+            version:? = stats.version;
             "group statistics"
         );
-        if let Some(skew) = pulse.skew {
+        if let Some(skew) = stats.skew {
             metrics::gauge!("auburnline_group_skew").set(skew);
         }
-        metrics::gauge!("auburnline_group_running").set(f64::from(pulse.running));
+        metrics::gauge!("auburnline_group_running").set(f64::from(stats.running));
     }
 
     /// Returns the orders to send now, and logs the events since the last call.
-    pub(crate) fn tick(&mut self, now: Monotonic) -> Vec<Send> {
-        let sends = self.coordinator.tick(now);
-        for note in self.coordinator.notes() {
-            log_event(&self.group, &note);
+    pub(crate) fn tick(&mut self, now: Monotonic) -> Vec<Dispatch> {
+        let dispatches = self.coordinator.tick(now);
+        for event in self.coordinator.take_events() {
+            log_event(&self.group, &event);
         }
-        sends
+        dispatches
     }
 }
 
-fn log_event(group: &str, note: &Note) {
-    match note {
-        Note::Begun(version, plan) => log::info!(
+fn log_event(group: &str, event: &Event) {
+    match event {
+        Event::Started(version, plan) => log::info!(
             target: "experts",
             group,
             version,
@@ -246,27 +246,27 @@
             copies = plan.copies;
             "map change started"
         ),
-        Note::Found(version, phase) => {
+        Event::Resumed(version, phase) => {
             log::info!(target: "experts", group, version, phase:?; "map change resumed after restart");
         }
-        Note::Done(version) => {
+        Event::Done(version) => {
             log::info!(target: "experts", group, version; "map change completed")
         }
-        Note::Void(version, reason) => {
+        Event::Aborted(version, reason) => {
             log::info!(target: "experts", group, version, reason; "map change aborted");
         }
-        Note::Shifted(distance) => {
+        Event::Shifted(distance) => {
             log::info!(target: "experts", group, distance; "expert popularity shifted");
         }
-        Note::Formed(epoch) => log::info!(target: "experts", group, epoch; "group formed"),
+        Event::Formed(epoch) => log::info!(target: "experts", group, epoch; "group formed"),
     }
-    let outcome = match note {
-        Note::Begun(..) => "begun",
-        Note::Found(..) => "found",
-        Note::Done(_) => "done",
-        Note::Void(..) => "void",
-        Note::Shifted(_) => "shifted",
-        Note::Formed(_) => "formed",
+    let outcome = match event {
+        Event::Started(..) => "begun",
+        Event::Resumed(..) => "found",
+        Event::Done(_) => "done",
+        Event::Aborted(..) => "void",
+        Event::Shifted(_) => "shifted",
+        Event::Formed(_) => "formed",
     };
     metrics::counter!("auburnline_map_changes_total", "outcome" => outcome).increment(1);
 }
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -17,11 +17,11 @@
 use auburnline_lockstep::layout::Layout;
 use auburnline_lockstep::message::Members;
 use auburnline_lockstep::message::Show;
+use auburnline_lockstep::output::Rotation;
 use auburnline_lockstep::rank::Epoch;
 use auburnline_lockstep::rank::Version;
 use auburnline_lockstep::standby::Standby;
 use auburnline_lockstep::tally::Tally;
-use auburnline_lockstep::told::Turn;
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
@@ -87,7 +87,7 @@
     /// Receiver of the report that follows an order; none outside of that.
     report_to: Option<SocketAddr>,
     /// Rotation of the gateways that get the digest directly.
-    turn: Turn,
+    rotation: Rotation,
     is_reachable: bool,
     /// Group and epoch that the rank reported last.
     group: Option<String>,
@@ -120,7 +120,7 @@
             standby: Standby::default(),
             layouts: Vec::new(),
             report_to: None,
-            turn: Turn::default(),
+            rotation: Rotation::default(),
             is_reachable: true,
             group: None,
             epoch: None,
--- a/crates/sidecar/src/sidecar/leading.rs
+++ b/crates/sidecar/src/sidecar/leading.rs
@@ -17,9 +17,9 @@
 use auburnline_lockstep::message::Lead as Heartbeat;
 use auburnline_lockstep::message::Message;
 use auburnline_lockstep::message::Show;
+use auburnline_lockstep::output::Dispatch;
 use auburnline_lockstep::standby::Notice;
 use auburnline_lockstep::standby::STANDBY_RANK;
-use auburnline_lockstep::told::Send;
 use auburnline_lockstep::traffic::Link;
 use auburnline_lockstep::traffic::hops;
 use auburnline_lockstep::traffic::parts;
@@ -110,7 +110,7 @@
             return;
         };
         let link = Link::of_mbps(self.settings.link_mbps);
-        let gateways: Vec<SocketAddr> = self.turn.take(&members.gateways).copied().collect();
+        let gateways: Vec<SocketAddr> = self.rotation.take(&members.gateways).copied().collect();
         let bytes = ENGINE_BYTES * digest.engines.len();
         let first = link.first_told(gateways.len(), bytes, DIGEST_PERIOD);
         for part in parts(&gateways, first) {
@@ -135,27 +135,29 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let sends = leader.tick(now);
-        let notice = leader.hold_notice(&sends, self.settings.peers);
+        let dispatches = leader.tick(now);
+        let notice = leader.hold_notice(&dispatches, self.settings.peers);
         let notice = notice.zip(leader.address(STANDBY_RANK));
         self.notify_standby(notice.as_ref()).await;
         // Other ranks first: a lost answer of the own engine would delay their orders.
-        let (own, others): (Vec<_>, Vec<_>) =
-            sends.into_iter().partition(|send| send.rank == LEADER);
-        let (differences, others): (Vec<_>, Vec<_>) =
-            others.into_iter().partition(|send| send.base.is_some());
+        let (own, others): (Vec<_>, Vec<_>) = dispatches
+            .into_iter()
+            .partition(|dispatch| dispatch.rank == LEADER);
+        let (differences, others): (Vec<_>, Vec<_>) = others
+            .into_iter()
+            .partition(|dispatch| dispatch.base.is_some());
         self.send_forwarded(differences).await;
-        for send in others {
-            self.poll_fast_after(send.order);
-            match send.order {
-                Order::Hold(_) | Order::Release(_) => self.send_to_engine(send).await,
-                Order::Prepare(_) | Order::Arm(_) => self.send_to_sidecar(send).await,
+        for dispatch in others {
+            self.poll_fast_after(dispatch.order);
+            match dispatch.order {
+                Order::Hold(_) | Order::Release(_) => self.send_to_engine(dispatch).await,
+                Order::Prepare(_) | Order::Arm(_) => self.send_to_sidecar(dispatch).await,
             }
         }
-        for send in own {
-            self.poll_fast_after(send.order);
-            let layout = send.layout.as_deref();
-            send_order(&self.engine, send.epoch, send.order, layout).await;
+        for dispatch in own {
+            self.poll_fast_after(dispatch.order);
+            let layout = dispatch.layout.as_deref();
+            send_order(&self.engine, dispatch.epoch, dispatch.order, layout).await;
         }
         // Repeated, because the first notice may have been lost and because the standby polls the held rank on a
         // repetition.
@@ -171,35 +173,35 @@
 
     /// Sends an order to another rank's engine without its sidecar, so that the hold is ordered by this instance: if
     /// it freezes, the sidecar next to the held rank still runs.
-    async fn send_to_engine(&self, send: Send) {
+    async fn send_to_engine(&self, dispatch: Dispatch) {
         let instance = self
             .leader
             .as_ref()
-            .and_then(|leader| leader.address(send.rank));
+            .and_then(|leader| leader.address(dispatch.rank));
         let members = self.members.as_ref();
         let engine = instance.zip(members).and_then(|(instance, members)| {
             let mut engines = members.upstreams.iter();
             engines.find(|engine| engine.ip() == instance.ip())
         });
         let Some(engine) = engine else {
-            log::warn!(target: "experts", rank = send.rank, order:? = send.order; "address of the engine is not known");
+            log::warn!(target: "experts", rank = dispatch.rank, order:? = dispatch.order; "address of the engine is not known");
             return;
         };
         let engine = self.engine.at(*engine);
-        send_order(&engine, send.epoch, send.order, None).await;
+        send_order(&engine, dispatch.epoch, dispatch.order, None).await;
     }
 
     /// Sends one order to prepare a delta to all its ranks: directly to some sidecars, which forward it to the others.
-    async fn send_forwarded(&mut self, sends: Vec<Send>) {
-        let (Some(leader), Some(send)) = (&self.leader, sends.first()) else {
+    async fn send_forwarded(&mut self, dispatches: Vec<Dispatch>) {
+        let (Some(leader), Some(dispatch)) = (&self.leader, dispatches.first()) else {
             return;
         };
         let command = Command {
             reports_to: Some(self.settings.peers),
-            ..command(leader, send)
+            ..command(leader, dispatch)
         };
-        let sidecars = leader.sidecars(sends.iter().map(|send| send.rank));
-        self.poll_fast_after(send.order);
+        let sidecars = leader.sidecars(dispatches.iter().map(|dispatch| dispatch.rank));
+        self.poll_fast_after(dispatch.order);
         for part in parts(&sidecars, hops(sidecars.len())) {
             let Some((first, others)) = part.split_first() else {
                 continue;
@@ -212,24 +214,24 @@
         }
     }
 
-    async fn send_to_sidecar(&self, send: Send) {
+    async fn send_to_sidecar(&self, dispatch: Dispatch) {
         let Some(leader) = &self.leader else {
             return;
         };
-        let Some(address) = leader.address(send.rank) else {
+        let Some(address) = leader.address(dispatch.rank) else {
             return;
         };
-        let message = Message::Command(command(leader, &send));
+        let message = Message::Command(command(leader, &dispatch));
         self.send(&message, address).await;
     }
 }
 
-fn command(leader: &Leader, send: &Send) -> Command {
+fn command(leader: &Leader, dispatch: &Dispatch) -> Command {
     Command {
         group: leader.group().to_owned(),
-        epoch: send.epoch,
-        order: send.order,
-        layout: send.update(),
+        epoch: dispatch.epoch,
+        order: dispatch.order,
+        layout: dispatch.update(),
         reports_to: None,
     }
 }
