--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -13,9 +13,9 @@
 use auburnline_core::id::FailureDomainId;
 use auburnline_core::id::GroupId;
 use auburnline_core::time::Monotonic;
-use auburnline_lockstep::message::Ask;
 use auburnline_lockstep::message::Digest;
 use auburnline_lockstep::message::Members;
+use auburnline_lockstep::message::MembersQuery;
 use auburnline_retries::budget::Budget;
 use rand::Rng;
 use rand::SeedableRng as _;
@@ -290,15 +290,15 @@
 
     /// Answers a sidecar's question which upstreams serve a service.
     #[must_use]
-    pub fn members(&self, ask: &Ask, now: Monotonic) -> Members {
+    pub fn members(&self, query: &MembersQuery, now: Monotonic) -> Members {
         let table = self.table.as_ref();
-        let service = table.and_then(|table| table.service(&ask.service));
+        let service = table.and_then(|table| table.service(&query.service));
         let engine = service.and_then(|service| service.engine);
-        let longest = table.and_then(|table| table.longest_pause(&ask.service));
+        let longest = table.and_then(|table| table.longest_pause(&query.service));
         let upstreams = self.pool.iter();
-        let upstreams = upstreams.filter(|upstream| *upstream.service == *ask.service);
+        let upstreams = upstreams.filter(|upstream| *upstream.service == *query.service);
         Members {
-            service: ask.service.clone(),
+            service: query.service.clone(),
             upstreams: upstreams.map(|upstream| upstream.address).collect(),
             gateways: self.roster.addresses(now, MAX_GATEWAYS),
             shape: engine.and_then(|engine| engine.shape),
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -5,9 +5,9 @@
 use auburnline_core::id::FailureDomainId;
 use auburnline_core::id::Incarnation;
 use auburnline_core::id::InstanceId;
-use auburnline_lockstep::message::Ask;
 use auburnline_lockstep::message::Digest;
 use auburnline_lockstep::message::Forwarded;
+use auburnline_lockstep::message::MembersQuery;
 use auburnline_quota::book::Notice;
 use auburnline_quota::home;
 use auburnline_quota::loan::Loan;
@@ -63,7 +63,7 @@
     /// Reply to the heartbeat of a gateway that started or came back; never replied to.
     Introduction(Beat),
     /// Request of a sidecar for the upstreams that serve a service.
-    Ask(Ask),
+    MembersQuery(MembersQuery),
     /// State of a group, from its leader.
     Group(Digest),
     /// State of a group that the receiver forwards to other gateways.
--- a/crates/gateway/tests/all/group.rs
+++ b/crates/gateway/tests/all/group.rs
@@ -1,14 +1,14 @@
 //! Groups of upstreams that run in lock-step.
 
 use auburnline_gateway::group::Groups;
-use auburnline_lockstep::message::Busy;
 use auburnline_lockstep::message::Digest;
+use auburnline_lockstep::message::EngineLoad;
 use googletest::prelude::*;
 
 use crate::support::millis;
 
 fn digest(group: &str, is_open: bool, ports: &[u16]) -> Digest {
-    let busy = |port: &u16| Busy {
+    let busy = |port: &u16| EngineLoad {
         engine: ([10, 0, 0, 1], *port).into(),
         requests: 0,
         slowdown_percent: 100,
--- a/crates/gateway/tests/all/limit.rs
+++ b/crates/gateway/tests/all/limit.rs
@@ -15,8 +15,8 @@
 use auburnline_gateway::request::Admission;
 use auburnline_gateway::upstream::State;
 use auburnline_gateway::upstream::Upstream;
-use auburnline_lockstep::message::Busy;
 use auburnline_lockstep::message::Digest;
+use auburnline_lockstep::message::EngineLoad;
 use auburnline_quota::Rate;
 use auburnline_quota::book::Teller;
 use auburnline_quota::home::Permit;
@@ -56,7 +56,7 @@
     }
     tick(&mut gateway, 2_100);
     for (group, ranks) in [("a", [0, 1]), ("b", [2, 3])] {
-        let busy = |rank| Busy {
+        let busy = |rank| EngineLoad {
             engine: address(rank),
             requests: 0,
             slowdown_percent: 100,
@@ -209,7 +209,7 @@
 
 /// Delivers a report of the first group's leader that its first rank is slow.
 pub(crate) fn slow_down(gateway: &mut Gateway, now: u64) {
-    let busy = |rank, slowdown_percent| Busy {
+    let busy = |rank, slowdown_percent| EngineLoad {
         engine: address(rank),
         requests: 3,
         slowdown_percent,
--- a/crates/gateway/tests/all/load.rs
+++ b/crates/gateway/tests/all/load.rs
@@ -10,8 +10,8 @@
 use auburnline_gateway::upstream::State;
 use auburnline_gateway::upstream::Upstream;
 use auburnline_gateway::upstream::tag;
-use auburnline_lockstep::message::Busy;
 use auburnline_lockstep::message::Digest;
+use auburnline_lockstep::message::EngineLoad;
 use googletest::prelude::*;
 
 use crate::gateway::ask;
@@ -32,7 +32,7 @@
 }
 
 fn digest(group: u16, requests: u32) -> Digest {
-    let busy = |rank| Busy {
+    let busy = |rank| EngineLoad {
         engine: engine(group, rank),
         requests,
         slowdown_percent: 100,
--- a/crates/lockstep/src/message.rs
+++ b/crates/lockstep/src/message.rs
@@ -17,7 +17,7 @@
 
 /// Query of a sidecar to a gateway for the members of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct MembersQuery {
     /// Name of the service.
     pub service: String,
 }
@@ -25,12 +25,12 @@
 /// Message to a sidecar.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Answer of a gateway to [`Ask`].
+    /// Answer of a gateway to [`MembersQuery`].
     Members(Members),
     /// Heartbeat of the leader, the sidecar next to rank 0.
-    Lead(Lead),
+    Heartbeat(Heartbeat),
     /// State of a rank, from its sidecar to the leader.
-    Show(Show),
+    RankReport(RankReport),
     /// Order of the leader or its standby to the receiver's rank.
     Command(Command),
     /// Notice of the leader to its standby that it is about to order a hold.
@@ -67,7 +67,7 @@
 
 /// Load and slowdown of one engine of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Busy {
+pub struct EngineLoad {
     /// Address of the engine.
     pub engine: SocketAddr,
     /// Requests that run or wait at it.
@@ -86,7 +86,7 @@
     /// Whether all ranks were seen and the group serves.
     pub is_open: bool,
     /// Engines that run in lock-step in this group.
-    pub engines: Vec<Busy>,
+    pub engines: Vec<EngineLoad>,
 }
 
 /// Digest that the receiving gateway forwards to other gateways.
@@ -100,7 +100,7 @@
 
 /// Heartbeat of a group's leader to the other sidecars.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lead {
+pub struct Heartbeat {
     /// Name of the group.
     pub group: String,
     /// Current epoch of the leader's rank.
@@ -113,7 +113,7 @@
 
 /// Report on one rank by its sidecar.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Show {
+pub struct RankReport {
     /// Start of the rank's engine in Unix milliseconds; none if the engine does not report it.
     pub born: Option<u64>,
     /// Name of the group.
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -150,8 +150,8 @@
             }
         }
         Ok(Datagram::Introduction(beat)) => handle_beat(shared, beat),
-        Ok(Datagram::Ask(ask)) => {
-            let members = shared.gateway().members(&ask, shared.now());
+        Ok(Datagram::MembersQuery(query)) => {
+            let members = shared.gateway().members(&query, shared.now());
             shared.send(&Message::Members(members), from);
         }
         Ok(Datagram::Group(digest)) => handle_digest(shared, &digest),
--- a/crates/sidecar/src/leader.rs
+++ b/crates/sidecar/src/leader.rs
@@ -15,10 +15,10 @@
 use auburnline_lockstep::change::Order;
 use auburnline_lockstep::coordinator::LEADER;
 use auburnline_lockstep::coordinator::Service;
-use auburnline_lockstep::message::Busy;
 use auburnline_lockstep::message::Digest;
+use auburnline_lockstep::message::EngineLoad;
 use auburnline_lockstep::message::Members;
-use auburnline_lockstep::message::Show;
+use auburnline_lockstep::message::RankReport;
 use auburnline_lockstep::output::Dispatch;
 use auburnline_lockstep::output::Event;
 use auburnline_lockstep::rank::State;
@@ -159,7 +159,7 @@
         let upstreams: BTreeSet<SocketAddr> = members.upstreams.iter().copied().collect();
         let engines = upstreams.into_iter().filter_map(|engine| {
             let state = by_instance.get(&engine.ip())?;
-            Some(Busy {
+            Some(EngineLoad {
                 engine,
                 requests: state.running + state.waiting,
                 slowdown_percent: state.slowdown_percent,
@@ -174,26 +174,26 @@
     }
 
     /// Records the report on a rank; `from` is its sidecar, none for the leader's own rank.
-    pub(crate) fn see(&mut self, show: Show, from: Option<SocketAddr>, now: Monotonic) {
-        if show.group != self.group {
+    pub(crate) fn see(&mut self, report: RankReport, from: Option<SocketAddr>, now: Monotonic) {
+        if report.group != self.group {
             return;
         }
         if let Some(address) = from {
-            let failure_domain = show.failure_domain;
+            let failure_domain = report.failure_domain;
             let peer = Peer {
                 address,
                 failure_domain,
             };
-            self.peers.insert(show.state.rank, peer);
+            self.peers.insert(report.state.rank, peer);
         }
-        let before = show
+        let before = report
             .born
-            .and_then(|born| self.born.insert(show.state.rank, born));
-        if before.is_some_and(|before| show.born != Some(before)) {
-            self.coordinator.restarted(show.state.rank);
+            .and_then(|born| self.born.insert(report.state.rank, born));
+        if before.is_some_and(|before| report.born != Some(before)) {
+            self.coordinator.restarted(report.state.rank);
         }
         self.coordinator
-            .see(show.state, &show.choices, show.held, now);
+            .see(report.state, &report.choices, report.held, now);
     }
 
     /// Logs the group's statistics and sets its gauges, once per period.
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -16,7 +16,7 @@
 use auburnline_lockstep::coordinator::LEADER;
 use auburnline_lockstep::layout::Layout;
 use auburnline_lockstep::message::Members;
-use auburnline_lockstep::message::Show;
+use auburnline_lockstep::message::RankReport;
 use auburnline_lockstep::output::Rotation;
 use auburnline_lockstep::rank::Epoch;
 use auburnline_lockstep::rank::Version;
@@ -174,7 +174,7 @@
         self.update_start(report.born);
         let choices = self.read_activations().await;
         let held = self.read_held().await;
-        let show = Show {
+        let rank_report = RankReport {
             born: report.born,
             group: report.group,
             state: report.state,
@@ -182,11 +182,11 @@
             choices,
             held,
         };
-        if show.state.rank == LEADER {
-            self.lead(show).await;
+        if rank_report.state.rank == LEADER {
+            self.lead(rank_report).await;
         } else {
             self.leader = None;
-            self.report(show).await;
+            self.report(rank_report).await;
         }
     }
 
--- a/crates/sidecar/src/sidecar/following.rs
+++ b/crates/sidecar/src/sidecar/following.rs
@@ -13,7 +13,7 @@
 use auburnline_lockstep::message::Command;
 use auburnline_lockstep::message::Counts;
 use auburnline_lockstep::message::Message;
-use auburnline_lockstep::message::Show;
+use auburnline_lockstep::message::RankReport;
 use auburnline_lockstep::rank::Epoch;
 use auburnline_lockstep::rank::State;
 use auburnline_lockstep::rank::Switch;
@@ -55,38 +55,38 @@
 }
 
 impl<E: Engine> Sidecar<E> {
-    pub(super) async fn report(&mut self, mut show: Show) {
+    pub(super) async fn report(&mut self, mut report: RankReport) {
         let now = self.clock.now();
         let is_fresh = |leader: &KnownLeader| now.saturating_sub(leader.heard) < LEADER_TIMEOUT;
-        self.act_as_standby(&show.state, now).await;
+        self.act_as_standby(&report.state, now).await;
         let leader = self.known_leader.filter(is_fresh);
         let Some(address) = self.report_to.or(leader.map(|leader| leader.address)) else {
             return;
         };
         if let Some(collector) = leader.and_then(|leader| leader.collector) {
-            self.send_counts(&mut show, collector).await;
+            self.send_counts(&mut report, collector).await;
         }
-        let state = ChangeState::of(&show.state);
+        let state = ChangeState::of(&report.state);
         let is_reported = self.last_report.is_some_and(|(reported, at)| {
-            reported == state && now.saturating_sub(at) < REPORT_PERIOD && show.held.is_none()
+            reported == state && now.saturating_sub(at) < REPORT_PERIOD && report.held.is_none()
         });
-        if is_reported && show.choices.is_empty() {
+        if is_reported && report.choices.is_empty() {
             return;
         }
         self.last_report = Some((state, now));
-        self.send(&Message::Show(show), address).await;
+        self.send(&Message::RankReport(report), address).await;
     }
 
-    /// Moves the expert counts out of `show` and sends them to `collector`; they stay if that is this sidecar.
-    async fn send_counts(&self, show: &mut Show, collector: SocketAddr) {
-        let choices = std::mem::take(&mut show.choices);
+    /// Moves the expert counts out of `report` and sends them to `collector`; they stay if that is this sidecar.
+    async fn send_counts(&self, report: &mut RankReport, collector: SocketAddr) {
+        let choices = std::mem::take(&mut report.choices);
         if choices.is_empty() || collector == self.settings.peers {
-            show.choices = choices;
+            report.choices = choices;
             return;
         }
         let counts = Counts {
-            group: show.group.clone(),
-            epoch: show.state.epoch,
+            group: report.group.clone(),
+            epoch: report.state.epoch,
             choices,
         };
         self.send(&Message::Counts(counts), collector).await;
--- a/crates/sidecar/src/sidecar/leading.rs
+++ b/crates/sidecar/src/sidecar/leading.rs
@@ -9,14 +9,14 @@
 use auburnline_lockstep::collecting::receivers;
 use auburnline_lockstep::coordinator::LEADER;
 use auburnline_lockstep::coordinator::Service;
-use auburnline_lockstep::message::Ask;
 use auburnline_lockstep::message::Command;
 use auburnline_lockstep::message::Digest;
 use auburnline_lockstep::message::Forward;
 use auburnline_lockstep::message::Forwarded;
-use auburnline_lockstep::message::Lead as Heartbeat;
+use auburnline_lockstep::message::Heartbeat;
+use auburnline_lockstep::message::MembersQuery;
 use auburnline_lockstep::message::Message;
-use auburnline_lockstep::message::Show;
+use auburnline_lockstep::message::RankReport;
 use auburnline_lockstep::output::Dispatch;
 use auburnline_lockstep::standby::Notice;
 use auburnline_lockstep::standby::STANDBY_RANK;
@@ -35,7 +35,7 @@
 const ENGINE_BYTES: usize = 11;
 
 impl<E: Engine> Sidecar<E> {
-    pub(super) async fn lead(&mut self, show: Show) {
+    pub(super) async fn lead(&mut self, report: RankReport) {
         let now = self.clock.now();
         self.query_members(now).await;
         let members = self.members.as_ref();
@@ -48,14 +48,14 @@
         let started = self.started;
         let leader = self
             .leader
-            .get_or_insert_with(|| Leader::new(show.group.clone(), service, started, now));
+            .get_or_insert_with(|| Leader::new(report.group.clone(), service, started, now));
         let heartbeat = Heartbeat {
-            group: show.group.clone(),
-            epoch: show.state.epoch,
+            group: report.group.clone(),
+            epoch: report.state.epoch,
             wants_layout: leader.wants_layout(),
             collector: None,
         };
-        leader.see(show, None, now);
+        leader.see(report, None, now);
         leader.log_stats(now);
         let members = self.members.as_ref();
         let own = self.settings.peers;
@@ -70,11 +70,11 @@
         if !self.asking.is_due(now) {
             return;
         }
-        let ask = Datagram::Ask(Ask {
+        let query = Datagram::MembersQuery(MembersQuery {
             service: self.settings.service.clone(),
         });
         for gateway in self.settings.gateways.clone() {
-            self.send(&ask, gateway).await;
+            self.send(&query, gateway).await;
         }
     }
 
@@ -95,7 +95,7 @@
         let is_searching = !leader.is_in_reach(now);
         let unknown = all.filter(|address| is_searching && *address != self.settings.peers);
         for receiver in receivers(&known, leader.collectors(known.len()), unknown) {
-            let message = Message::Lead(Heartbeat {
+            let message = Message::Heartbeat(Heartbeat {
                 collector: receiver.collector,
                 ..heartbeat.clone()
             });
--- a/crates/sidecar/src/sidecar/receiving.rs
+++ b/crates/sidecar/src/sidecar/receiving.rs
@@ -47,7 +47,7 @@
                     self.members = Some(members);
                 }
             }
-            Message::Lead(heartbeat) => {
+            Message::Heartbeat(heartbeat) => {
                 if self.group.as_ref() == Some(&heartbeat.group) {
                     self.standby.record_heartbeat(now);
                     self.known_leader = Some(KnownLeader {
@@ -58,11 +58,11 @@
                     });
                 }
             }
-            Message::Show(show) => {
+            Message::RankReport(report) => {
                 if let Some(leader) = &mut self.leader {
-                    leader.see(show, Some(from), now);
-                } else if self.group.as_ref() == Some(&show.group) {
-                    self.standby.see(&show.state);
+                    leader.see(report, Some(from), now);
+                } else if self.group.as_ref() == Some(&report.group) {
+                    self.standby.see(&report.state);
                 }
             }
             Message::Counts(counts) => {
