--- a/crates/lockstep/examples/cost.rs
+++ b/crates/lockstep/examples/cost.rs
@@ -103,7 +103,7 @@
         now += Duration::from_millis(100);
         for rank in 0..ranks {
             let prepared = version.filter(|_| rank < ranks / 2);
-            coordinator.see(state(rank, ranks, turn, prepared), &counts, None, now);
+            coordinator.observe(state(rank, ranks, turn, prepared), &counts, None, now);
         }
         for dispatch in coordinator.tick(now) {
             if let Order::Prepare(ordered) = dispatch.order {
@@ -115,7 +115,7 @@
         }
     }
     assert!(version.is_some(), "no change was started");
-    let report = mean(|| coordinator.see(state(0, ranks, 50, version), &counts, None, now));
+    let report = mean(|| coordinator.observe(state(0, ranks, 50, version), &counts, None, now));
     let tick = mean(|| {
         now += Duration::from_millis(1);
         let _ = coordinator.tick(now);
--- a/crates/lockstep/src/coordinator.rs
+++ b/crates/lockstep/src/coordinator.rs
@@ -37,7 +37,7 @@
 use crate::traffic::Pacer;
 
 /// Rank whose sidecar runs the coordinator.
-pub const LEADER: Rank = 0;
+pub const LEADER_RANK: Rank = 0;
 /// Rank that is held. It is not the leader's rank, whose instance may freeze right after sending the order.
 pub const HOLDER: Rank = 1;
 /// Passes between the newest one seen and the one to hold. The orders take less than a pass; one that
@@ -136,7 +136,7 @@
 
     /// Returns whether the ranks must report the experts that they hold.
     #[must_use]
-    pub fn wants_layout(&self) -> bool {
+    pub fn needs_layout(&self) -> bool {
         self.epoch.is_some() && self.in_force.is_none()
     }
 
@@ -148,7 +148,7 @@
 
     /// Returns the map version of the change in progress.
     #[must_use]
-    pub fn changing(&self) -> Option<Version> {
+    pub fn change_version(&self) -> Option<Version> {
         self.change.as_ref().map(Change::version)
     }
 
@@ -159,7 +159,7 @@
 
     /// Records the state of one rank, its expert activations since the last report, layer by layer, and the
     /// experts that it holds, if reported.
-    pub fn see(
+    pub fn observe(
         &mut self,
         state: State,
         activations: &[u32],
@@ -202,7 +202,7 @@
 
     /// Records that a rank's engine restarted under its id. It has lost its earlier state, so all ranks must
     /// be seen again before the next order.
-    pub fn restarted(&mut self, rank: Rank) {
+    pub fn rank_restarted(&mut self, rank: Rank) {
         if self.members.contains_key(&rank)
             && let Some(epoch) = self.epoch
         {
--- a/crates/lockstep/src/coordinator/planning.rs
+++ b/crates/lockstep/src/coordinator/planning.rs
@@ -106,7 +106,7 @@
 
     /// Returns whether all ranks have reported recently.
     #[must_use]
-    pub fn is_in_reach(&self, now: Monotonic) -> bool {
+    pub fn is_reachable(&self, now: Monotonic) -> bool {
         let mut members = self.members.values();
         self.has_all_ranks()
             && members.all(|member| now.saturating_sub(member.seen) < MAX_REPORT_AGE)
@@ -120,7 +120,7 @@
             let is_free = state.armed.is_none() && state.held.is_none() && !state.is_busy;
             is_free && state.is_open && Some(state.version) == version
         };
-        self.is_in_reach(now) && states.all(is_still)
+        self.is_reachable(now) && states.all(is_still)
     }
 
     /// Returns a version above all that were seen and all that a previous coordinator chose. Its orders may
--- a/crates/lockstep/src/message.rs
+++ b/crates/lockstep/src/message.rs
@@ -60,7 +60,7 @@
     /// Returns whether the gateway that sent this knew the service. After a start it must first read the published
     /// configuration.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.shape.is_some() && !self.upstreams.is_empty()
     }
 }
@@ -106,7 +106,7 @@
     /// Current epoch of the leader's rank.
     pub epoch: Epoch,
     /// Whether ranks must report the experts that they hold, because the leader does not know the layout in force.
-    pub wants_layout: bool,
+    pub needs_layout: bool,
     /// Sidecar that aggregates the counts of the receiver's rank; none if they go to the leader.
     pub collector: Option<SocketAddr>,
 }
--- a/crates/lockstep/src/standby.rs
+++ b/crates/lockstep/src/standby.rs
@@ -131,7 +131,7 @@
     }
 
     /// Records the state of a rank.
-    pub fn see(&mut self, state: &State) {
+    pub fn observe(&mut self, state: &State) {
         let Some(notice) = &self.notice else {
             return;
         };
@@ -145,7 +145,7 @@
     /// Returns the orders that complete the change, given the state of the own rank.
     #[must_use]
     pub fn orders(&mut self, holder: &State) -> Vec<(Rank, Order)> {
-        self.see(holder);
+        self.observe(holder);
         let Some(notice) = &self.notice else {
             return Vec::new();
         };
--- a/crates/lockstep/tests/all/coordinator.rs
+++ b/crates/lockstep/tests/all/coordinator.rs
@@ -82,7 +82,8 @@
         let activations = activations.repeat(self.layers);
         for (rank, engine) in (0..).zip(&self.engines) {
             let state = engine.state(rank, 2, self.step);
-            self.coordinator.see(state, &activations, None, self.now);
+            self.coordinator
+                .observe(state, &activations, None, self.now);
         }
         let dispatches = self.coordinator.tick(self.now);
         for dispatch in &dispatches {
@@ -184,7 +185,7 @@
     }
     let mut state = Engine::default().state(0, 2, 1);
     state.epoch = 2;
-    world.coordinator.see(state, &[], None, world.now);
+    world.coordinator.observe(state, &[], None, world.now);
     assert_that!(world.coordinator.tick(world.now), is_empty());
     assert_that!(
         world.coordinator.take_events(),
@@ -336,13 +337,13 @@
 fn a_rank_that_started_anew_ends_the_change_under_way() {
     let mut world = World::new();
     for _ in 0..40 {
-        if world.coordinator.changing().is_some() {
+        if world.coordinator.change_version().is_some() {
             break;
         }
         world.tick();
     }
-    assert_that!(world.coordinator.changing(), some(anything()));
-    world.coordinator.restarted(1);
-    assert_that!(world.coordinator.changing(), none());
+    assert_that!(world.coordinator.change_version(), some(anything()));
+    world.coordinator.rank_restarted(1);
+    assert_that!(world.coordinator.change_version(), none());
     assert_that!(world.coordinator.is_open(), eq(false));
 }
--- a/crates/lockstep/tests/all/explore/world.rs
+++ b/crates/lockstep/tests/all/explore/world.rs
@@ -208,7 +208,7 @@
         if rank == HOLDER {
             world.holder = Some(state);
         } else {
-            world.standby.see(&state);
+            world.standby.observe(&state);
         }
         world
     }
--- a/crates/lockstep/tests/all/message.rs
+++ b/crates/lockstep/tests/all/message.rs
@@ -23,15 +23,15 @@
         most_new: 2,
         copy: Duration::from_millis(10),
     };
-    assert_that!(blank.is_whole(), eq(false));
+    assert_that!(blank.is_complete(), eq(false));
     let listed = Members {
         upstreams: vec![([10, 0, 0, 1], 80).into()],
         ..blank
     };
-    assert_that!(listed.is_whole(), eq(false));
-    let whole = Members {
+    assert_that!(listed.is_complete(), eq(false));
+    let complete = Members {
         shape: Some(shape),
         ..listed
     };
-    assert_that!(whole.is_whole(), eq(true));
+    assert_that!(complete.is_complete(), eq(true));
 }
--- a/crates/lockstep/tests/all/standby.rs
+++ b/crates/lockstep/tests/all/standby.rs
@@ -148,7 +148,7 @@
     assert_that!(standby.orders(&holder), eq(&vec![(0, arm)]));
     let mut other = state(0, 11);
     other.armed = Some(SWITCH);
-    standby.see(&other);
+    standby.observe(&other);
     let release = Order::Release(SWITCH.step);
     assert_that!(standby.orders(&holder), eq(&vec![(1, release)]));
 }
--- a/crates/sidecar/src/leader.rs
+++ b/crates/sidecar/src/leader.rs
@@ -13,7 +13,7 @@
 use auburnline_core::time::Monotonic;
 use auburnline_lockstep::Coordinator;
 use auburnline_lockstep::change::Order;
-use auburnline_lockstep::coordinator::LEADER;
+use auburnline_lockstep::coordinator::LEADER_RANK;
 use auburnline_lockstep::coordinator::Service;
 use auburnline_lockstep::message::Digest;
 use auburnline_lockstep::message::EngineLoad;
@@ -80,8 +80,8 @@
     }
 
     /// Returns whether the ranks must report the experts that they hold.
-    pub(crate) fn wants_layout(&self) -> bool {
-        self.coordinator.wants_layout()
+    pub(crate) fn needs_layout(&self) -> bool {
+        self.coordinator.needs_layout()
     }
 
     fn addresses(&self) -> impl Iterator<Item = (Rank, SocketAddr)> {
@@ -95,8 +95,8 @@
     }
 
     /// Returns whether all ranks have reported recently.
-    pub(crate) fn is_in_reach(&self, now: Monotonic) -> bool {
-        self.coordinator.is_in_reach(now)
+    pub(crate) fn is_reachable(&self, now: Monotonic) -> bool {
+        self.coordinator.is_reachable(now)
     }
 
     /// Returns the other ranks that have reported.
@@ -126,12 +126,12 @@
             Order::Prepare(_) | Order::Arm(_) | Order::Release(_) => None,
         });
         let (epoch, step) = hold?;
-        let version = self.coordinator.changing()?;
+        let version = self.coordinator.change_version()?;
         Some(Notice {
             group: self.group.clone(),
             epoch,
             switch: Switch { version, step },
-            sidecars: self.addresses().chain([(LEADER, own)]).collect(),
+            sidecars: self.addresses().chain([(LEADER_RANK, own)]).collect(),
         })
     }
 
@@ -150,7 +150,7 @@
         self.digest_sent_at = now;
         self.was_open = is_open;
         let sidecars: BTreeMap<Rank, SocketAddr> =
-            self.addresses().chain([(LEADER, own)]).collect();
+            self.addresses().chain([(LEADER_RANK, own)]).collect();
         let states = self.coordinator.states_by_rank();
         let by_instance: HashMap<IpAddr, &State> = states
             .filter_map(|(rank, state)| Some((sidecars.get(&rank)?.ip(), state)))
@@ -174,7 +174,7 @@
     }
 
     /// Records the report on a rank; `from` is its sidecar, none for the leader's own rank.
-    pub(crate) fn see(&mut self, report: RankReport, from: Option<SocketAddr>, now: Monotonic) {
+    pub(crate) fn observe(&mut self, report: RankReport, from: Option<SocketAddr>, now: Monotonic) {
         if report.group != self.group {
             return;
         }
@@ -190,10 +190,10 @@
             .born
             .and_then(|born| self.born.insert(report.state.rank, born));
         if before.is_some_and(|before| report.born != Some(before)) {
-            self.coordinator.restarted(report.state.rank);
+            self.coordinator.rank_restarted(report.state.rank);
         }
         self.coordinator
-            .see(report.state, &report.choices, report.held, now);
+            .observe(report.state, &report.choices, report.held, now);
     }
 
     /// Logs the group's statistics and sets its gauges, once per period.
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -13,7 +13,7 @@
 use auburnline_duty::clock::Clock;
 use auburnline_lockstep::asking::Asking;
 use auburnline_lockstep::change::Order;
-use auburnline_lockstep::coordinator::LEADER;
+use auburnline_lockstep::coordinator::LEADER_RANK;
 use auburnline_lockstep::layout::Layout;
 use auburnline_lockstep::message::Members;
 use auburnline_lockstep::message::RankReport;
@@ -55,7 +55,7 @@
 struct KnownLeader {
     address: SocketAddr,
     heard: Monotonic,
-    wants_layout: bool,
+    needs_layout: bool,
     /// Sidecar that aggregates the counts of the own rank; none if they go to the leader.
     collector: Option<SocketAddr>,
 }
@@ -182,7 +182,7 @@
             choices,
             held,
         };
-        if rank_report.state.rank == LEADER {
+        if rank_report.state.rank == LEADER_RANK {
             self.lead(rank_report).await;
         } else {
             self.leader = None;
@@ -252,8 +252,8 @@
     /// Returns the experts that the rank holds, if the leader wants them.
     async fn read_held(&self) -> Option<Vec<Vec<u16>>> {
         let is_wanted = match &self.leader {
-            Some(leader) => leader.wants_layout(),
-            None => self.known_leader.is_some_and(|leader| leader.wants_layout),
+            Some(leader) => leader.needs_layout(),
+            None => self.known_leader.is_some_and(|leader| leader.needs_layout),
         };
         if !is_wanted {
             return None;
--- a/crates/sidecar/src/sidecar/following.rs
+++ b/crates/sidecar/src/sidecar/following.rs
@@ -94,7 +94,7 @@
 
     /// As the standby, ends a hold whose leader is silent, or completes the change if ranks may be armed.
     async fn act_as_standby(&mut self, own: &State, now: Monotonic) {
-        self.standby.see(own);
+        self.standby.observe(own);
         let Some(notice) = self.standby.due_hold(own, now).cloned() else {
             return;
         };
--- a/crates/sidecar/src/sidecar/leading.rs
+++ b/crates/sidecar/src/sidecar/leading.rs
@@ -7,7 +7,7 @@
 use auburnline_gateway::message::Datagram;
 use auburnline_lockstep::change::Order;
 use auburnline_lockstep::collecting::receivers;
-use auburnline_lockstep::coordinator::LEADER;
+use auburnline_lockstep::coordinator::LEADER_RANK;
 use auburnline_lockstep::coordinator::Service;
 use auburnline_lockstep::message::Command;
 use auburnline_lockstep::message::Digest;
@@ -52,10 +52,10 @@
         let heartbeat = Heartbeat {
             group: report.group.clone(),
             epoch: report.state.epoch,
-            wants_layout: leader.wants_layout(),
+            needs_layout: leader.needs_layout(),
             collector: None,
         };
-        leader.see(report, None, now);
+        leader.observe(report, None, now);
         leader.log_stats(now);
         let members = self.members.as_ref();
         let own = self.settings.peers;
@@ -92,7 +92,7 @@
         let port = self.settings.peers.port();
         let all = members.upstreams.iter();
         let all = all.map(|upstream| SocketAddr::new(upstream.ip(), port));
-        let is_searching = !leader.is_in_reach(now);
+        let is_searching = !leader.is_reachable(now);
         let unknown = all.filter(|address| is_searching && *address != self.settings.peers);
         for receiver in receivers(&known, leader.collectors(known.len()), unknown) {
             let message = Message::Heartbeat(Heartbeat {
@@ -142,7 +142,7 @@
         // Other ranks first: a lost answer of the own engine would delay their orders.
         let (own, others): (Vec<_>, Vec<_>) = dispatches
             .into_iter()
-            .partition(|dispatch| dispatch.rank == LEADER);
+            .partition(|dispatch| dispatch.rank == LEADER_RANK);
         let (differences, others): (Vec<_>, Vec<_>) = others
             .into_iter()
             .partition(|dispatch| dispatch.base.is_some());
--- a/crates/sidecar/src/sidecar/receiving.rs
+++ b/crates/sidecar/src/sidecar/receiving.rs
@@ -41,7 +41,7 @@
         match message {
             Message::Members(members) => {
                 if members.service == self.settings.service {
-                    if members.is_whole() {
+                    if members.is_complete() {
                         self.asking.hear(members.gateways.len(), now);
                     }
                     self.members = Some(members);
@@ -53,16 +53,16 @@
                     self.known_leader = Some(KnownLeader {
                         address: from,
                         heard: now,
-                        wants_layout: heartbeat.wants_layout,
+                        needs_layout: heartbeat.needs_layout,
                         collector: heartbeat.collector,
                     });
                 }
             }
             Message::RankReport(report) => {
                 if let Some(leader) = &mut self.leader {
-                    leader.see(report, Some(from), now);
+                    leader.observe(report, Some(from), now);
                 } else if self.group.as_ref() == Some(&report.group) {
-                    self.standby.see(&report.state);
+                    self.standby.observe(&report.state);
                 }
             }
             Message::Counts(counts) => {
