--- a/crates/lockstep/src/collecting.rs
+++ b/crates/lockstep/src/aggregation.rs
@@ -15,28 +15,28 @@
     /// Address of the sidecar.
     pub address: SocketAddr,
     /// Sidecar that aggregates the counts of its rank; none if they go to the leader.
-    pub collector: Option<SocketAddr>,
+    pub aggregator: Option<SocketAddr>,
 }
 
-/// Returns the receivers of a heartbeat, of which `collectors` of the `known` ones aggregate for the others.
+/// Returns the receivers of a heartbeat, of which `aggregators` of the `known` ones aggregate for the others.
 #[must_use]
 pub fn receivers(
     known: &[SocketAddr],
-    collectors: usize,
+    aggregators: usize,
     unknown: impl Iterator<Item = SocketAddr>,
 ) -> Vec<Receiver> {
-    let assigned = parts(known, collectors).flat_map(|part| {
-        let collector = part.first().copied().filter(|_| part.len() > 1);
+    let assigned = parts(known, aggregators).flat_map(|part| {
+        let aggregator = part.first().copied().filter(|_| part.len() > 1);
         let receiver = move |address: &SocketAddr| Receiver {
             address: *address,
-            collector,
+            aggregator,
         };
         part.iter().map(receiver)
     });
     let new = unknown.filter(|address| !known.contains(address));
     let new = new.map(|address| Receiver {
         address,
-        collector: None,
+        aggregator: None,
     });
     assigned.chain(new).collect()
 }
--- a/crates/lockstep/src/lib.rs
+++ b/crates/lockstep/src/lib.rs
@@ -8,15 +8,15 @@
 //! [`standby`] is the leader's standby, which ends a hold when the leader has failed.
 //!
 //! [`message`] defines the messages between sidecars and to gateways. [`traffic`] bounds the share of an
-//! instance's link that they use, [`collecting`] assigns ranks to aggregators of expert counts and [`tally`]
+//! instance's link that they use, [`aggregation`] assigns ranks to aggregators of expert counts and [`tally`]
 //! sums those counts, and [`asking`] schedules the leader's membership queries to gateways.
 //!
 //! `auburnline-experts` does the same for engines in which each rank is held separately. This crate does no
 //! I/O and reads no clock.
 
+pub mod aggregation;
 pub mod asking;
 pub mod change;
-pub mod collecting;
 pub mod coordinator;
 pub mod cost;
 pub mod layout;
--- a/crates/lockstep/src/message.rs
+++ b/crates/lockstep/src/message.rs
@@ -108,7 +108,7 @@
     /// Whether ranks must report the experts that they hold, because the leader does not know the layout in force.
     pub needs_layout: bool,
     /// Sidecar that aggregates the counts of the receiver's rank; none if they go to the leader.
-    pub collector: Option<SocketAddr>,
+    pub aggregator: Option<SocketAddr>,
 }
 
 /// Report on one rank by its sidecar.
@@ -123,7 +123,7 @@
     /// Failure domain of its instance.
     pub failure_domain: FailureDomainId,
     /// Expert activations since the last report, layer by layer; empty if there are none.
-    pub choices: Vec<u32>,
+    pub activations: Vec<u32>,
     /// Experts that the rank holds, by layer; none unless the leader wants them.
     pub held: Option<Vec<Vec<Expert>>>,
 }
@@ -136,7 +136,7 @@
     /// Epoch in which they were counted.
     pub epoch: Epoch,
     /// Expert activations since the last report, layer by layer.
-    pub choices: Vec<u32>,
+    pub activations: Vec<u32>,
 }
 
 /// Order for a rank.
@@ -151,7 +151,7 @@
     /// Layout to prepare; only with [`Order::Prepare`].
     pub layout: Option<Update>,
     /// Sidecar that the rank's state is reported to afterwards; none if that is the sender.
-    pub reports_to: Option<SocketAddr>,
+    pub report_to: Option<SocketAddr>,
 }
 
 /// Order for many ranks.
--- a/crates/lockstep/src/tally.rs
+++ b/crates/lockstep/src/tally.rs
@@ -15,7 +15,7 @@
 
 impl Tally {
     /// Adds the counts of another rank; those of an earlier epoch, or of another length, are ignored.
-    pub fn take(&mut self, epoch: Epoch, activations: &[u32]) {
+    pub fn add(&mut self, epoch: Epoch, activations: &[u32]) {
         if epoch > self.epoch {
             self.epoch = epoch;
             self.activations.clear();
@@ -43,7 +43,7 @@
     if to.len() != activations.len() {
         return;
     }
-    for (sum, chosen) in to.iter_mut().zip(activations) {
-        *sum = sum.saturating_add(*chosen);
+    for (sum, count) in to.iter_mut().zip(activations) {
+        *sum = sum.saturating_add(*count);
     }
 }
--- a/crates/lockstep/src/traffic.rs
+++ b/crates/lockstep/src/traffic.rs
@@ -51,7 +51,7 @@
     /// Returns how many of `ranks` may send the counts of `experts`, over all layers, to the leader in each `period`.
     /// The other ranks send theirs to one of these, which sums them.
     #[must_use]
-    pub fn collectors(self, ranks: usize, experts: usize, period: Duration) -> usize {
+    pub fn aggregators(self, ranks: usize, experts: usize, period: Duration) -> usize {
         let fitting = self.messages_within(COUNTS_SHARE, experts * COUNT_BYTES, period);
         direct_receivers(ranks, fitting)
     }
--- a/crates/lockstep/tests/all/main.rs
+++ b/crates/lockstep/tests/all/main.rs
@@ -1,8 +1,8 @@
 //! Tests of the decisions on expert map changes.
 
+mod aggregation;
 mod asking;
 mod change;
-mod collecting;
 mod coordinator;
 mod cost;
 mod explore;
--- a/crates/lockstep/tests/all/tally.rs
+++ b/crates/lockstep/tests/all/tally.rs
@@ -7,8 +7,8 @@
 #[gtest]
 fn counts_of_several_ranks_go_on_as_one_sum_and_only_once() {
     let mut tally = Tally::default();
-    tally.take(3, &[1, 2]);
-    tally.take(3, &[10, 20]);
+    tally.add(3, &[1, 2]);
+    tally.add(3, &[10, 20]);
     let mut own = [100, 200];
     tally.add_to(&mut own, Some(3));
     assert_that!(own, eq([111, 222]));
@@ -21,13 +21,13 @@
 #[gtest]
 fn counts_of_another_epoch_are_not_added() {
     let mut tally = Tally::default();
-    tally.take(3, &[5, 5]);
-    tally.take(4, &[1, 1]);
-    tally.take(3, &[7, 7]);
+    tally.add(3, &[5, 5]);
+    tally.add(4, &[1, 1]);
+    tally.add(3, &[7, 7]);
     let mut own = [0, 0];
     tally.add_to(&mut own, Some(4));
     assert_that!(own, eq([1, 1]));
-    tally.take(4, &[1, 1]);
+    tally.add(4, &[1, 1]);
     tally.add_to(&mut own, Some(5));
     assert_that!(own, eq([1, 1]));
 }
@@ -35,8 +35,8 @@
 #[gtest]
 fn counts_of_another_shape_are_not_added() {
     let mut tally = Tally::default();
-    tally.take(3, &[1, 2]);
-    tally.take(3, &[1, 2, 3]);
+    tally.add(3, &[1, 2]);
+    tally.add(3, &[1, 2, 3]);
     let mut own = [0, 0];
     tally.add_to(&mut own, Some(3));
     assert_that!(own, eq([1, 2]));
--- a/crates/lockstep/tests/all/traffic.rs
+++ b/crates/lockstep/tests/all/traffic.rs
@@ -17,10 +17,10 @@
 #[gtest]
 fn a_small_group_speaks_to_its_lead_directly() {
     let link = Link::of_mbps(20.0);
-    assert_that!(link.collectors(11, 3 * 96, COUNTS), eq(11));
+    assert_that!(link.aggregators(11, 3 * 96, COUNTS), eq(11));
     assert_that!(link.first_told(6, 12 * ENGINE, DIGESTS), eq(6));
     let link = Link::of_mbps(8.0);
-    assert_that!(link.collectors(23, 16 * 96, COUNTS), eq(23));
+    assert_that!(link.aggregators(23, 16 * 96, COUNTS), eq(23));
     assert_that!(link.first_told(45, 24 * ENGINE, DIGESTS), eq(45));
 }
 
@@ -31,12 +31,12 @@
     let link = Link::of_mbps(6.0);
     let each = 0.75e6 * COUNTS.as_secs_f64();
     for (ranks, counts) in [(63, 12 * 256), (63, 58 * 256), (127, 12 * 256)] {
-        let collectors = link.collectors(ranks, counts, COUNTS);
-        assert_that!(collectors, lt(ranks / 4));
-        assert_that!(collectors * collectors, ge(ranks));
+        let aggregators = link.aggregators(ranks, counts, COUNTS);
+        assert_that!(aggregators, lt(ranks / 4));
+        assert_that!(aggregators * aggregators, ge(ranks));
     }
     let bytes = 8 * 12 * 256;
-    assert_that!(link.collectors(63, 12 * 256, COUNTS), eq(8));
+    assert_that!(link.aggregators(63, 12 * 256, COUNTS), eq(8));
     assert_that!(f64::from(bytes), lt(each * 0.5));
     assert_that!(link.first_told(98, 64 * ENGINE, DIGESTS), eq(10));
     assert_that!(link.first_told(340, 64 * ENGINE, DIGESTS), eq(19));
--- a/crates/sidecar/src/leader.rs
+++ b/crates/sidecar/src/leader.rs
@@ -114,9 +114,9 @@
     }
 
     /// Returns how many of the sidecars of `ranks` ranks aggregate expert counts.
-    pub(crate) fn collectors(&self, ranks: usize) -> usize {
+    pub(crate) fn aggregators(&self, ranks: usize) -> usize {
         let Service { shape, link, .. } = self.service;
-        link.collectors(ranks, shape.layers * shape.experts, COUNT_PERIOD)
+        link.aggregators(ranks, shape.layers * shape.experts, COUNT_PERIOD)
     }
 
     /// Returns the notice to the standby for the hold among `dispatches`; none if there is no hold.
@@ -193,7 +193,7 @@
             self.coordinator.rank_restarted(report.state.rank);
         }
         self.coordinator
-            .observe(report.state, &report.choices, report.held, now);
+            .observe(report.state, &report.activations, report.held, now);
     }
 
     /// Logs the group's statistics and sets its gauges, once per period.
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -57,7 +57,7 @@
     heard: Monotonic,
     needs_layout: bool,
     /// Sidecar that aggregates the counts of the own rank; none if they go to the leader.
-    collector: Option<SocketAddr>,
+    aggregator: Option<SocketAddr>,
 }
 
 /// ChangeState of one sidecar.
@@ -172,14 +172,14 @@
         }
         self.update_epoch(&report);
         self.update_start(report.born);
-        let choices = self.read_activations().await;
+        let activations = self.read_activations().await;
         let held = self.read_held().await;
         let rank_report = RankReport {
             born: report.born,
             group: report.group,
             state: report.state,
             failure_domain: self.settings.failure_domain.as_str().into(),
-            choices,
+            activations,
             held,
         };
         if rank_report.state.rank == LEADER_RANK {
@@ -240,13 +240,13 @@
         };
         self.counted_at = Some(now);
         let before = std::mem::replace(&mut self.counts, counts);
-        let mut choices = self.counts.since(&before);
-        self.tally.add_to(&mut choices, self.epoch);
+        let mut activations = self.counts.since(&before);
+        self.tally.add_to(&mut activations, self.epoch);
         // Zeros of an idle group would only use bandwidth.
-        if choices.iter().all(|chosen| *chosen == 0) {
-            choices.clear();
+        if activations.iter().all(|count| *count == 0) {
+            activations.clear();
         }
-        choices
+        activations
     }
 
     /// Returns the experts that the rank holds, if the leader wants them.
--- a/crates/sidecar/src/sidecar/following.rs
+++ b/crates/sidecar/src/sidecar/following.rs
@@ -63,33 +63,33 @@
         let Some(address) = self.report_to.or(leader.map(|leader| leader.address)) else {
             return;
         };
-        if let Some(collector) = leader.and_then(|leader| leader.collector) {
-            self.send_counts(&mut report, collector).await;
+        if let Some(aggregator) = leader.and_then(|leader| leader.aggregator) {
+            self.send_counts(&mut report, aggregator).await;
         }
         let state = ChangeState::of(&report.state);
         let is_reported = self.last_report.is_some_and(|(reported, at)| {
             reported == state && now.saturating_sub(at) < REPORT_PERIOD && report.held.is_none()
         });
-        if is_reported && report.choices.is_empty() {
+        if is_reported && report.activations.is_empty() {
             return;
         }
         self.last_report = Some((state, now));
         self.send(&Message::RankReport(report), address).await;
     }
 
-    /// Moves the expert counts out of `report` and sends them to `collector`; they stay if that is this sidecar.
-    async fn send_counts(&self, report: &mut RankReport, collector: SocketAddr) {
-        let choices = std::mem::take(&mut report.choices);
-        if choices.is_empty() || collector == self.settings.peers {
-            report.choices = choices;
+    /// Moves the expert counts out of `report` and sends them to `aggregator`; they stay if that is this sidecar.
+    async fn send_counts(&self, report: &mut RankReport, aggregator: SocketAddr) {
+        let activations = std::mem::take(&mut report.activations);
+        if activations.is_empty() || aggregator == self.settings.peers {
+            report.activations = activations;
             return;
         }
         let counts = Counts {
             group: report.group.clone(),
             epoch: report.state.epoch,
-            choices,
+            activations,
         };
-        self.send(&Message::Counts(counts), collector).await;
+        self.send(&Message::Counts(counts), aggregator).await;
     }
 
     /// As the standby, ends a hold whose leader is silent, or completes the change if ranks may be armed.
@@ -120,7 +120,7 @@
                     epoch,
                     order,
                     layout: None,
-                    reports_to: None,
+                    report_to: None,
                 };
                 self.send(&Message::Command(command), *address).await;
             }
@@ -156,7 +156,7 @@
 
     /// Forwards an order of the leader or the standby to the own engine, and reports the resulting state.
     pub(super) async fn execute(&mut self, command: Command, from: SocketAddr) {
-        let reports_to = command.reports_to.unwrap_or(from);
+        let report_to = command.report_to.unwrap_or(from);
         let is_ours = self.group.as_ref() == Some(&command.group);
         if !is_ours || self.epoch != Some(command.epoch) {
             return;
@@ -186,7 +186,7 @@
         send_order(&self.engine, command.epoch, command.order, layout.as_ref()).await;
         self.poll_fast_after(command.order);
         self.last_report = None;
-        self.report_to = Some(reports_to);
+        self.report_to = Some(report_to);
         self.poll().await;
         self.report_to = None;
     }
--- a/crates/sidecar/src/sidecar/leading.rs
+++ b/crates/sidecar/src/sidecar/leading.rs
@@ -5,8 +5,8 @@
 
 use auburnline_core::time::Monotonic;
 use auburnline_gateway::message::Datagram;
+use auburnline_lockstep::aggregation::receivers;
 use auburnline_lockstep::change::Order;
-use auburnline_lockstep::collecting::receivers;
 use auburnline_lockstep::coordinator::LEADER_RANK;
 use auburnline_lockstep::coordinator::Service;
 use auburnline_lockstep::message::Command;
@@ -53,7 +53,7 @@
             group: report.group.clone(),
             epoch: report.state.epoch,
             needs_layout: leader.needs_layout(),
-            collector: None,
+            aggregator: None,
         };
         leader.observe(report, None, now);
         leader.log_stats(now);
@@ -94,9 +94,9 @@
         let all = all.map(|upstream| SocketAddr::new(upstream.ip(), port));
         let is_searching = !leader.is_reachable(now);
         let unknown = all.filter(|address| is_searching && *address != self.settings.peers);
-        for receiver in receivers(&known, leader.collectors(known.len()), unknown) {
+        for receiver in receivers(&known, leader.aggregators(known.len()), unknown) {
             let message = Message::Heartbeat(Heartbeat {
-                collector: receiver.collector,
+                aggregator: receiver.aggregator,
                 ..heartbeat.clone()
             });
             self.send(&message, receiver.address).await;
@@ -197,7 +197,7 @@
             return;
         };
         let command = Command {
-            reports_to: Some(self.settings.peers),
+            report_to: Some(self.settings.peers),
             ..command(leader, dispatch)
         };
         let sidecars = leader.sidecars(dispatches.iter().map(|dispatch| dispatch.rank));
@@ -232,6 +232,6 @@
         epoch: dispatch.epoch,
         order: dispatch.order,
         layout: dispatch.update(),
-        reports_to: None,
+        report_to: None,
     }
 }
--- a/crates/sidecar/src/sidecar/receiving.rs
+++ b/crates/sidecar/src/sidecar/receiving.rs
@@ -54,7 +54,7 @@
                         address: from,
                         heard: now,
                         needs_layout: heartbeat.needs_layout,
-                        collector: heartbeat.collector,
+                        aggregator: heartbeat.aggregator,
                     });
                 }
             }
@@ -67,7 +67,7 @@
             }
             Message::Counts(counts) => {
                 if self.group.as_ref() == Some(&counts.group) {
-                    self.tally.take(counts.epoch, &counts.choices);
+                    self.tally.add(counts.epoch, &counts.activations);
                 }
             }
             Message::Command(command) => self.execute(command, from).await,
