--- a/crates/lockstep/src/lib.rs
+++ b/crates/lockstep/src/lib.rs
@@ -9,13 +9,12 @@
 //!
 //! [`message`] defines the messages between sidecars and to gateways. [`traffic`] bounds the share of an
 //! instance's link that they use, [`aggregation`] assigns ranks to aggregators of expert counts and [`tally`]
-//! sums those counts, and [`asking`] schedules the leader's membership queries to gateways.
+//! sums those counts, and [`query`] schedules the leader's membership queries to gateways.
 //!
 //! `auburnline-experts` does the same for engines in which each rank is held separately. This crate does no
 //! I/O and reads no clock.
 
 pub mod aggregation;
-pub mod asking;
 pub mod change;
 pub mod coordinator;
 pub mod cost;
@@ -26,6 +25,7 @@
 pub mod passes;
 pub mod plan;
 pub mod popularity;
+pub mod query;
 pub mod rank;
 pub mod standby;
 pub mod tally;
--- a/crates/lockstep/src/asking.rs
+++ b/crates/lockstep/src/query.rs
@@ -20,16 +20,16 @@
 
 /// Schedule of one leader's queries.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Asking {
-    asked: Option<Monotonic>,
+pub struct Schedule {
+    queried_at: Option<Monotonic>,
     gateways: usize,
     /// When an answer last named more gateways than the one before.
     grown_at: Option<Monotonic>,
 }
 
-impl Asking {
+impl Schedule {
     /// Records a complete answer that names `gateways` gateways.
-    pub const fn hear(&mut self, gateways: usize, now: Monotonic) {
+    pub const fn record_answer(&mut self, gateways: usize, now: Monotonic) {
         if gateways > self.gateways {
             self.grown_at = Some(now);
         }
@@ -42,9 +42,11 @@
             .grown_at
             .is_some_and(|at| now.saturating_sub(at) >= SETTLE_TIME);
         let period = if is_settled { PERIOD } else { DISCOVERY_PERIOD };
-        let is_due = self.asked.is_none_or(|at| now.saturating_sub(at) >= period);
+        let is_due = self
+            .queried_at
+            .is_none_or(|at| now.saturating_sub(at) >= period);
         if is_due {
-            self.asked = Some(now);
+            self.queried_at = Some(now);
         }
         is_due
     }
--- a/crates/lockstep/tests/all/main.rs
+++ b/crates/lockstep/tests/all/main.rs
@@ -1,7 +1,6 @@
 //! Tests of the decisions on expert map changes.
 
 mod aggregation;
-mod asking;
 mod change;
 mod coordinator;
 mod cost;
@@ -12,6 +11,7 @@
 mod passes;
 mod plan;
 mod popularity;
+mod query;
 mod standby;
 mod support;
 mod tally;
--- a/crates/lockstep/tests/all/asking.rs
+++ b/crates/lockstep/tests/all/query.rs
@@ -2,49 +2,49 @@
 
 use std::time::Duration;
 
-use auburnline_lockstep::asking::Asking;
+use auburnline_lockstep::query::Schedule;
 use googletest::prelude::*;
 
 const POLL_PERIOD: Duration = Duration::from_millis(100);
 
 /// Returns the number of queries within `time` from `from` on, where each answer names `gateways` gateways.
-fn asked(
-    asking: &mut Asking,
+fn queries(
+    schedule: &mut Schedule,
     from: Duration,
     time: Duration,
     gateways: impl Fn(Duration) -> usize,
 ) -> usize {
     let mut now = from;
-    let mut asked = 0;
+    let mut queries = 0;
     while now < from + time {
-        if asking.is_due(now) {
-            asked += 1;
-            asking.hear(gateways(now), now);
+        if schedule.is_due(now) {
+            queries += 1;
+            schedule.record_answer(gateways(now), now);
         }
         now += POLL_PERIOD;
     }
-    asked
+    queries
 }
 
 /// Power returns to 98 gateways and 192 sidecars at once. Gateways discover each other within 1.5 s; a leader that
 /// knows only 40 of them leaves the others without digests until it asks again.
 #[gtest]
 fn while_gateways_come_to_light_it_is_asked_again_soon() {
-    let mut asking = Asking::default();
+    let mut schedule = Schedule::default();
     let known = |now: Duration| {
         usize::try_from(now.as_millis() / 16)
             .unwrap_or(98)
             .clamp(1, 98)
     };
-    let first = asked(
-        &mut asking,
+    let first = queries(
+        &mut schedule,
         Duration::ZERO,
         Duration::from_millis(2_600),
         known,
     );
     assert_that!(first, eq(13));
-    let later = asked(
-        &mut asking,
+    let later = queries(
+        &mut schedule,
         Duration::from_secs(3),
         Duration::from_secs(20),
         |_| 98,
@@ -54,10 +54,10 @@
 
 #[gtest]
 fn without_an_answer_it_is_asked_soon_for_good() {
-    let mut asking = Asking::default();
+    let mut schedule = Schedule::default();
     let mut count = 0;
     for poll in 0..100 {
-        count += usize::from(asking.is_due(POLL_PERIOD * poll));
+        count += usize::from(schedule.is_due(POLL_PERIOD * poll));
     }
     assert_that!(count, eq(50));
 }
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -11,13 +11,13 @@
 
 use auburnline_core::time::Monotonic;
 use auburnline_duty::clock::Clock;
-use auburnline_lockstep::asking::Asking;
 use auburnline_lockstep::change::Order;
 use auburnline_lockstep::coordinator::LEADER_RANK;
 use auburnline_lockstep::layout::Layout;
 use auburnline_lockstep::message::Members;
 use auburnline_lockstep::message::RankReport;
 use auburnline_lockstep::output::Rotation;
+use auburnline_lockstep::query::Schedule;
 use auburnline_lockstep::rank::Epoch;
 use auburnline_lockstep::rank::Version;
 use auburnline_lockstep::standby::Standby;
@@ -70,7 +70,7 @@
     started: Duration,
     leader: Option<Leader>,
     members: Option<Members>,
-    asking: Asking,
+    query_schedule: Schedule,
     known_leader: Option<KnownLeader>,
     counts: Counts,
     counted_at: Option<Monotonic>,
@@ -108,7 +108,7 @@
                 .unwrap_or_default(),
             leader: None,
             members: None,
-            asking: Asking::default(),
+            query_schedule: Schedule::default(),
             known_leader: None,
             counts: Counts::default(),
             counted_at: None,
--- a/crates/sidecar/src/sidecar/leading.rs
+++ b/crates/sidecar/src/sidecar/leading.rs
@@ -67,7 +67,7 @@
 
     /// Asks the configured gateways for the members of the service, if a query is due.
     async fn query_members(&mut self, now: Monotonic) {
-        if !self.asking.is_due(now) {
+        if !self.query_schedule.is_due(now) {
             return;
         }
         let query = Datagram::MembersQuery(MembersQuery {
--- a/crates/sidecar/src/sidecar/receiving.rs
+++ b/crates/sidecar/src/sidecar/receiving.rs
@@ -42,7 +42,8 @@
             Message::Members(members) => {
                 if members.service == self.settings.service {
                     if members.is_complete() {
-                        self.asking.hear(members.gateways.len(), now);
+                        self.query_schedule
+                            .record_answer(members.gateways.len(), now);
                     }
                     self.members = Some(members);
                 }
