--- a/crates/lockstep/src/aggregation.rs
+++ b/crates/lockstep/src/aggregation.rs
@@ -7,7 +7,7 @@
 
 use std::net::SocketAddr;
 
-use crate::traffic::parts;
+use crate::traffic::fan_out_parts;
 
 /// A sidecar that gets the leader's heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     aggregators: usize,
     unknown: impl Iterator<Item = SocketAddr>,
 ) -> Vec<Receiver> {
-    let assigned = parts(known, aggregators).flat_map(|part| {
+    let assigned = fan_out_parts(known, aggregators).flat_map(|part| {
         let aggregator = part.first().copied().filter(|_| part.len() > 1);
         let receiver = move |address: &SocketAddr| Receiver {
             address: *address,
--- a/crates/lockstep/src/traffic.rs
+++ b/crates/lockstep/src/traffic.rs
@@ -27,7 +27,7 @@
 
 /// Most receivers to which one message is forwarded. For 340 gateways the fan-out is 19, their square root; a
 /// malformed message must not make an instance send thousands.
-pub const MOST_PASSED_ON: usize = 64;
+pub const MAX_FORWARDED: usize = 64;
 
 /// Network link of an instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -58,7 +58,7 @@
 
     /// Returns how many of `gateways` the leader sends each digest of `bytes` to; these forward it to the others.
     #[must_use]
-    pub fn first_told(self, gateways: usize, bytes: usize, period: Duration) -> usize {
+    pub fn direct_gateways(self, gateways: usize, bytes: usize, period: Duration) -> usize {
         let fitting = self.messages_within(DIGESTS_SHARE, bytes, period);
         direct_receivers(gateways, fitting)
     }
@@ -76,17 +76,19 @@
     if all <= MIN_DIRECT || to_f64(all) <= fitting {
         return all;
     }
-    hops(all)
+    fan_out(all)
 }
 
 /// Returns how many of `all` receivers get a message directly where these forward it to the others: about the
 /// square root of `all`, so that the sender and each forwarder send about as many messages.
 #[must_use]
-pub fn hops(all: usize) -> usize {
+pub fn fan_out(all: usize) -> usize {
     if all <= MIN_DIRECT {
         return all;
     }
-    (1..all).find(|hops| hops * hops >= all).unwrap_or(all)
+    (1..all)
+        .find(|direct| direct * direct >= all)
+        .unwrap_or(all)
 }
 
 /// Rate limiter for large messages on a share of the link.
@@ -108,7 +110,7 @@
 
 /// Splits receivers into at most `first` parts of about the same size. The first of each part gets the message and
 /// forwards it to the rest of its part.
-pub fn parts<T>(receivers: &[T], first: usize) -> impl Iterator<Item = &[T]> {
+pub fn fan_out_parts<T>(receivers: &[T], first: usize) -> impl Iterator<Item = &[T]> {
     let size = receivers.len().div_ceil(first.max(1)).max(1);
     receivers.chunks(size)
 }
--- a/crates/lockstep/tests/all/traffic.rs
+++ b/crates/lockstep/tests/all/traffic.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use auburnline_lockstep::traffic::Link;
-use auburnline_lockstep::traffic::hops;
-use auburnline_lockstep::traffic::parts;
+use auburnline_lockstep::traffic::fan_out;
+use auburnline_lockstep::traffic::fan_out_parts;
 use googletest::prelude::*;
 
 /// Time between two reports of counts, and between two digests to gateways.
@@ -18,10 +18,10 @@
 fn a_small_group_speaks_to_its_lead_directly() {
     let link = Link::of_mbps(20.0);
     assert_that!(link.aggregators(11, 3 * 96, COUNTS), eq(11));
-    assert_that!(link.first_told(6, 12 * ENGINE, DIGESTS), eq(6));
+    assert_that!(link.direct_gateways(6, 12 * ENGINE, DIGESTS), eq(6));
     let link = Link::of_mbps(8.0);
     assert_that!(link.aggregators(23, 16 * 96, COUNTS), eq(23));
-    assert_that!(link.first_told(45, 24 * ENGINE, DIGESTS), eq(45));
+    assert_that!(link.direct_gateways(45, 24 * ENGINE, DIGESTS), eq(45));
 }
 
 /// 63 ranks send 3,072 counts each within 90 ms towards a link of 6 Mbit/s, three times what it carries, and 98 or 340
@@ -38,16 +38,16 @@
     let bytes = 8 * 12 * 256;
     assert_that!(link.aggregators(63, 12 * 256, COUNTS), eq(8));
     assert_that!(f64::from(bytes), lt(each * 0.5));
-    assert_that!(link.first_told(98, 64 * ENGINE, DIGESTS), eq(10));
-    assert_that!(link.first_told(340, 64 * ENGINE, DIGESTS), eq(19));
+    assert_that!(link.direct_gateways(98, 64 * ENGINE, DIGESTS), eq(10));
+    assert_that!(link.direct_gateways(340, 64 * ENGINE, DIGESTS), eq(19));
 }
 
 #[gtest]
 fn those_told_first_pass_on_to_about_as_many_as_are_told_first() {
     for all in [1, 11, 13, 63, 98, 340] {
         let receivers: Vec<usize> = (0..all).collect();
-        let first = hops(all);
-        let parts: Vec<_> = parts(&receivers, first).collect();
+        let first = fan_out(all);
+        let parts: Vec<_> = fan_out_parts(&receivers, first).collect();
         assert_that!(parts.len(), le(first));
         assert_that!(parts.concat(), eq(&receivers));
         let most = parts.iter().map(|part| part.len()).max();
@@ -57,8 +57,8 @@
 
 #[gtest]
 fn nobody_is_told_where_there_is_nobody() {
-    assert_that!(parts::<u8>(&[], 0).count(), eq(0));
-    assert_that!(hops(0), eq(0));
+    assert_that!(fan_out_parts::<u8>(&[], 0).count(), eq(0));
+    assert_that!(fan_out(0), eq(0));
 }
 
 /// All sidecars of a group of 64 restart, so that each needs the full map of 8 KB.
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -15,7 +15,7 @@
 use auburnline_lockstep::message::Digest;
 use auburnline_lockstep::message::Forwarded;
 use auburnline_lockstep::message::Message;
-use auburnline_lockstep::traffic::MOST_PASSED_ON;
+use auburnline_lockstep::traffic::MAX_FORWARDED;
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 use tokio::net::UdpSocket;
@@ -158,7 +158,7 @@
         Ok(Datagram::Forwarded(Forwarded { to, digest })) => {
             handle_digest(shared, &digest);
             let message = Datagram::Group(digest);
-            for gateway in to.into_iter().take(MOST_PASSED_ON) {
+            for gateway in to.into_iter().take(MAX_FORWARDED) {
                 shared.send(&message, gateway);
             }
         }
--- a/crates/sidecar/src/sidecar/leading.rs
+++ b/crates/sidecar/src/sidecar/leading.rs
@@ -21,8 +21,8 @@
 use auburnline_lockstep::standby::Notice;
 use auburnline_lockstep::standby::STANDBY_RANK;
 use auburnline_lockstep::traffic::Link;
-use auburnline_lockstep::traffic::hops;
-use auburnline_lockstep::traffic::parts;
+use auburnline_lockstep::traffic::fan_out;
+use auburnline_lockstep::traffic::fan_out_parts;
 
 use super::REPORT_PERIOD;
 use super::Sidecar;
@@ -112,8 +112,8 @@
         let link = Link::of_mbps(self.settings.link_mbps);
         let gateways: Vec<SocketAddr> = self.rotation.take(&members.gateways).copied().collect();
         let bytes = ENGINE_BYTES * digest.engines.len();
-        let first = link.first_told(gateways.len(), bytes, DIGEST_PERIOD);
-        for part in parts(&gateways, first) {
+        let first = link.direct_gateways(gateways.len(), bytes, DIGEST_PERIOD);
+        for part in fan_out_parts(&gateways, first) {
             let Some((first, others)) = part.split_first() else {
                 continue;
             };
@@ -202,7 +202,7 @@
         };
         let sidecars = leader.sidecars(dispatches.iter().map(|dispatch| dispatch.rank));
         self.poll_fast_after(dispatch.order);
-        for part in parts(&sidecars, hops(sidecars.len())) {
+        for part in fan_out_parts(&sidecars, fan_out(sidecars.len())) {
             let Some((first, others)) = part.split_first() else {
                 continue;
             };
--- a/crates/sidecar/src/sidecar/receiving.rs
+++ b/crates/sidecar/src/sidecar/receiving.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use auburnline_lockstep::message::Message;
-use auburnline_lockstep::traffic::MOST_PASSED_ON;
+use auburnline_lockstep::traffic::MAX_FORWARDED;
 use serde::Serialize;
 
 use super::KnownLeader;
@@ -74,7 +74,7 @@
             Message::Command(command) => self.execute(command, from).await,
             Message::Forward(forward) => {
                 let message = Message::Command(forward.command);
-                for address in forward.to.into_iter().take(MOST_PASSED_ON) {
+                for address in forward.to.into_iter().take(MAX_FORWARDED) {
                     self.send(&message, address).await;
                 }
                 if let Message::Command(command) = message {
