--- a/crates/lockstep/src/coordinator.rs
+++ b/crates/lockstep/src/coordinator.rs
@@ -50,7 +50,7 @@
 /// Time to arm all ranks on a small share of a core: four messages and one poll of each rank.
 const ARM_TIME: Duration = Duration::from_millis(45);
 
-/// Increase of a rank's slowdown in percent, above which it counts as a new straggler.
+/// Increase of a rank's slowdown, in percentage points, above which it counts as a new straggler.
 const STRAGGLER_PERCENT_RISE: u16 = 30;
 
 #[derive(Clone, Debug)]
--- a/crates/lockstep/src/lib.rs
+++ b/crates/lockstep/src/lib.rs
@@ -4,8 +4,8 @@
 //! change on all of them at the same pass or on none. [`change`] is the protocol for one change; its orders
 //! may be lost, delayed or duplicated. [`popularity`] estimates which experts are selected, [`plan`] finds a
 //! layout that is worth a change at the [`cost`] of a pass, and [`coordinator`] combines them in the sidecar
-//! next to rank 0, the leader. [`output`] is the coordinator's output: orders to send and events to log.
-//! [`standby`] is the leader's standby, which ends a hold when the leader has failed.
+//! next to rank 0, the leader. [`output`] defines what it returns: orders to send and events to log.
+//! [`standby`] ends a hold when the leader has failed.
 //!
 //! [`message`] defines the messages between sidecars and to gateways. [`traffic`] bounds the share of an
 //! instance's link that they use, [`aggregation`] assigns ranks to aggregators of expert counts and [`tally`]
--- a/crates/sidecar/src/leader.rs
+++ b/crates/sidecar/src/leader.rs
@@ -250,13 +250,13 @@
             log::info!(target: "experts", group, version, phase:?; "map change resumed after restart");
         }
         Event::Done(version) => {
-            log::info!(target: "experts", group, version; "map change completed")
+            log::info!(target: "experts", group, version; "map change completed");
         }
         Event::Aborted(version, reason) => {
             log::info!(target: "experts", group, version, reason; "map change aborted");
         }
         Event::Shifted(distance) => {
-            log::info!(target: "experts", group, distance; "expert popularity shifted");
+            log::info!(target: "experts", group, distance; "demand shifted");
         }
         Event::Formed(epoch) => log::info!(target: "experts", group, epoch; "group formed"),
     }
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -60,7 +60,7 @@
     aggregator: Option<SocketAddr>,
 }
 
-/// ChangeState of one sidecar.
+/// State of one sidecar.
 pub(crate) struct Sidecar<E> {
     settings: Settings,
     engine: E,
@@ -78,7 +78,7 @@
     tally: Tally,
     polled_at: Monotonic,
     fast_poll_until: Monotonic,
-    /// ChangeState of the own rank as last reported to the leader, and when.
+    /// State of the own rank as last reported to the leader, and when.
     last_report: Option<(ChangeState, Monotonic)>,
     heartbeat_sent_at: Monotonic,
     standby: Standby,
