--- a/crates/gateway/tests/all/limit.rs
+++ b/crates/gateway/tests/all/limit.rs
@@ -15,8 +15,8 @@
 use auburnline_gateway::request::Admission;
 use auburnline_gateway::upstream::State;
 use auburnline_gateway::upstream::Upstream;
-use auburnline_lockstep::message::Busy;
 use auburnline_lockstep::message::Digest;
+use auburnline_lockstep::message::EngineLoad;
 use auburnline_quota::Rate;
 use auburnline_quota::home::Permit;
 use auburnline_quota::loan::LEASE;
@@ -56,10 +56,10 @@
     }
     tick(&mut gateway, 2_100);
     for (group, ranks) in [("a", [0, 1]), ("b", [2, 3])] {
-        let busy = |rank| Busy {
+        let busy = |rank| EngineLoad {
             engine: address(rank),
             requests: 0,
-            pace: 100,
+            slowdown_percent: 100,
         };
         let digest = Digest {
             service: "model".to_owned(),
@@ -209,10 +209,10 @@
 
 /// Delivers a report of the first group's leader that its first rank is slow.
 pub(crate) fn slow_down(gateway: &mut Gateway, now: u64) {
-    let busy = |rank, pace| Busy {
+    let busy = |rank, slowdown_percent| EngineLoad {
         engine: address(rank),
         requests: 3,
-        pace,
+        slowdown_percent,
     };
     let slowed = Digest {
         service: "model".to_owned(),
--- a/crates/gateway/tests/all/load.rs
+++ b/crates/gateway/tests/all/load.rs
@@ -10,8 +10,8 @@
 use auburnline_gateway::upstream::State;
 use auburnline_gateway::upstream::Upstream;
 use auburnline_gateway::upstream::tag;
-use auburnline_lockstep::message::Busy;
 use auburnline_lockstep::message::Digest;
+use auburnline_lockstep::message::EngineLoad;
 use googletest::prelude::*;
 
 use crate::gateway::ask;
@@ -32,10 +32,10 @@
 }
 
 fn digest(group: u16, requests: u32) -> Digest {
-    let busy = |rank| Busy {
+    let busy = |rank| EngineLoad {
         engine: engine(group, rank),
         requests,
-        pace: 100,
+        slowdown_percent: 100,
     };
     Digest {
         service: "model".to_owned(),
@@ -270,7 +270,7 @@
 /// whether a rank turned slow.
 fn report_pace(gateway: &mut Gateway, pace: u16, requests: u32, now: u64) -> bool {
     let mut digest = digest(0, 5);
-    digest.engines[7].pace = pace;
+    digest.engines[7].slowdown_percent = pace;
     digest.engines[7].requests = requests;
     gateway.apply_digest(&digest, millis(now)).has_slowed
 }
@@ -328,7 +328,7 @@
     deliver_heartbeats(&mut gateway, 2, 1_000);
     let mut digest = digest(0, 5);
     for busy in &mut digest.engines {
-        busy.pace = 400;
+        busy.slowdown_percent = 400;
     }
     gateway.apply_digest(&digest, millis(1_000));
     let plan = ask(&mut gateway, "/draft/", Some("key-1"), 1_000).expect("a plan");
--- a/crates/lockstep/src/coordinator.rs
+++ b/crates/lockstep/src/coordinator.rs
@@ -7,7 +7,7 @@
 
 mod ordering;
 mod planning;
-mod pulse;
+mod stats;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,20 +24,20 @@
 use crate::cost::Cost;
 use crate::layout::Layout;
 use crate::layout::Shape;
+use crate::output::Dispatch;
+use crate::output::Event;
 use crate::outstanding::Outstanding;
 use crate::passes::Passes;
 use crate::popularity::Popularity;
-use crate::sight::Epoch;
-use crate::sight::Sight;
-use crate::sight::USUAL_PACE;
-use crate::sight::Version;
-use crate::told::Note;
-use crate::told::Send;
+use crate::rank::Epoch;
+use crate::rank::NOMINAL_SLOWDOWN_PERCENT;
+use crate::rank::State;
+use crate::rank::Version;
 use crate::traffic::Link;
 use crate::traffic::Pacer;
 
 /// Rank whose sidecar runs the coordinator.
-pub const LEADER: Rank = 0;
+pub const LEADER_RANK: Rank = 0;
 /// Rank that is held. It is not the leader's rank, whose instance may freeze right after sending the order.
 pub const HOLDER: Rank = 1;
 /// Passes between the newest one seen and the one to hold. The orders take less than a pass; one that
@@ -50,12 +50,12 @@
 /// Time to arm all ranks on a small share of a core: four messages and one poll of each rank.
 const ARM_TIME: Duration = Duration::from_millis(45);
 
-/// Increase of a rank's pace, in hundredths, above which it counts as a new straggler.
-const STRAGGLER_PACE_RISE: u16 = 30;
+/// Increase of a rank's slowdown, in percentage points, above which it counts as a new straggler.
+const STRAGGLER_PERCENT_RISE: u16 = 30;
 
 #[derive(Clone, Debug)]
 struct Member {
-    sight: Sight,
+    state: State,
     seen: Monotonic,
     held: Option<Vec<Vec<Expert>>>,
 }
@@ -102,7 +102,7 @@
     floor: Step,
     /// Time of day at the start of the process.
     started: Duration,
-    notes: Vec<Note>,
+    events: Vec<Event>,
 }
 
 impl Coordinator {
@@ -130,46 +130,46 @@
             stage: Stage::Immediate,
             floor: 0,
             started,
-            notes: Vec::new(),
+            events: Vec::new(),
         }
     }
 
     /// Returns whether the ranks must report the experts that they hold.
     #[must_use]
-    pub fn wants_layout(&self) -> bool {
+    pub fn needs_layout(&self) -> bool {
         self.epoch.is_some() && self.in_force.is_none()
     }
 
     /// Returns whether all ranks were seen and report that the group serves.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        self.has_all_ranks() && self.members.values().all(|member| member.sight.is_open)
+        self.has_all_ranks() && self.members.values().all(|member| member.state.is_open)
     }
 
     /// Returns the map version of the change in progress.
     #[must_use]
-    pub fn changing(&self) -> Option<Version> {
+    pub fn change_version(&self) -> Option<Version> {
         self.change.as_ref().map(Change::version)
     }
 
     /// Returns the events since the last call.
-    pub fn notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.notes)
+    pub fn take_events(&mut self) -> Vec<Event> {
+        std::mem::take(&mut self.events)
     }
 
     /// Records the state of one rank, its expert activations since the last report, layer by layer, and the
     /// experts that it holds, if reported.
-    pub fn see(
+    pub fn observe(
         &mut self,
-        sight: Sight,
+        state: State,
         activations: &[u32],
         held: Option<Vec<Vec<Expert>>>,
         now: Monotonic,
     ) {
-        if self.epoch.is_none_or(|epoch| sight.epoch > epoch) {
-            self.start_epoch(sight.epoch);
+        if self.epoch.is_none_or(|epoch| state.epoch > epoch) {
+            self.start_epoch(state.epoch);
         }
-        if self.epoch != Some(sight.epoch) {
+        if self.epoch != Some(state.epoch) {
             return;
         }
         let is_complete = activations.len() == self.shape.layers * self.shape.experts;
@@ -177,16 +177,16 @@
             .then(|| self.popularity.add(activations, now))
             .flatten();
         if let Some(distance) = shift {
-            self.notes.push(Note::Shifted(distance));
+            self.events.push(Event::Shifted(distance));
             self.planned_at = Monotonic::ZERO;
             self.stage = Stage::Immediate;
         }
-        self.passes.observe(sight.step, now);
-        let before = self.members.remove(&sight.rank);
-        let known = before
-            .as_ref()
-            .map_or(USUAL_PACE, |member| member.sight.pace);
-        if sight.pace > known.saturating_add(STRAGGLER_PACE_RISE) {
+        self.passes.observe(state.step, now);
+        let before = self.members.remove(&state.rank);
+        let known = before.as_ref().map_or(NOMINAL_SLOWDOWN_PERCENT, |member| {
+            member.state.slowdown_percent
+        });
+        if state.slowdown_percent > known.saturating_add(STRAGGLER_PERCENT_RISE) {
             // All other ranks wait for it, as after a shift of demand.
             self.planned_at = Monotonic::ZERO;
             self.stage = Stage::FollowUp;
@@ -195,14 +195,14 @@
         let member = Member {
             held,
             seen: now,
-            sight,
+            state,
         };
-        self.members.insert(member.sight.rank, member);
+        self.members.insert(member.state.rank, member);
     }
 
     /// Records that a rank's engine restarted under its id. It has lost its earlier state, so all ranks must
     /// be seen again before the next order.
-    pub fn restarted(&mut self, rank: Rank) {
+    pub fn rank_restarted(&mut self, rank: Rank) {
         if self.members.contains_key(&rank)
             && let Some(epoch) = self.epoch
         {
@@ -213,7 +213,8 @@
     /// Starts an epoch; whatever was prepared, armed or held before is void.
     fn start_epoch(&mut self, epoch: Epoch) {
         if let Some(change) = self.change.take() {
-            self.notes.push(Note::Void(change.version(), "new epoch"));
+            self.events
+                .push(Event::Aborted(change.version(), "new epoch"));
         }
         self.epoch = Some(epoch);
         self.members.clear();
@@ -223,11 +224,11 @@
         self.floor = 0;
         self.passes = Passes::default();
         self.stage = Stage::Immediate;
-        self.notes.push(Note::Formed(epoch));
+        self.events.push(Event::Formed(epoch));
     }
 
     /// Returns the orders to send now.
-    pub fn tick(&mut self, now: Monotonic) -> Vec<Send> {
+    pub fn tick(&mut self, now: Monotonic) -> Vec<Dispatch> {
         if !self.has_all_ranks() {
             return Vec::new();
         }
@@ -237,7 +238,7 @@
             self.resume(now);
         }
         if self.change.is_none() {
-            if let Some(step) = orphaned_hold(&self.sights(), HOLDER) {
+            if let Some(step) = orphaned_hold(&self.states(), HOLDER) {
                 return self.release_orphaned_hold(step, now);
             }
             self.start_change(now);
@@ -249,14 +250,14 @@
     /// that this coordinator sees first.
     fn init_floor(&mut self) {
         if self.floor == 0 {
-            let steps = self.members.values().map(|member| member.sight.step);
+            let steps = self.members.values().map(|member| member.state.step);
             self.floor = steps.max().unwrap_or(0) + PASSES_AHEAD;
         }
     }
 
     /// Returns whether every rank of the group was seen.
     fn has_all_ranks(&self) -> bool {
-        let size = self.members.values().next().map(|member| member.sight.size);
+        let size = self.members.values().next().map(|member| member.state.size);
         size.is_some_and(|size| self.members.len() == usize::from(size))
     }
 
@@ -270,18 +271,18 @@
         }
     }
 
-    fn sights(&self) -> Vec<&Sight> {
-        self.members.values().map(|member| &member.sight).collect()
+    fn states(&self) -> Vec<&State> {
+        self.members.values().map(|member| &member.state).collect()
     }
 
     /// Determines the layout in force once all ranks report the same version.
     fn update_in_force(&mut self) {
-        let sights = self.sights();
-        let Some(first) = sights.first() else {
+        let states = self.states();
+        let Some(first) = states.first() else {
             return;
         };
         let version = first.version;
-        if sights.iter().any(|sight| sight.version != version) {
+        if states.iter().any(|state| state.version != version) {
             return;
         }
         if self
@@ -318,11 +319,11 @@
     }
 
     fn resume(&mut self, now: Monotonic) {
-        let Some(change) = Change::recover(&self.sights(), HOLDER, self.floor) else {
+        let Some(change) = Change::recover(&self.states(), HOLDER, self.floor) else {
             return;
         };
-        self.notes
-            .push(Note::Found(change.version(), change.phase()));
+        self.events
+            .push(Event::Resumed(change.version(), change.phase()));
         self.change = Some(change);
         self.change_started = now;
     }
--- a/crates/lockstep/src/coordinator/planning.rs
+++ b/crates/lockstep/src/coordinator/planning.rs
@@ -8,13 +8,13 @@
 use crate::change::Change;
 use crate::coordinator::Coordinator;
 use crate::coordinator::Versioned;
-use crate::coordinator::pulse::max_slowdown;
+use crate::coordinator::stats::max_slowdown;
+use crate::output::Event;
 use crate::plan::Plan;
 use crate::plan::Scope;
 use crate::plan::plan;
-use crate::sight::Sight;
-use crate::sight::Version;
-use crate::told::Note;
+use crate::rank::State;
+use crate::rank::Version;
 
 /// Age of the last report beyond which a rank counts as unreachable.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(1_200);
@@ -72,7 +72,7 @@
         self.change = Some(Change::new(epoch, version, self.floor));
         self.change_started = now;
         self.outstanding.clear();
-        self.notes.push(Note::Begun(version, plan));
+        self.events.push(Event::Started(version, plan));
     }
 
     /// Returns the plan of the current stage or of the first later one that finds a change worth making.
@@ -80,10 +80,10 @@
         let known = self.in_force.as_ref()?;
         let shares = self.popularity.shares()?;
         self.planned_at = now;
-        let slowness = self.slowness();
+        let slowdown = self.slowdown();
         let requests = self.requests_per_rank();
         let skew = known.layout.skew(&shares);
-        if self.cost.is_short(requests * max_slowdown(&slowness), skew) {
+        if self.cost.is_short(requests * max_slowdown(&slowdown), skew) {
             return None;
         }
         let work = self.cost.expert_work(requests);
@@ -96,7 +96,7 @@
                 &self.shape,
                 stage.scope(),
                 work,
-                &slowness,
+                &slowdown,
             );
             if found.is_some() || stage == Stage::Steady {
                 return found;
@@ -106,7 +106,7 @@
 
     /// Returns whether all ranks have reported recently.
     #[must_use]
-    pub fn is_in_reach(&self, now: Monotonic) -> bool {
+    pub fn is_reachable(&self, now: Monotonic) -> bool {
         let mut members = self.members.values();
         self.has_all_ranks()
             && members.all(|member| now.saturating_sub(member.seen) < MAX_REPORT_AGE)
@@ -115,21 +115,21 @@
     /// Returns whether all ranks are reachable and serve on the map in force, with no change in progress.
     fn is_idle(&self, now: Monotonic) -> bool {
         let version = self.in_force.as_ref().map(|known| known.version);
-        let mut sights = self.members.values().map(|member| &member.sight);
-        let is_still = |sight: &Sight| {
-            let is_free = sight.armed.is_none() && sight.held.is_none() && !sight.is_busy;
-            is_free && sight.is_open && Some(sight.version) == version
+        let mut states = self.members.values().map(|member| &member.state);
+        let is_still = |state: &State| {
+            let is_free = state.armed.is_none() && state.held.is_none() && !state.is_busy;
+            is_free && state.is_open && Some(state.version) == version
         };
-        self.is_in_reach(now) && sights.all(is_still)
+        self.is_reachable(now) && states.all(is_still)
     }
 
     /// Returns a version above all that were seen and all that a previous coordinator chose. Its orders may
     /// arrive late and must be refused then.
     fn next_version(&self, now: Monotonic) -> Version {
-        let sights = self.members.values().map(|member| &member.sight);
-        let newest = sights.flat_map(|sight| {
-            let armed = sight.armed.map(|armed| armed.version);
-            [Some(sight.version), sight.prepared, armed]
+        let states = self.members.values().map(|member| &member.state);
+        let newest = states.flat_map(|state| {
+            let armed = state.armed.map(|armed| armed.version);
+            [Some(state.version), state.prepared, armed]
         });
         let newest = newest.flatten().max().unwrap_or(0);
         let time = u64::try_from((self.started + now).as_millis());
--- a/crates/lockstep/src/message.rs
+++ b/crates/lockstep/src/message.rs
@@ -9,15 +9,15 @@
 
 use crate::change::Order;
 use crate::cost::Cost;
-use crate::deputy::Pledge;
-use crate::layout::Parcel;
 use crate::layout::Shape;
-use crate::sight::Epoch;
-use crate::sight::Sight;
+use crate::layout::Update;
+use crate::rank::Epoch;
+use crate::rank::State;
+use crate::standby::Notice;
 
 /// Query of a sidecar to a gateway for the members of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct MembersQuery {
     /// Name of the service.
     pub service: String,
 }
@@ -25,16 +25,16 @@
 /// Message to a sidecar.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Answer of a gateway to [`Ask`].
+    /// Answer of a gateway to [`MembersQuery`].
     Members(Members),
     /// Heartbeat of the leader, the sidecar next to rank 0.
-    Lead(Lead),
+    Heartbeat(Heartbeat),
     /// State of a rank, from its sidecar to the leader.
-    Show(Show),
+    RankReport(RankReport),
     /// Order of the leader or its standby to the receiver's rank.
     Command(Command),
     /// Notice of the leader to its standby that it is about to order a hold.
-    Pledge(Pledge),
+    HoldNotice(Notice),
     /// Expert counts of a rank, from its sidecar to the aggregator of several ranks.
     Counts(Counts),
     /// Order of the leader to many ranks, which the receiver forwards.
@@ -60,20 +60,20 @@
     /// Returns whether the gateway that sent this knew the service. After a start it must first read the published
     /// configuration.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.shape.is_some() && !self.upstreams.is_empty()
     }
 }
 
-/// Load and pace of one engine of a group.
+/// Load and slowdown of one engine of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Busy {
+pub struct EngineLoad {
     /// Address of the engine.
     pub engine: SocketAddr,
     /// Requests that run or wait at it.
     pub requests: u32,
-    /// Slowdown factor of its part of a pass, in hundredths.
-    pub pace: u16,
+    /// Slowdown factor of its part of a pass, in percent; 100 if it is not slow.
+    pub slowdown_percent: u16,
 }
 
 /// Digest of a group's state, from its leader to gateways.
@@ -86,7 +86,7 @@
     /// Whether all ranks were seen and the group serves.
     pub is_open: bool,
     /// Engines that run in lock-step in this group.
-    pub engines: Vec<Busy>,
+    pub engines: Vec<EngineLoad>,
 }
 
 /// Digest that the receiving gateway forwards to other gateways.
@@ -100,30 +100,30 @@
 
 /// Heartbeat of a group's leader to the other sidecars.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lead {
+pub struct Heartbeat {
     /// Name of the group.
     pub group: String,
     /// Current epoch of the leader's rank.
     pub epoch: Epoch,
     /// Whether ranks must report the experts that they hold, because the leader does not know the layout in force.
-    pub wants_layout: bool,
+    pub needs_layout: bool,
     /// Sidecar that aggregates the counts of the receiver's rank; none if they go to the leader.
-    pub collector: Option<SocketAddr>,
+    pub aggregator: Option<SocketAddr>,
 }
 
 /// Report on one rank by its sidecar.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Show {
+pub struct RankReport {
     /// Start of the rank's engine in Unix milliseconds; none if the engine does not report it.
     pub born: Option<u64>,
     /// Name of the group.
     pub group: String,
     /// State of the rank.
-    pub sight: Sight,
+    pub state: State,
     /// Failure domain of its instance.
     pub failure_domain: FailureDomainId,
     /// Expert activations since the last report, layer by layer; empty if there are none.
-    pub choices: Vec<u32>,
+    pub activations: Vec<u32>,
     /// Experts that the rank holds, by layer; none unless the leader wants them.
     pub held: Option<Vec<Vec<Expert>>>,
 }
@@ -136,7 +136,7 @@
     /// Epoch in which they were counted.
     pub epoch: Epoch,
     /// Expert activations since the last report, layer by layer.
-    pub choices: Vec<u32>,
+    pub activations: Vec<u32>,
 }
 
 /// Order for a rank.
@@ -149,9 +149,9 @@
     /// The order itself.
     pub order: Order,
     /// Layout to prepare; only with [`Order::Prepare`].
-    pub layout: Option<Parcel>,
+    pub layout: Option<Update>,
     /// Sidecar that the rank's state is reported to afterwards; none if that is the sender.
-    pub reports_to: Option<SocketAddr>,
+    pub report_to: Option<SocketAddr>,
 }
 
 /// Order for many ranks.
--- a/crates/lockstep/tests/all/main.rs
+++ b/crates/lockstep/tests/all/main.rs
@@ -1,18 +1,18 @@
 //! Tests of the decisions on expert map changes.
 
-mod asking;
+mod aggregation;
 mod change;
-mod collecting;
 mod coordinator;
 mod cost;
-mod deputy;
 mod explore;
 mod layout;
 mod message;
+mod output;
 mod passes;
 mod plan;
 mod popularity;
+mod query;
+mod standby;
 mod support;
 mod tally;
-mod told;
 mod traffic;
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -1,8 +1,8 @@
-//! One sidecar: reads its rank, and leads or follows.
+//! Main loop of a sidecar: it polls its rank, and acts as leader or follower.
 
 mod following;
-mod hearing;
 mod leading;
+mod receiving;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,52 +11,53 @@
 
 use auburnline_core::time::Monotonic;
 use auburnline_duty::clock::Clock;
-use auburnline_lockstep::asking::Asking;
 use auburnline_lockstep::change::Order;
-use auburnline_lockstep::coordinator::LEADER;
-use auburnline_lockstep::deputy::Deputy;
+use auburnline_lockstep::coordinator::LEADER_RANK;
 use auburnline_lockstep::layout::Layout;
 use auburnline_lockstep::message::Members;
-use auburnline_lockstep::message::Show;
-use auburnline_lockstep::sight::Epoch;
-use auburnline_lockstep::sight::Version;
+use auburnline_lockstep::message::RankReport;
+use auburnline_lockstep::output::Rotation;
+use auburnline_lockstep::query::Schedule;
+use auburnline_lockstep::rank::Epoch;
+use auburnline_lockstep::rank::Version;
+use auburnline_lockstep::standby::Standby;
 use auburnline_lockstep::tally::Tally;
-use auburnline_lockstep::told::Turn;
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
 use crate::engine::Counts;
 use crate::engine::Engine;
 use crate::engine::Report;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::settings::Settings;
-use crate::sidecar::following::State;
+use crate::sidecar::following::ChangeState;
 
-/// Time between two looks at the rank: a change of demand is seen within two to three of them, and each
-/// costs about half a millisecond of the instance's processor.
-const PERIOD: Duration = Duration::from_millis(100);
-/// Least time between two readings of the counts; a little less than between two looks.
+/// Time between two polls of the rank. A shift of demand is detected within two to three polls, and each costs about
+/// half a millisecond of the instance's processor time.
+const POLL_PERIOD: Duration = Duration::from_millis(100);
+/// Minimum time between two reads of the expert counts; slightly less than [`POLL_PERIOD`].
 pub(crate) const COUNT_PERIOD: Duration = Duration::from_millis(90);
-/// Time after which a rank is shown though nothing about it changed; a little less than between two looks.
-const SHOW_PERIOD: Duration = Duration::from_millis(180);
-/// Time between two looks while an order awaits its effect.
-const QUICK_PERIOD: Duration = Duration::from_millis(40);
-/// Time for which looks stay quick after an order to switch, hold or release: its effect shows at once.
-const QUICK: Duration = Duration::from_millis(200);
-/// Time for which looks stay quick after an order to prepare: a plan copies for 0.3 s at most, and the group
-/// waits for its last rank to be seen ready.
-const QUICK_COPY: Duration = Duration::from_millis(700);
-/// Largest datagram.
-const MAX_BYTES: usize = 60 << 10;
+/// Time after which an unchanged rank is reported again, and minimum time between two heartbeats; slightly less than
+/// two polls.
+const REPORT_PERIOD: Duration = Duration::from_millis(180);
+/// Time between two polls while an order's effect is awaited.
+const FAST_POLL_PERIOD: Duration = Duration::from_millis(40);
+/// Time of fast polling after an order to arm, hold or release, whose effect is visible at once.
+const FAST_POLL_TIME: Duration = Duration::from_millis(200);
+/// Time of fast polling after an order to prepare. A plan takes at most 0.3 s to copy, and the change waits until the
+/// last rank is seen prepared.
+const FAST_POLL_TIME_PREPARE: Duration = Duration::from_millis(700);
+/// Size of the receive buffer; no longer datagram is received whole.
+const MAX_DATAGRAM_BYTES: usize = 60 << 10;
 
-/// The sidecar that leads, as it told.
+/// The leader, as its last heartbeat describes it.
 #[derive(Clone, Copy, Debug)]
-struct Leader {
+struct KnownLeader {
     address: SocketAddr,
     heard: Monotonic,
-    wants_layout: bool,
-    /// Who collects the counts of the own rank; none if that is the one that leads.
-    collector: Option<SocketAddr>,
+    needs_layout: bool,
+    /// Sidecar that aggregates the counts of the own rank; none if they go to the leader.
+    aggregator: Option<SocketAddr>,
 }
 
 /// State of one sidecar.
@@ -67,34 +68,31 @@
     clock: Clock,
     /// Time of day at the clock's start.
     started: Duration,
-    lead: Option<Lead>,
-    members: Option<Members>,
-    asking: Asking,
     leader: Option<Leader>,
+    members: Option<Members>,
+    query_schedule: Schedule,
+    known_leader: Option<KnownLeader>,
     counts: Counts,
-    counted: Option<Monotonic>,
-    /// Counts of other ranks that are to go on with the own ones.
+    counted_at: Option<Monotonic>,
+    /// Counts of other ranks, which are sent on with the own ones.
     tally: Tally,
-    /// When the rank was looked at last.
-    looked: Monotonic,
-    /// Until when looks are quick.
-    quick_until: Monotonic,
-    /// What was told last of the own rank, and when.
-    shown: Option<(State, Monotonic)>,
-    /// When the others were told who leads.
-    announced: Monotonic,
-    deputy: Deputy,
-    /// Maps that orders to prepare brought: the one in force, and the next.
+    polled_at: Monotonic,
+    fast_poll_until: Monotonic,
+    /// State of the own rank as last reported to the leader, and when.
+    last_report: Option<(ChangeState, Monotonic)>,
+    heartbeat_sent_at: Monotonic,
+    standby: Standby,
+    /// Maps received with orders to prepare: the one in force, and the next.
     layouts: Vec<(Version, Layout)>,
-    /// Who gave the order after which the rank is looked at.
-    asked_by: Option<SocketAddr>,
-    /// Gateways whose turn it is to be told of the group.
-    turn: Turn,
+    /// Receiver of the report that follows an order; none outside of that.
+    report_to: Option<SocketAddr>,
+    /// Rotation of the gateways that get the digest directly.
+    rotation: Rotation,
     is_reachable: bool,
-    /// Group and epoch that the rank showed last.
+    /// Group and epoch that the rank reported last.
     group: Option<String>,
     epoch: Option<Epoch>,
-    /// Unix milliseconds of the rank's start, as it told last.
+    /// Start of the rank in Unix milliseconds, as reported last.
     born: Option<u64>,
 }
 
@@ -108,21 +106,21 @@
             started: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default(),
-            lead: None,
-            members: None,
-            asking: Asking::default(),
             leader: None,
+            members: None,
+            query_schedule: Schedule::default(),
+            known_leader: None,
             counts: Counts::default(),
-            counted: None,
+            counted_at: None,
             tally: Tally::default(),
-            looked: Monotonic::ZERO,
-            quick_until: Monotonic::ZERO,
-            shown: None,
-            announced: Monotonic::ZERO,
-            deputy: Deputy::default(),
+            polled_at: Monotonic::ZERO,
+            fast_poll_until: Monotonic::ZERO,
+            last_report: None,
+            heartbeat_sent_at: Monotonic::ZERO,
+            standby: Standby::default(),
             layouts: Vec::new(),
-            asked_by: None,
-            turn: Turn::default(),
+            report_to: None,
+            rotation: Rotation::default(),
             is_reachable: true,
             group: None,
             epoch: None,
@@ -130,105 +128,104 @@
         }
     }
 
-    /// Runs until the process ends.
     pub(crate) async fn run(mut self) {
-        let mut bytes = vec![0; MAX_BYTES];
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            let pause = self.pause();
+            let wait = self.time_to_poll();
             tokio::select! {
-                () = sleep(pause) => self.look().await,
+                () = sleep(wait) => self.poll().await,
                 received = self.socket.recv_from(&mut bytes) => match received {
                     Ok((length, from)) => {
-                        self.hear(&bytes[..length], from).await;
-                        self.drain(&mut bytes).await;
-                        self.step().await;
+                        self.receive(&bytes[..length], from).await;
+                        self.receive_queued(&mut bytes).await;
+                        self.send_orders().await;
                     }
                     Err(error) => {
                         let cause = error.to_string();
-                        log::debug!(target: "sidecar", cause = cause.as_str(); "no datagram");
+                        log::debug!(target: "sidecar", cause = cause.as_str(); "failed to receive datagram");
                     }
                 }
             }
         }
     }
 
-    /// Returns the time until the next look.
-    fn pause(&self) -> Duration {
+    fn time_to_poll(&self) -> Duration {
         let now = self.clock.now();
-        let period = if now < self.quick_until {
-            QUICK_PERIOD
+        let period = if now < self.fast_poll_until {
+            FAST_POLL_PERIOD
         } else {
-            PERIOD
+            POLL_PERIOD
         };
-        (self.looked + period).saturating_sub(now)
+        (self.polled_at + period).saturating_sub(now)
     }
 
-    /// Looks at the rank, and leads or shows it.
-    async fn look(&mut self) {
-        self.looked = self.clock.now();
+    /// Polls the rank; then acts as leader, or reports the rank to the leader.
+    async fn poll(&mut self) {
+        self.polled_at = self.clock.now();
         let report = match self.engine.report().await {
             Ok(report) => report,
-            Err(failure) => return self.lost(&failure.to_string()),
+            Err(failure) => return self.set_unreachable(&failure.to_string()),
         };
         if !self.is_reachable {
             self.is_reachable = true;
-            log::info!(target: "engine", epoch = report.sight.epoch; "regained");
+            log::info!(target: "engine", epoch = report.state.epoch; "regained");
         }
-        self.note_epoch(&report);
-        self.note_start(report.born);
-        let choices = self.choices().await;
-        let held = self.held().await;
-        let show = Show {
+        self.update_epoch(&report);
+        self.update_start(report.born);
+        let activations = self.read_activations().await;
+        let held = self.read_held().await;
+        let rank_report = RankReport {
             born: report.born,
             group: report.group,
-            sight: report.sight,
+            state: report.state,
             failure_domain: self.settings.failure_domain.as_str().into(),
-            choices,
+            activations,
             held,
         };
-        if show.sight.rank == LEADER {
-            self.lead(show).await;
+        if rank_report.state.rank == LEADER_RANK {
+            self.lead(rank_report).await;
         } else {
-            self.lead = None;
-            self.show(show).await;
+            self.leader = None;
+            self.report(rank_report).await;
         }
     }
 
-    fn lost(&mut self, cause: &str) {
+    fn set_unreachable(&mut self, cause: &str) {
         if self.is_reachable {
             self.is_reachable = false;
             log::warn!(target: "engine", cause; "lost");
         }
     }
 
-    fn note_epoch(&mut self, report: &Report) {
-        let sight = &report.sight;
-        if self.epoch != Some(sight.epoch) {
-            self.epoch = Some(sight.epoch);
+    fn update_epoch(&mut self, report: &Report) {
+        let state = &report.state;
+        if self.epoch != Some(state.epoch) {
+            self.epoch = Some(state.epoch);
             self.group = Some(report.group.clone());
             let group = report.group.as_str();
-            log::info!(target: "engine", group, epoch = sight.epoch, rank = sight.rank, is_open = sight.is_open; "epoch");
+            log::info!(target: "engine", group, epoch = state.epoch, rank = state.rank, is_open = state.is_open; "epoch");
         }
     }
 
-    /// Takes when the rank started; one that started anew counts from nothing.
-    fn note_start(&mut self, born: Option<u64>) {
+    /// Records the rank's start; the counts of one that restarted begin at zero.
+    fn update_start(&mut self, born: Option<u64>) {
         if self
             .born
             .zip(born)
-            .is_some_and(|(known, told)| known != told)
+            .is_some_and(|(known, reported)| known != reported)
         {
-            log::info!(target: "engine", born:?; "started anew");
+            log::info!(target: "engine", born:?; "engine restarted");
             self.counts = Counts::default();
         }
         self.born = born.or(self.born);
     }
 
-    /// Returns the choices since the last look, at the slow pace.
-    async fn choices(&mut self) -> Vec<u32> {
+    /// Returns the expert activations since the last read, including those aggregated for other ranks; empty while
+    /// [`COUNT_PERIOD`] has not passed.
+    async fn read_activations(&mut self) -> Vec<u32> {
         let now = self.clock.now();
         let is_due = self
-            .counted
+            .counted_at
             .is_none_or(|at| now.saturating_sub(at) >= COUNT_PERIOD);
         if !is_due {
             return Vec::new();
@@ -237,44 +234,44 @@
             Ok(counts) => counts,
             Err(failure) => {
                 let cause = failure.to_string();
-                log::debug!(target: "engine", cause = cause.as_str(); "no counts");
+                log::debug!(target: "engine", cause = cause.as_str(); "failed to read expert counts");
                 return Vec::new();
             }
         };
-        self.counted = Some(now);
+        self.counted_at = Some(now);
         let before = std::mem::replace(&mut self.counts, counts);
-        let mut choices = self.counts.since(&before);
-        self.tally.add_to(&mut choices, self.epoch);
-        // An idle group would fill links with zeros.
-        if choices.iter().all(|chosen| *chosen == 0) {
-            choices.clear();
+        let mut activations = self.counts.since(&before);
+        self.tally.add_to(&mut activations, self.epoch);
+        // Zeros of an idle group would only use bandwidth.
+        if activations.iter().all(|count| *count == 0) {
+            activations.clear();
         }
-        choices
+        activations
     }
 
-    /// Returns the experts that the rank holds, if they were asked for.
-    async fn held(&self) -> Option<Vec<Vec<u16>>> {
-        let is_asked = match &self.lead {
-            Some(lead) => lead.wants_layout(),
-            None => self.leader.is_some_and(|leader| leader.wants_layout),
+    /// Returns the experts that the rank holds, if the leader wants them.
+    async fn read_held(&self) -> Option<Vec<Vec<u16>>> {
+        let is_wanted = match &self.leader {
+            Some(leader) => leader.needs_layout(),
+            None => self.known_leader.is_some_and(|leader| leader.needs_layout),
         };
-        if !is_asked {
+        if !is_wanted {
             return None;
         }
         let held = self.engine.held().await;
         held.inspect_err(|failure| {
             let cause = failure.to_string();
-            log::debug!(target: "engine", cause = cause.as_str(); "no experts");
+            log::debug!(target: "engine", cause = cause.as_str(); "failed to read held experts");
         })
         .ok()
     }
 
-    /// Looks at the rank often until an order's effect must have shown.
-    fn hasten(&mut self, order: Order) {
+    /// Polls the rank fast until the effect of `order` should be visible.
+    fn poll_fast_after(&mut self, order: Order) {
         let time = match order {
-            Order::Prepare(_) => QUICK_COPY,
-            Order::Hold(_) | Order::Arm(_) | Order::Release(_) => QUICK,
+            Order::Prepare(_) => FAST_POLL_TIME_PREPARE,
+            Order::Hold(_) | Order::Arm(_) | Order::Release(_) => FAST_POLL_TIME,
         };
-        self.quick_until = self.quick_until.max(self.clock.now() + time);
+        self.fast_poll_until = self.fast_poll_until.max(self.clock.now() + time);
     }
 }
--- a/crates/sidecar/src/sidecar/following.rs
+++ b/crates/sidecar/src/sidecar/following.rs
@@ -1,5 +1,5 @@
-//! What the other sidecars do: they show their ranks to the one that leads, carry its orders out, and the one
-//! beside rank 1 sees a hold through whose lead fell silent.
+//! Follower role: reports the own rank to the leader and carries out its orders. The sidecar next to rank 1 is the
+//! standby, which also ends or completes a hold when the leader has gone silent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,31 +9,32 @@
 use auburnline_lockstep::change::Order;
 use auburnline_lockstep::layout::Base;
 use auburnline_lockstep::layout::Layout;
-use auburnline_lockstep::layout::Parcel;
+use auburnline_lockstep::layout::Update;
 use auburnline_lockstep::message::Command;
 use auburnline_lockstep::message::Counts;
 use auburnline_lockstep::message::Message;
-use auburnline_lockstep::message::Show;
-use auburnline_lockstep::sight::Epoch;
-use auburnline_lockstep::sight::Sight;
-use auburnline_lockstep::sight::Switch;
-use auburnline_lockstep::sight::Version;
+use auburnline_lockstep::message::RankReport;
+use auburnline_lockstep::rank::Epoch;
+use auburnline_lockstep::rank::State;
+use auburnline_lockstep::rank::Switch;
+use auburnline_lockstep::rank::Version;
 
-use super::Leader;
-use super::SHOW_PERIOD;
+use super::KnownLeader;
+use super::REPORT_PERIOD;
 use super::Sidecar;
 use crate::engine::Engine;
-use crate::order::give;
+use crate::order::send_order;
 
-/// Time for which the deputy's looks stay quick after a hold was pledged: until it is over, or its lead is silent for
-/// long enough.
-pub(super) const QUICK_PLEDGE: Duration = Duration::from_millis(600);
-/// Age at which the word of the one that leads is forgotten.
-const LEAD_AGE: Duration = Duration::from_secs(3);
+/// Time of fast polling at the standby after the notice of a hold: until the hold is over, or the leader was silent
+/// long enough for the standby to act.
+pub(super) const FAST_POLL_TIME_HOLD: Duration = Duration::from_millis(600);
+/// Age at which the leader's last heartbeat is no longer valid.
+const LEADER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a change waits for at one rank; between two slow looks a word is sent only when it differs.
+/// Fields of a rank's state that a map change waits for. Within [`REPORT_PERIOD`] a report without expert counts is
+/// sent only if one of them differs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct State {
+pub(super) struct ChangeState {
     epoch: Epoch,
     version: Version,
     prepared: Option<Version>,
@@ -41,124 +42,131 @@
     held: Option<Step>,
 }
 
-impl State {
-    fn of(sight: &Sight) -> State {
-        State {
-            epoch: sight.epoch,
-            version: sight.version,
-            prepared: sight.prepared,
-            armed: sight.armed,
-            held: sight.held,
+impl ChangeState {
+    fn of(state: &State) -> ChangeState {
+        ChangeState {
+            epoch: state.epoch,
+            version: state.version,
+            prepared: state.prepared,
+            armed: state.armed,
+            held: state.held,
         }
     }
 }
 
 impl<E: Engine> Sidecar<E> {
-    pub(super) async fn show(&mut self, mut show: Show) {
+    pub(super) async fn report(&mut self, mut report: RankReport) {
         let now = self.clock.now();
-        let is_fresh = |leader: &Leader| now.saturating_sub(leader.heard) < LEAD_AGE;
-        self.see_through(&show.sight, now).await;
-        let leader = self.leader.filter(is_fresh);
-        let Some(address) = self.asked_by.or(leader.map(|leader| leader.address)) else {
+        let is_fresh = |leader: &KnownLeader| now.saturating_sub(leader.heard) < LEADER_TIMEOUT;
+        self.act_as_standby(&report.state, now).await;
+        let leader = self.known_leader.filter(is_fresh);
+        let Some(address) = self.report_to.or(leader.map(|leader| leader.address)) else {
             return;
         };
-        if let Some(collector) = leader.and_then(|leader| leader.collector) {
-            self.give_counts(&mut show, collector).await;
+        if let Some(aggregator) = leader.and_then(|leader| leader.aggregator) {
+            self.send_counts(&mut report, aggregator).await;
         }
-        let state = State::of(&show.sight);
-        let is_told = self.shown.is_some_and(|(shown, at)| {
-            shown == state && now.saturating_sub(at) < SHOW_PERIOD && show.held.is_none()
+        let state = ChangeState::of(&report.state);
+        let is_reported = self.last_report.is_some_and(|(reported, at)| {
+            reported == state && now.saturating_sub(at) < REPORT_PERIOD && report.held.is_none()
         });
-        if is_told && show.choices.is_empty() {
+        if is_reported && report.activations.is_empty() {
             return;
         }
-        self.shown = Some((state, now));
-        self.tell(&Message::Show(show), address).await;
+        self.last_report = Some((state, now));
+        self.send(&Message::RankReport(report), address).await;
     }
 
-    /// Gives the counts of the own rank to the sidecar that collects them.
-    async fn give_counts(&self, show: &mut Show, collector: SocketAddr) {
-        let choices = std::mem::take(&mut show.choices);
-        if choices.is_empty() || collector == self.settings.peers {
-            show.choices = choices;
+    /// Moves the expert counts out of `report` and sends them to `aggregator`; they stay if that is this sidecar.
+    async fn send_counts(&self, report: &mut RankReport, aggregator: SocketAddr) {
+        let activations = std::mem::take(&mut report.activations);
+        if activations.is_empty() || aggregator == self.settings.peers {
+            report.activations = activations;
             return;
         }
         let counts = Counts {
-            group: show.group.clone(),
-            epoch: show.sight.epoch,
-            choices,
+            group: report.group.clone(),
+            epoch: report.state.epoch,
+            activations,
         };
-        self.tell(&Message::Counts(counts), collector).await;
+        self.send(&Message::Counts(counts), aggregator).await;
     }
 
-    /// As the deputy, ends a hold whose lead fell silent, or takes the change forward if ranks may be armed.
-    async fn see_through(&mut self, own: &Sight, now: Monotonic) {
-        self.deputy.see(own);
-        let Some(pledge) = self.deputy.due(own, now).cloned() else {
+    /// As the standby, ends a hold whose leader is silent, or completes the change if ranks may be armed.
+    async fn act_as_standby(&mut self, own: &State, now: Monotonic) {
+        self.standby.observe(own);
+        let Some(notice) = self.standby.due_hold(own, now).cloned() else {
             return;
         };
-        self.quick_until = now + QUICK_PLEDGE;
-        let group = pledge.group.as_str();
-        let epoch = pledge.epoch;
-        if let Some(step) = self.deputy.end(own) {
-            log::info!(target: "experts", group, epoch, step; "hold ended, its lead is silent");
-            give(&self.engine, epoch, Order::Release(step), None).await;
+        self.fast_poll_until = now + FAST_POLL_TIME_HOLD;
+        let group = notice.group.as_str();
+        let epoch = notice.epoch;
+        if let Some(step) = self.standby.end_hold(own) {
+            log::info!(target: "experts", group, epoch, step; "hold ended, leader is silent");
+            send_order(&self.engine, epoch, Order::Release(step), None).await;
             return;
         }
-        let orders = self.deputy.orders(own);
+        let orders = self.standby.orders(own);
         if !orders.is_empty() {
-            let step = pledge.switch.step;
-            log::info!(target: "experts", group, epoch, step, orders = orders.len(); "standing in");
+            let step = notice.switch.step;
+            log::info!(target: "experts", group, epoch, step, orders = orders.len(); "standby completes the change, leader is silent");
         }
         for (rank, order) in orders {
             if rank == own.rank {
-                give(&self.engine, epoch, order, None).await;
-            } else if let Some((_, address)) = pledge.sidecars.iter().find(|(of, _)| *of == rank) {
+                send_order(&self.engine, epoch, order, None).await;
+            } else if let Some((_, address)) = notice.sidecars.iter().find(|(of, _)| *of == rank) {
                 let command = Command {
-                    group: pledge.group.clone(),
+                    group: notice.group.clone(),
                     epoch,
                     order,
                     layout: None,
-                    reports_to: None,
+                    report_to: None,
                 };
-                self.tell(&Message::Command(command), *address).await;
+                self.send(&Message::Command(command), *address).await;
             }
         }
     }
 
-    /// Returns the layout that comes with an order, and keeps it; the version that it builds on if that is not
-    /// known here.
-    fn unpack(&mut self, order: Order, parcel: Option<Parcel>) -> Result<Option<Layout>, Version> {
-        let (Order::Prepare(version), Some(parcel)) = (order, parcel) else {
+    /// Returns the layout that comes with an order, and stores it.
+    ///
+    /// # Errors
+    ///
+    /// Returns the version that the layout is based on if that map is not known here.
+    fn resolve_layout(
+        &mut self,
+        order: Order,
+        update: Option<Update>,
+    ) -> Result<Option<Layout>, Version> {
+        let (Order::Prepare(version), Some(update)) = (order, update) else {
             return Ok(None);
         };
-        let base = parcel.base();
+        let base = update.base();
         let built_on = match base {
             Some(Base::Sent(version)) => Some(version),
             Some(Base::Initial { .. }) | None => None,
         };
-        let Some(layout) = parcel.open(&self.layouts) else {
+        let Some(layout) = update.resolve(&self.layouts) else {
             return Err(built_on.unwrap_or_default());
         };
-        // A change that is given up leaves its map behind; the one in force is the one built on.
+        // The map in force is the base of this one; others are left over from aborted changes.
         self.layouts.retain(|(known, _)| Some(*known) == built_on);
         self.layouts.push((version, layout.clone()));
         Ok(Some(layout))
     }
 
-    /// Passes an order of the one that leads or its deputy on, and shows what came of it.
-    pub(super) async fn follow(&mut self, command: Command, from: SocketAddr) {
-        let reports_to = command.reports_to.unwrap_or(from);
+    /// Forwards an order of the leader or the standby to the own engine, and reports the resulting state.
+    pub(super) async fn execute(&mut self, command: Command, from: SocketAddr) {
+        let report_to = command.report_to.unwrap_or(from);
         let is_ours = self.group.as_ref() == Some(&command.group);
         if !is_ours || self.epoch != Some(command.epoch) {
             return;
         }
         if let Order::Arm(switch) = command.order
-            && !self.deputy.may_arm(command.epoch, switch)
+            && !self.standby.may_arm(command.epoch, switch)
         {
-            log::info!(target: "experts", group = command.group.as_str(), epoch = command.epoch, step = switch.step; "not armed, the hold was ended");
-            // The order that ended it may have been lost, and the lead that lives again waits for this rank.
-            give(
+            log::info!(target: "experts", group = command.group.as_str(), epoch = command.epoch, step = switch.step; "order to arm refused, the hold was ended");
+            // The order that ended the hold may have been lost, and a leader that is back waits for this rank.
+            send_order(
                 &self.engine,
                 command.epoch,
                 Order::Release(switch.step),
@@ -167,19 +175,19 @@
             .await;
             return;
         }
-        let layout = match self.unpack(command.order, command.layout) {
+        let layout = match self.resolve_layout(command.order, command.layout) {
             Ok(layout) => layout,
             Err(base) => {
-                // The lead sends all of it once it sees that nothing is copied here.
-                log::info!(target: "experts", group = command.group.as_str(), base, order:? = command.order; "map not known");
+                // The leader sends the full map once it sees that nothing is copied here.
+                log::info!(target: "experts", group = command.group.as_str(), base, order:? = command.order; "base map of the order is not known");
                 return;
             }
         };
-        give(&self.engine, command.epoch, command.order, layout.as_ref()).await;
-        self.hasten(command.order);
-        self.shown = None;
-        self.asked_by = Some(reports_to);
-        self.look().await;
-        self.asked_by = None;
+        send_order(&self.engine, command.epoch, command.order, layout.as_ref()).await;
+        self.poll_fast_after(command.order);
+        self.last_report = None;
+        self.report_to = Some(report_to);
+        self.poll().await;
+        self.report_to = None;
     }
 }
--- a/crates/sidecar/src/sidecar/leading.rs
+++ b/crates/sidecar/src/sidecar/leading.rs
@@ -1,43 +1,43 @@
-//! What the sidecar beside rank 0 does for its group: it asks who serves, tells who leads and how the group
-//! runs, and gives the orders that its lead decides on.
+//! Leader role: queries gateways for the members of the service, sends heartbeats to sidecars and digests to gateways,
+//! and sends the orders that the coordinator decides on.
 
 use std::net::SocketAddr;
 
 use auburnline_core::time::Monotonic;
 use auburnline_gateway::message::Datagram;
+use auburnline_lockstep::aggregation::receivers;
 use auburnline_lockstep::change::Order;
-use auburnline_lockstep::collecting::receivers;
-use auburnline_lockstep::coordinator::LEADER;
+use auburnline_lockstep::coordinator::LEADER_RANK;
 use auburnline_lockstep::coordinator::Service;
-use auburnline_lockstep::deputy::DEPUTY;
-use auburnline_lockstep::deputy::Pledge;
-use auburnline_lockstep::message::Ask;
 use auburnline_lockstep::message::Command;
 use auburnline_lockstep::message::Digest;
 use auburnline_lockstep::message::Forward;
 use auburnline_lockstep::message::Forwarded;
-use auburnline_lockstep::message::Lead as LeadWord;
+use auburnline_lockstep::message::Heartbeat;
+use auburnline_lockstep::message::MembersQuery;
 use auburnline_lockstep::message::Message;
-use auburnline_lockstep::message::Show;
-use auburnline_lockstep::told::Send;
+use auburnline_lockstep::message::RankReport;
+use auburnline_lockstep::output::Dispatch;
+use auburnline_lockstep::standby::Notice;
+use auburnline_lockstep::standby::STANDBY_RANK;
 use auburnline_lockstep::traffic::Link;
-use auburnline_lockstep::traffic::hops;
-use auburnline_lockstep::traffic::parts;
+use auburnline_lockstep::traffic::fan_out;
+use auburnline_lockstep::traffic::fan_out_parts;
 
-use super::SHOW_PERIOD;
+use super::REPORT_PERIOD;
 use super::Sidecar;
 use crate::engine::Engine;
-use crate::lead::DIGEST_PERIOD;
-use crate::lead::Lead;
-use crate::order::give;
+use crate::leader::DIGEST_PERIOD;
+use crate::leader::Leader;
+use crate::order::send_order;
 
-/// Bytes that a word to gateways takes for each engine.
+/// Approximate encoded size of one engine in a digest.
 const ENGINE_BYTES: usize = 11;
 
 impl<E: Engine> Sidecar<E> {
-    pub(super) async fn lead(&mut self, show: Show) {
+    pub(super) async fn lead(&mut self, report: RankReport) {
         let now = self.clock.now();
-        self.ask(now).await;
+        self.query_members(now).await;
         let members = self.members.as_ref();
         let published = members.and_then(|members| members.shape.zip(members.cost));
         let Some((shape, cost)) = published else {
@@ -46,73 +46,74 @@
         let link = Link::of_mbps(self.settings.link_mbps);
         let service = Service { shape, cost, link };
         let started = self.started;
-        let lead = self
-            .lead
-            .get_or_insert_with(|| Lead::new(show.group.clone(), service, started, now));
-        let word = LeadWord {
-            group: show.group.clone(),
-            epoch: show.sight.epoch,
-            wants_layout: lead.wants_layout(),
-            collector: None,
+        let leader = self
+            .leader
+            .get_or_insert_with(|| Leader::new(report.group.clone(), service, started, now));
+        let heartbeat = Heartbeat {
+            group: report.group.clone(),
+            epoch: report.state.epoch,
+            needs_layout: leader.needs_layout(),
+            aggregator: None,
         };
-        lead.see(show, None, now);
-        lead.tell_pulse(now);
+        leader.observe(report, None, now);
+        leader.log_stats(now);
         let members = self.members.as_ref();
         let own = self.settings.peers;
-        let digest = members.and_then(|members| lead.digest(members, own, now));
-        self.announce(&word, now).await;
-        self.tell_gateways(digest).await;
-        self.step().await;
+        let digest = members.and_then(|members| leader.digest(members, own, now));
+        self.send_heartbeats(&heartbeat, now).await;
+        self.send_digest(digest).await;
+        self.send_orders().await;
     }
 
-    /// Asks a gateway who serves the service.
-    async fn ask(&mut self, now: Monotonic) {
-        if !self.asking.is_due(now) {
+    /// Asks the configured gateways for the members of the service, if a query is due.
+    async fn query_members(&mut self, now: Monotonic) {
+        if !self.query_schedule.is_due(now) {
             return;
         }
-        let ask = Datagram::Ask(Ask {
+        let query = Datagram::MembersQuery(MembersQuery {
             service: self.settings.service.clone(),
         });
         for gateway in self.settings.gateways.clone() {
-            self.tell(&ask, gateway).await;
+            self.send(&query, gateway).await;
         }
     }
 
-    /// Tells the other sidecars who leads, and who collects their counts. Until all ranks were heard, nobody knows which other
-    /// sidecars of the service belong to the group.
-    async fn announce(&mut self, word: &LeadWord, now: Monotonic) {
-        if now.saturating_sub(self.announced) < SHOW_PERIOD {
+    /// Sends heartbeats to the other sidecars. Until all ranks have reported, they go to all sidecars of the service,
+    /// because it is not known which of these belong to the group.
+    async fn send_heartbeats(&mut self, heartbeat: &Heartbeat, now: Monotonic) {
+        if now.saturating_sub(self.heartbeat_sent_at) < REPORT_PERIOD {
             return;
         }
-        self.announced = now;
-        let (Some(lead), Some(members)) = (&self.lead, &self.members) else {
+        self.heartbeat_sent_at = now;
+        let (Some(leader), Some(members)) = (&self.leader, &self.members) else {
             return;
         };
-        let known = lead.sidecars(lead.ranks());
+        let known = leader.sidecars(leader.ranks());
         let port = self.settings.peers.port();
         let all = members.upstreams.iter();
         let all = all.map(|upstream| SocketAddr::new(upstream.ip(), port));
-        let is_searching = !lead.is_in_reach(now);
+        let is_searching = !leader.is_reachable(now);
         let unknown = all.filter(|address| is_searching && *address != self.settings.peers);
-        for receiver in receivers(&known, lead.collectors(known.len()), unknown) {
-            let message = Message::Lead(LeadWord {
-                collector: receiver.collector,
-                ..word.clone()
+        for receiver in receivers(&known, leader.aggregators(known.len()), unknown) {
+            let message = Message::Heartbeat(Heartbeat {
+                aggregator: receiver.aggregator,
+                ..heartbeat.clone()
             });
-            self.tell(&message, receiver.address).await;
+            self.send(&message, receiver.address).await;
         }
     }
 
-    /// Tells gateways of the group: all, or so many as the link bears, in turn, which pass it on to the others.
-    async fn tell_gateways(&mut self, digest: Option<Digest>) {
+    /// Sends a digest to all gateways. If the link does not carry that many, some of them, in rotation, get it directly
+    /// and forward it to the others.
+    async fn send_digest(&mut self, digest: Option<Digest>) {
         let (Some(digest), Some(members)) = (digest, &self.members) else {
             return;
         };
         let link = Link::of_mbps(self.settings.link_mbps);
-        let gateways: Vec<SocketAddr> = self.turn.take(&members.gateways).copied().collect();
+        let gateways: Vec<SocketAddr> = self.rotation.take(&members.gateways).copied().collect();
         let bytes = ENGINE_BYTES * digest.engines.len();
-        let first = link.first_told(gateways.len(), bytes, DIGEST_PERIOD);
-        for part in parts(&gateways, first) {
+        let first = link.direct_gateways(gateways.len(), bytes, DIGEST_PERIOD);
+        for part in fan_out_parts(&gateways, first) {
             let Some((first, others)) = part.split_first() else {
                 continue;
             };
@@ -124,77 +125,84 @@
                     digest: digest.clone(),
                 })
             };
-            self.tell(&message, *first).await;
+            self.send(&message, *first).await;
         }
     }
 
-    /// Gives the orders that are due.
-    pub(super) async fn step(&mut self) {
+    /// Sends the orders that are due.
+    pub(super) async fn send_orders(&mut self) {
         let now = self.clock.now();
-        let Some(lead) = &mut self.lead else {
+        let Some(leader) = &mut self.leader else {
             return;
         };
-        let sends = lead.tick(now);
-        let pledge = lead.pledge(&sends, self.settings.peers);
-        let pledge = pledge.zip(lead.address(DEPUTY));
-        self.tell_deputy(pledge.as_ref()).await;
-        // Others first: an answer of the own engine that is lost would hold their orders up.
-        let (own, others): (Vec<_>, Vec<_>) =
-            sends.into_iter().partition(|send| send.rank == LEADER);
-        let (differences, others): (Vec<_>, Vec<_>) =
-            others.into_iter().partition(|send| send.base.is_some());
-        self.spread(differences).await;
-        for send in others {
-            self.hasten(send.order);
-            match send.order {
-                Order::Hold(_) | Order::Release(_) => self.reach(send).await,
-                Order::Prepare(_) | Order::Arm(_) => self.pass_on(send).await,
+        let dispatches = leader.tick(now);
+        let notice = leader.hold_notice(&dispatches, self.settings.peers);
+        let notice = notice.zip(leader.address(STANDBY_RANK));
+        self.notify_standby(notice.as_ref()).await;
+        // Other ranks first: a lost answer of the own engine would delay their orders.
+        let (own, others): (Vec<_>, Vec<_>) = dispatches
+            .into_iter()
+            .partition(|dispatch| dispatch.rank == LEADER_RANK);
+        let (differences, others): (Vec<_>, Vec<_>) = others
+            .into_iter()
+            .partition(|dispatch| dispatch.base.is_some());
+        self.send_forwarded(differences).await;
+        for dispatch in others {
+            self.poll_fast_after(dispatch.order);
+            match dispatch.order {
+                Order::Hold(_) | Order::Release(_) => self.send_to_engine(dispatch).await,
+                Order::Prepare(_) | Order::Arm(_) => self.send_to_sidecar(dispatch).await,
             }
         }
-        for send in own {
-            self.hasten(send.order);
-            let layout = send.layout.as_deref();
-            give(&self.engine, send.epoch, send.order, layout).await;
+        for dispatch in own {
+            self.poll_fast_after(dispatch.order);
+            let layout = dispatch.layout.as_deref();
+            send_order(&self.engine, dispatch.epoch, dispatch.order, layout).await;
         }
-        // Once more: the rank that holds is looked at at once, and the word may have been lost.
-        self.tell_deputy(pledge.as_ref()).await;
+        // Repeated, because the first notice may have been lost and because the standby polls the held rank on a
+        // repetition.
+        self.notify_standby(notice.as_ref()).await;
     }
 
-    async fn tell_deputy(&self, pledge: Option<&(Pledge, SocketAddr)>) {
-        if let Some((pledge, deputy)) = pledge {
-            self.tell(&Message::Pledge(pledge.clone()), *deputy).await;
+    async fn notify_standby(&self, notice: Option<&(Notice, SocketAddr)>) {
+        if let Some((notice, standby)) = notice {
+            self.send(&Message::HoldNotice(notice.clone()), *standby)
+                .await;
         }
     }
 
-    /// Gives an order to another rank's engine without its sidecar: if the instance that gave a hold freezes, the one
-    /// beside which the group is held lives on.
-    async fn reach(&self, send: Send) {
-        let instance = self.lead.as_ref().and_then(|lead| lead.address(send.rank));
+    /// Sends an order to another rank's engine without its sidecar, so that the hold is ordered by this instance: if
+    /// it freezes, the sidecar next to the held rank still runs.
+    async fn send_to_engine(&self, dispatch: Dispatch) {
+        let instance = self
+            .leader
+            .as_ref()
+            .and_then(|leader| leader.address(dispatch.rank));
         let members = self.members.as_ref();
         let engine = instance.zip(members).and_then(|(instance, members)| {
             let mut engines = members.upstreams.iter();
             engines.find(|engine| engine.ip() == instance.ip())
         });
         let Some(engine) = engine else {
-            log::warn!(target: "experts", rank = send.rank, order:? = send.order; "engine not known");
+            log::warn!(target: "experts", rank = dispatch.rank, order:? = dispatch.order; "address of the engine is not known");
             return;
         };
         let engine = self.engine.at(*engine);
-        give(&engine, send.epoch, send.order, None).await;
+        send_order(&engine, dispatch.epoch, dispatch.order, None).await;
     }
 
-    /// Gives one order to prepare what differs to all its ranks: to some of them, which pass it on to others.
-    async fn spread(&mut self, sends: Vec<Send>) {
-        let (Some(lead), Some(send)) = (&self.lead, sends.first()) else {
+    /// Sends one order to prepare a delta to all its ranks: directly to some sidecars, which forward it to the others.
+    async fn send_forwarded(&mut self, dispatches: Vec<Dispatch>) {
+        let (Some(leader), Some(dispatch)) = (&self.leader, dispatches.first()) else {
             return;
         };
         let command = Command {
-            reports_to: Some(self.settings.peers),
-            ..command(lead, send)
+            report_to: Some(self.settings.peers),
+            ..command(leader, dispatch)
         };
-        let sidecars = lead.sidecars(sends.iter().map(|send| send.rank));
-        self.hasten(send.order);
-        for part in parts(&sidecars, hops(sidecars.len())) {
+        let sidecars = leader.sidecars(dispatches.iter().map(|dispatch| dispatch.rank));
+        self.poll_fast_after(dispatch.order);
+        for part in fan_out_parts(&sidecars, fan_out(sidecars.len())) {
             let Some((first, others)) = part.split_first() else {
                 continue;
             };
@@ -202,28 +210,28 @@
                 to: others.to_vec(),
                 command: command.clone(),
             });
-            self.tell(&message, *first).await;
+            self.send(&message, *first).await;
         }
     }
 
-    async fn pass_on(&self, send: Send) {
-        let Some(lead) = &self.lead else {
+    async fn send_to_sidecar(&self, dispatch: Dispatch) {
+        let Some(leader) = &self.leader else {
             return;
         };
-        let Some(address) = lead.address(send.rank) else {
+        let Some(address) = leader.address(dispatch.rank) else {
             return;
         };
-        let message = Message::Command(command(lead, &send));
-        self.tell(&message, address).await;
+        let message = Message::Command(command(leader, &dispatch));
+        self.send(&message, address).await;
     }
 }
 
-fn command(lead: &Lead, send: &Send) -> Command {
+fn command(leader: &Leader, dispatch: &Dispatch) -> Command {
     Command {
-        group: lead.group().to_owned(),
-        epoch: send.epoch,
-        order: send.order,
-        layout: send.parcel(),
-        reports_to: None,
+        group: leader.group().to_owned(),
+        epoch: dispatch.epoch,
+        order: dispatch.order,
+        layout: dispatch.update(),
+        report_to: None,
     }
 }
