--- a/crates/retries/src/hedge.rs
+++ b/crates/retries/src/hedge.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns leave for a second attempt if the first is slow and the budget allows it.
-    pub fn due<U: Ord + Clone, W: Ord + Clone>(
+    pub fn try_hedge<U: Ord + Clone, W: Ord + Clone>(
         &self,
         now: Monotonic,
         sent: Monotonic,
--- a/crates/retries/tests/retries.rs
+++ b/crates/retries/tests/retries.rs
@@ -214,8 +214,8 @@
         hedge.delay(),
         all![ge(Duration::from_millis(900)), le(Duration::from_secs(1))]
     );
-    let mut due = |now| hedge.due(now, Duration::ZERO, witness, &mut budget, &1, &1);
-    expect_that!(due(Duration::from_millis(500)), none());
-    let hedged = (0..30).filter(|_| due(Duration::from_secs(2)).is_some());
+    let mut try_hedge = |now| hedge.try_hedge(now, Duration::ZERO, witness, &mut budget, &1, &1);
+    expect_that!(try_hedge(Duration::from_millis(500)), none());
+    let hedged = (0..30).filter(|_| try_hedge(Duration::from_secs(2)).is_some());
     expect_that!(hedged.count(), eq(10));
 }
