--- a/crates/retries/src/outlier.rs
+++ b/crates/retries/src/outlier.rs
@@ -117,7 +117,7 @@
             kept.insert(key.clone(), self.members.remove(key).unwrap_or_default());
         }
         self.members = kept;
-        let excess = self.out(now).saturating_sub(self.most_out());
+        let excess = self.ejected_count(now).saturating_sub(self.max_ejected());
         let mut out: Vec<&mut Member> = self
             .members
             .values_mut()
@@ -147,7 +147,7 @@
         let mut found = self.judge(now);
         found.sort_by(|left, right| right.1.total_cmp(&left.1));
         let mut out = self.members.values().filter(|one| one.is_out(now)).count();
-        let most = self.most_out();
+        let most = self.max_ejected();
         let mut ejections = Vec::new();
         for (key, _, reason) in found {
             if out < most {
@@ -185,7 +185,7 @@
 
     /// Returns how many members are out.
     #[must_use]
-    pub fn out(&self, now: Monotonic) -> usize {
+    pub fn ejected_count(&self, now: Monotonic) -> usize {
         self.members.values().filter(|one| one.is_out(now)).count()
     }
 
@@ -197,7 +197,7 @@
         clippy::cast_sign_loss,
         reason = "a share of a small count"
     )]
-    pub fn most_out(&self) -> usize {
+    pub fn max_ejected(&self) -> usize {
         (self.members.len() as f64 * self.settings.cap) as usize
     }
 
@@ -207,7 +207,7 @@
     ///
     /// If there are.
     pub fn assert_capped(&self, now: Monotonic) {
-        assert!(self.out(now) <= self.most_out(), "cap passed");
+        assert!(self.ejected_count(now) <= self.max_ejected(), "cap passed");
     }
 
     fn judge(&self, now: Monotonic) -> Vec<(K, f64, Reason)> {
--- a/crates/retries/tests/retries.rs
+++ b/crates/retries/tests/retries.rs
@@ -153,13 +153,13 @@
             }
         }
         outliers.tick(now);
-        most = most.max(outliers.out(now));
-        assert_that!(outliers.out(now), le(6));
+        most = most.max(outliers.ejected_count(now));
+        assert_that!(outliers.ejected_count(now), le(6));
     }
     expect_that!(most, eq(6));
     let now = Duration::from_secs(500);
     outliers.set_members(now, &members[..7]);
-    expect_that!(outliers.out(now), le(2));
+    expect_that!(outliers.ejected_count(now), le(2));
     let mut all = Outliers::new(outlier::Settings::default());
     all.set_members(Duration::ZERO, &members);
     for member in members.iter().cycle().take(400) {
