--- a/crates/retries/src/backoff.rs
+++ b/crates/retries/src/backoff.rs
@@ -1,15 +1,15 @@
-//! Time to wait before another attempt.
+//! Delay before a retry.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// Exponential back-off with full jitter.
+/// Exponential backoff with full jitter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// Longest wait before the first repetition.
+    /// Upper bound of the jitter before the first retry; doubles with each further retry.
     pub base: Duration,
-    /// Longest wait before any.
+    /// Upper bound of the jitter before any retry.
     pub cap: Duration,
 }
 
@@ -23,13 +23,13 @@
 }
 
 impl Backoff {
-    /// Returns the wait before repetition `number`, from 1.
+    /// Returns the delay before retry `number`, counted from 1.
     ///
-    /// A time to come back that was given is waited in full, and the jitter comes on top, so that
-    /// those who were refused together don't come back together.
+    /// The jitter is added to `retry_after`, so that the delay is never shorter than the server
+    /// asked for and clients that were refused at the same time do not retry at the same time.
     pub fn wait(&self, number: u32, retry_after: Duration, rng: &mut impl Rng) -> Duration {
         let doubled = 2_u32.saturating_pow(number.saturating_sub(1));
-        let most = self.base.saturating_mul(doubled).min(self.cap);
-        retry_after + most.mul_f64(rng.random::<f64>())
+        let max_jitter = self.base.saturating_mul(doubled).min(self.cap);
+        retry_after + max_jitter.mul_f64(rng.random::<f64>())
     }
 }
