--- a/crates/retries/src/budget.rs
+++ b/crates/retries/src/budget.rs
@@ -1,27 +1,27 @@
-//! Budgets of repetitions: a share of first attempts, for each upstream and each workspace.
+//! Retry budgets that limit retries to a share of first attempts, per upstream and per workspace.
 //!
-//! A first attempt pays a share of a token into both budgets; a repetition takes a whole token out
-//! of both, or is refused. A small reserve lets a quiet upstream or workspace repeat at all, and
-//! refills slowly.
+//! A first attempt deposits a fraction of a token into both budgets; a retry withdraws a whole
+//! token from both, or is refused. A small reserve, which refills slowly, allows retries for an
+//! upstream or workspace with little traffic.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use auburnline_core::time::Monotonic;
 
-/// Thousandths of a repetition.
-const UNIT: u64 = 1_000;
-/// Most budgets kept on each side.
+/// Balances are kept in thousandths of a token; a token allows one retry.
+const MILLITOKENS_PER_TOKEN: u64 = 1_000;
+/// Limit for upstreams and for workspaces separately.
 const MAX_BUDGETS: usize = 8_192;
 
-/// What a budget allows.
+/// Limits of one budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Thousandths of a repetition for each first attempt.
+    /// Deposit of each first attempt, in thousandths of a retry.
     pub share: u64,
-    /// Most repetitions that are saved up.
+    /// Retries that a new budget allows, and the most that a budget accumulates.
     pub reserve: u64,
-    /// Time in which one repetition is given without first attempts.
+    /// Time in which a budget gains one retry without first attempts.
     pub refill: Duration,
 }
 
@@ -35,50 +35,53 @@
     }
 }
 
-/// Which budget refused.
+/// Budget that refused a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// The upstream's.
+    /// Budget of the upstream.
     Upstream,
-    /// The workspace's.
+    /// Budget of the workspace.
     Workspace,
 }
 
-/// Leave to repeat once; it is used up by the attempt.
+/// Permission for one retry or hedged attempt, already withdrawn from the budgets.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Permit(());
 
 #[derive(Clone, Copy, Debug)]
 struct Account {
-    level: u64,
-    updated: Monotonic,
+    millitokens: u64,
+    refilled_at: Monotonic,
 }
 
 impl Account {
     fn new(settings: &Settings, now: Monotonic) -> Self {
         Account {
-            level: settings.reserve * UNIT,
-            updated: now,
+            millitokens: settings.reserve * MILLITOKENS_PER_TOKEN,
+            refilled_at: now,
         }
     }
 
     fn refill(&mut self, settings: &Settings, now: Monotonic) {
-        let passed = now.saturating_sub(self.updated).as_nanos() * u128::from(UNIT);
-        let filled = passed / settings.refill.as_nanos().max(1);
-        if filled > 0 {
-            self.add(settings, u64::try_from(filled).unwrap_or(u64::MAX));
-            self.updated = now;
+        let elapsed =
+            now.saturating_sub(self.refilled_at).as_nanos() * u128::from(MILLITOKENS_PER_TOKEN);
+        let gained = elapsed / settings.refill.as_nanos().max(1);
+        if gained > 0 {
+            self.add(settings, u64::try_from(gained).unwrap_or(u64::MAX));
+            self.refilled_at = now;
         }
     }
 
     fn add(&mut self, settings: &Settings, amount: u64) {
-        self.level = self.level.saturating_add(amount);
-        self.level = self.level.min(settings.reserve * UNIT);
+        self.millitokens = self.millitokens.saturating_add(amount);
+        self.millitokens = self
+            .millitokens
+            .min(settings.reserve * MILLITOKENS_PER_TOKEN);
     }
 }
 
-/// Budgets of all upstreams `U` and workspaces `W` that a process sends for.
+/// Retry budgets of all upstreams `U` and workspaces `W` that this process sends requests for.
 #[derive(Clone, Debug)]
 pub struct Budget<U, W> {
     settings: Settings,
@@ -87,7 +90,7 @@
 }
 
 impl<U: Ord + Clone, W: Ord + Clone> Budget<U, W> {
-    /// Returns budgets that hold their reserve.
+    /// Creates budgets that start with a full reserve.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Budget {
@@ -97,12 +100,13 @@
         }
     }
 
-    /// Changes what is allowed; what is saved beyond a smaller reserve is cut at the next change.
+    /// Replaces the settings. A balance above a smaller reserve is cut at the next deposit or
+    /// refill.
     pub fn resize(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// Pays in for a first attempt.
+    /// Deposits into both budgets for a first attempt.
     pub fn first(&mut self, now: Monotonic, upstream: &U, workspace: &W) {
         let settings = self.settings;
         if let Some(account) = account(&mut self.upstreams, &settings, now, upstream) {
@@ -113,43 +117,44 @@
         }
     }
 
-    /// Takes a repetition out of both budgets, or tells which has none left.
+    /// Withdraws one retry from both budgets.
     ///
     /// # Errors
     ///
-    /// Returns the side that refused; nothing was taken then.
+    /// Returns the budget that has less than one retry left; nothing is withdrawn then.
     pub fn repeat(&mut self, now: Monotonic, upstream: &U, workspace: &W) -> Result<Permit, Side> {
         let settings = self.settings;
         let upstream = account(&mut self.upstreams, &settings, now, upstream);
-        let upstream = upstream.filter(|account| account.level >= UNIT);
+        let upstream = upstream.filter(|account| account.millitokens >= MILLITOKENS_PER_TOKEN);
         let upstream = upstream.ok_or(Side::Upstream)?;
         let workspace = account(&mut self.workspaces, &settings, now, workspace);
-        let workspace = workspace.filter(|account| account.level >= UNIT);
+        let workspace = workspace.filter(|account| account.millitokens >= MILLITOKENS_PER_TOKEN);
         let workspace = workspace.ok_or(Side::Workspace)?;
-        upstream.level -= UNIT;
-        workspace.level -= UNIT;
+        upstream.millitokens -= MILLITOKENS_PER_TOKEN;
+        workspace.millitokens -= MILLITOKENS_PER_TOKEN;
         Ok(Permit(()))
     }
 
-    /// Forgets budgets that are full; to be called every few seconds.
+    /// Drops budgets that are full, since a new one equals them; to be called every few seconds.
     pub fn tick(&mut self, now: Monotonic) {
         let settings = self.settings;
-        let used = |account: &mut Account| {
+        let is_used = |account: &mut Account| {
             account.refill(&settings, now);
-            account.level < settings.reserve * UNIT
+            account.millitokens < settings.reserve * MILLITOKENS_PER_TOKEN
         };
-        self.upstreams.retain(|_, account| used(account));
-        self.workspaces.retain(|_, account| used(account));
+        self.upstreams.retain(|_, account| is_used(account));
+        self.workspaces.retain(|_, account| is_used(account));
     }
 
-    /// Returns how many budgets are kept.
+    /// Returns the number of budgets kept, over upstreams and workspaces.
     #[must_use]
     pub fn accounts(&self) -> usize {
         self.upstreams.len() + self.workspaces.len()
     }
 }
 
-/// Returns the account of `key`, or none if there is no room for it: no budget, no repetition.
+/// Returns the refilled account of `key`, creating it if necessary, or `None` at [`MAX_BUDGETS`]:
+/// without a budget there are no retries.
 fn account<'a, K: Ord + Clone>(
     accounts: &'a mut BTreeMap<K, Account>,
     settings: &Settings,
