--- a/crates/retries/src/ground.rs
+++ b/crates/retries/src/ground.rs
@@ -1,23 +1,23 @@
-//! What allows a request to be sent again.
+//! Conditions under which a request may be retried.
 
 use auburnline_core::error::Fate;
 use auburnline_core::error::Kind;
 use auburnline_core::error::Return;
 use auburnline_core::request::Request;
 
-/// Witness that a request's work may be repeated.
+/// Witness that a request's work may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Idempotent(());
 
 impl Idempotent {
-    /// Returns the witness if the request was published or declared as idempotent.
+    /// Returns the witness if the request is published as idempotent or declared so by its caller.
     #[must_use]
     pub fn of(request: &Request) -> Option<Self> {
         request.idempotent.then_some(Idempotent(()))
     }
 }
 
-/// What allows a request to be sent again; there is no other way to make one than [`Ground::of`].
+/// Proof that a retry is safe and may help; only [`Ground::of`] creates one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ground(Basis);
 
@@ -28,10 +28,10 @@
 }
 
 impl Ground {
-    /// Returns what allows another attempt after one that ended with `kind`.
+    /// Returns the proof that an attempt that ended with `kind` may be retried, if there is one.
     ///
-    /// A request that ran, or may have run, needs the witness; a kind that would come again allows
-    /// nothing.
+    /// A request that ran, or may have run, needs the witness. A kind that the same request would
+    /// meet again is never retried.
     #[must_use]
     pub fn of(kind: Kind, witness: Option<Idempotent>) -> Option<Self> {
         let row = kind.row();
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether the ground is that the request did not run.
+    /// Whether the retry is safe because the request did not run, rather than by idempotence.
     #[must_use]
     pub fn is_not_run(self) -> bool {
         self.0 == Basis::NotRun
