--- a/crates/retries/src/hedge.rs
+++ b/crates/retries/src/hedge.rs
@@ -1,4 +1,4 @@
-//! A second attempt beside a slow first, for idempotent work only.
+//! Hedged requests: a second attempt while a slow first is outstanding, for idempotent work only.
 
 use std::time::Duration;
 
@@ -8,46 +8,48 @@
 use crate::budget::Permit;
 use crate::ground::Idempotent;
 
-/// Part of the estimate by which one observation moves it.
-const STEP: f64 = 0.05;
+/// Step of the quantile estimate per observation, relative to the estimate.
+const RELATIVE_STEP: f64 = 0.05;
 
-/// Estimate of how long a first answer usually takes, and the decision to hedge.
+/// Running estimate of the 95th percentile of the time to the first answer, from which the hedging
+/// delay follows.
 #[derive(Clone, Copy, Debug)]
 pub struct Hedge {
     quantile: f64,
     estimate: f64,
-    least: Duration,
+    min_delay: Duration,
 }
 
 impl Hedge {
-    /// Starts from a guess of the time within which 95 of 100 first answers come.
+    /// Starts from an estimate of the 95th percentile; `min_delay` is a lower bound of the delay.
     #[must_use]
-    pub fn new(guess: Duration, least: Duration) -> Self {
+    pub fn new(initial_estimate: Duration, min_delay: Duration) -> Self {
         Hedge {
             quantile: 0.95,
-            estimate: guess.as_secs_f64(),
-            least,
+            estimate: initial_estimate.as_secs_f64(),
+            min_delay,
         }
     }
 
-    /// Learns how long a first answer took.
-    pub fn record(&mut self, took: Duration) {
-        let above = took.as_secs_f64() > self.estimate;
-        let pull = if above {
+    /// Updates the estimate with the time that a first answer took.
+    pub fn record(&mut self, latency: Duration) {
+        let above = latency.as_secs_f64() > self.estimate;
+        let direction = if above {
             self.quantile
         } else {
             self.quantile - 1.0
         };
-        self.estimate *= 1.0 + STEP * pull;
+        self.estimate *= 1.0 + RELATIVE_STEP * direction;
     }
 
-    /// Returns the age at which an attempt without an answer is hedged.
+    /// Returns the time after which an attempt without an answer is hedged.
     #[must_use]
     pub fn delay(&self) -> Duration {
-        Duration::from_secs_f64(self.estimate.min(3_600.0)).max(self.least)
+        Duration::from_secs_f64(self.estimate.min(3_600.0)).max(self.min_delay)
     }
 
-    /// Returns leave for a second attempt if the first is slow and the budget allows it.
+    /// Withdraws a permit for a second attempt if the first, sent at `sent`, has been outstanding
+    /// for at least [`delay`](Self::delay) and the budget allows it.
     pub fn try_hedge<U: Ord + Clone, W: Ord + Clone>(
         &self,
         now: Monotonic,
