--- a/crates/retries/src/policy.rs
+++ b/crates/retries/src/policy.rs
@@ -1,4 +1,4 @@
-//! The decision about one failed attempt.
+//! Decides whether and when a failed attempt is retried.
 
 use std::time::Duration;
 
@@ -16,32 +16,32 @@
 /// A failed attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Failure<'a, U, W> {
-    /// How it ended.
+    /// Error that the attempt ended with.
     pub kind: Kind,
-    /// Witness, if the work may be repeated.
+    /// Present if the work is idempotent.
     pub witness: Option<Idempotent>,
-    /// Attempts so far, the failed one included.
+    /// Attempts so far, including the failed one.
     pub attempts: u32,
-    /// Time to come back that the refusal gave.
+    /// Delay that the refusal asked for; zero if none.
     pub retry_after: Duration,
-    /// Time left until the answer is worthless.
+    /// Time left until the deadline.
     pub left: Duration,
-    /// Upstream or pool that the next attempt would go to.
+    /// Upstream or pool that the retry would go to; its budget is charged.
     pub upstream: &'a U,
-    /// Workspace that pays.
+    /// Workspace whose budget is charged.
     pub workspace: &'a W,
 }
 
-/// Why there is no other attempt.
+/// Why an attempt is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It would fail again, or may have run and must not run twice.
+    /// The request would fail again, or may have run and is not idempotent.
     NoGround,
-    /// It was tried often enough.
+    /// [`Policy::max_attempts`] is reached.
     Attempts,
-    /// The wait would pass the deadline.
+    /// The deadline would pass before the retry.
     Deadline,
-    /// A budget is used up.
+    /// A budget has no retry left.
     Budget(Side),
 }
 
@@ -49,25 +49,25 @@
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Decision {
-    /// Send again after this wait.
+    /// Retry after `wait`.
     Again {
-        /// Time to wait.
+        /// Backoff, including the delay that the refusal asked for.
         wait: Duration,
-        /// What allows it.
+        /// Proof that the retry is safe.
         ground: Ground,
-        /// Leave from the budgets.
+        /// Withdrawn from both budgets.
         permit: Permit,
     },
-    /// Answer the caller.
+    /// Return the failure to the caller.
     GiveUp(Refusal),
 }
 
-/// Rules for repetitions.
+/// Retry policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Most attempts of one request.
+    /// Attempts of one request, including the first.
     pub max_attempts: u32,
-    /// Wait between attempts.
+    /// Delay between attempts.
     pub backoff: Backoff,
 }
 
@@ -81,8 +81,8 @@
 }
 
 impl Policy {
-    /// Decides about a failed attempt. The budgets are asked last, so that nothing is taken for a
-    /// repetition that isn't made.
+    /// Decides whether a failed attempt is retried. The budgets are checked last, so that nothing
+    /// is withdrawn for a retry that another rule refuses.
     pub fn decide<U: Ord + Clone, W: Ord + Clone>(
         &self,
         now: Monotonic,
