--- a/crates/retries/src/lib.rs
+++ b/crates/retries/src/lib.rs
@@ -1,9 +1,10 @@
-//! Retries, hedging and ejection, as decisions without input, output or clocks.
+//! Decisions on retries, hedging and outlier ejection, without I/O or clocks.
 //!
-//! [`ground`] says what allows a repetition at all: a proof that the request did not run, or its
-//! being idempotent. [`budget`] bounds repetitions to a share of first attempts, [`backoff`] says
-//! when, [`outlier`] which upstreams to leave out, and [`hedge`] when a second attempt may go
-//! beside a slow first. [`policy`] joins them into one decision about one failed attempt.
+//! [`ground`] decides whether a retry is safe: the request provably did not run, or it is
+//! idempotent. [`budget`] limits retries to a share of first attempts, [`backoff`] computes the
+//! delay before a retry, [`outlier`] ejects upstreams that do worse than their peers, and [`hedge`]
+//! allows a second attempt while a slow first is outstanding. [`policy`] combines ground, budget
+//! and backoff into one decision about a failed attempt.
 
 pub mod backoff;
 pub mod budget;
