--- a/crates/retries/tests/retries.rs
+++ b/crates/retries/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Random runs of budgets and ejection, and the rule against running work twice.
+//! Randomized tests of budgets and ejection; work that is not idempotent must not run twice.
 
 use std::env;
 use std::time::Duration;
@@ -56,21 +56,26 @@
     expect_that!(plain, none());
     for kind in Kind::ALL {
         let row = kind.row();
-        let safe = row.fate == Fate::NotRun && row.retry != Return::Never;
-        expect_that!(Ground::of(kind, plain).is_some(), eq(safe), "{kind}");
-        let again = row.retry != Return::Never;
-        expect_that!(Ground::of(kind, witness).is_some(), eq(again), "{kind}");
+        let is_safe = row.fate == Fate::NotRun && row.retry != Return::Never;
+        expect_that!(Ground::of(kind, plain).is_some(), eq(is_safe), "{kind}");
+        let may_succeed = row.retry != Return::Never;
+        expect_that!(
+            Ground::of(kind, witness).is_some(),
+            eq(may_succeed),
+            "{kind}"
+        );
     }
 }
 
-/// Runs random attempts; returns the decisions as text.
+/// Makes random first attempts and retries, and checks that retries stay within the budget; returns
+/// the decisions in `Debug` form.
 fn budget_run(seed: u64, events: u64) -> Vec<String> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let settings = budget::Settings::default();
     let mut budget = Budget::new(settings);
     let mut now = Duration::ZERO;
     let mut firsts = [0_u64; 3];
-    let mut repeats = [0_u64; 3];
+    let mut retries_made = [0_u64; 3];
     let mut log = Vec::new();
     for _ in 0..events {
         now += Duration::from_millis(rng.random_range(0..100));
@@ -90,15 +95,15 @@
                 workspace: &workspace,
             };
             let decision = Policy::default().decide(now, &failure, &mut budget, &mut rng);
-            repeats[upstream] += u64::from(matches!(decision, Decision::Again { .. }));
+            retries_made[upstream] += u64::from(matches!(decision, Decision::Again { .. }));
             log.push(format!("{decision:?}"));
         }
         if rng.random_bool(0.01) {
             budget.tick(now);
         }
-        let time = now.as_secs() / settings.refill.as_secs() + 1;
-        let most = firsts[upstream] * settings.share / 1_000 + settings.reserve + time;
-        assert_that!(repeats[upstream], le(most));
+        let refilled = now.as_secs() / settings.refill.as_secs() + 1;
+        let max_retries = firsts[upstream] * settings.share / 1_000 + settings.reserve + refilled;
+        assert_that!(retries_made[upstream], le(max_retries));
         assert_that!(budget.accounts(), le(8));
     }
     log
@@ -124,11 +129,11 @@
 fn a_wait_is_jittered_and_never_shorter_than_the_time_to_come_back() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let backoff = Backoff::default();
-    let given = Duration::from_secs(2);
+    let retry_after = Duration::from_secs(2);
     let mut waits = Vec::new();
     for number in 1..100 {
-        let wait = backoff.wait(number, given, &mut rng);
-        expect_that!(wait, all![ge(given), le(given + backoff.cap)]);
+        let wait = backoff.wait(number, retry_after, &mut rng);
+        expect_that!(wait, all![ge(retry_after), le(retry_after + backoff.cap)]);
         waits.push(wait);
     }
     waits.dedup();
@@ -142,30 +147,30 @@
     let members: Vec<u32> = (0..20).collect();
     let mut outliers = Outliers::new(outlier::Settings::default());
     outliers.set_members(Duration::ZERO, &members);
-    let mut most = 0;
+    let mut max_ejected = 0;
     for second in 0..500 {
         let now = Duration::from_secs(second);
-        let bad = rng.random_range(0..=20);
+        let failing = rng.random_range(0..=20);
         for member in &members {
             for _ in 0..rng.random_range(0..30) {
-                let fails = *member < bad && rng.random_bool(0.8);
+                let fails = *member < failing && rng.random_bool(0.8);
                 outliers.record(member, (!fails).then_some(Duration::from_millis(100)));
             }
         }
         outliers.tick(now);
-        most = most.max(outliers.ejected_count(now));
+        max_ejected = max_ejected.max(outliers.ejected_count(now));
         assert_that!(outliers.ejected_count(now), le(6));
     }
-    expect_that!(most, eq(6));
+    expect_that!(max_ejected, eq(6));
     let now = Duration::from_secs(500);
     outliers.set_members(now, &members[..7]);
     expect_that!(outliers.ejected_count(now), le(2));
-    let mut all = Outliers::new(outlier::Settings::default());
-    all.set_members(Duration::ZERO, &members);
+    let mut all_failing = Outliers::new(outlier::Settings::default());
+    all_failing.set_members(Duration::ZERO, &members);
     for member in members.iter().cycle().take(400) {
-        all.record(member, None);
+        all_failing.record(member, None);
     }
-    expect_that!(all.tick(Duration::ZERO), is_empty());
+    expect_that!(all_failing.tick(Duration::ZERO), is_empty());
 }
 
 #[gtest]
@@ -173,18 +178,18 @@
     let members: Vec<u32> = (0..4).collect();
     let mut outliers = Outliers::new(outlier::Settings::default());
     outliers.set_members(Duration::ZERO, &members);
-    let fail = |outliers: &mut Outliers<u32>, now| {
+    let fail_first_member = |outliers: &mut Outliers<u32>, now| {
         for member in members.iter().cycle().take(80) {
             outliers.record(member, (*member != 0).then_some(Duration::from_millis(10)));
         }
         outliers.tick(now)
     };
-    let first = fail(&mut outliers, Duration::ZERO);
+    let first = fail_first_member(&mut outliers, Duration::ZERO);
     expect_that!(first[0].out, eq(Duration::from_secs(10)));
     expect_that!(outliers.part(Duration::from_secs(9), &0), eq(0.0));
     expect_that!(outliers.part(Duration::from_secs(15), &0), near(0.5, 0.01));
     expect_that!(outliers.part(Duration::from_secs(30), &0), eq(1.0));
-    let second = fail(&mut outliers, Duration::from_secs(15));
+    let second = fail_first_member(&mut outliers, Duration::from_secs(15));
     expect_that!(second[0].out, eq(Duration::from_secs(20)));
 }
 
@@ -194,8 +199,8 @@
     let mut outliers = Outliers::new(outlier::Settings::default());
     outliers.set_members(Duration::ZERO, &members);
     for member in members.iter().cycle().take(80) {
-        let slow = if *member == 2 { 10 } else { 1 };
-        outliers.record(member, Some(Duration::from_millis(50 * slow)));
+        let slowdown = if *member == 2 { 10 } else { 1 };
+        outliers.record(member, Some(Duration::from_millis(50 * slowdown)));
     }
     let ejections = outliers.tick(Duration::ZERO);
     expect_that!(ejections, len(eq(1)));
