--- a/crates/retries/examples/cost.rs
+++ b/crates/retries/examples/cost.rs
@@ -1,4 +1,4 @@
-//! Prints the time of each operation against the number of workspaces, or of a pool's members.
+//! Prints the time per operation by number of workspaces or of members of a pool.
 //!
 //! `cargo run --release -p auburnline-retries --example cost [-- --csv]`
 
@@ -12,14 +12,14 @@
 use auburnline_retries::outlier;
 use auburnline_retries::outlier::Outliers;
 
-/// Workspaces or members of each row.
+/// Workspaces or members, one column each.
 const SIZES: [u32; 4] = [10, 100, 650, 2_600];
-/// Upstreams that the workspaces use.
+/// Upstreams over which the requests of `budget_repeat` are spread.
 const UPSTREAMS: u32 = 90;
-/// Calls that one figure is the mean of.
+/// Calls that are averaged in `budget_repeat` and `outliers_record`.
 const ROUNDS: u32 = 100_000;
 
-/// Mean nanoseconds of an operation with so many workspaces or members.
+/// Returns the mean time of an operation in nanoseconds for a number of workspaces or members.
 type Measure = fn(u32) -> f64;
 
 fn main() {
@@ -49,7 +49,7 @@
     println!("{name:<28}{}", cells.join(""));
 }
 
-fn time(rounds: u32, mut call: impl FnMut(u32)) -> f64 {
+fn mean_nanos(rounds: u32, mut call: impl FnMut(u32)) -> f64 {
     let start = Instant::now();
     for round in 0..rounds {
         call(round);
@@ -63,7 +63,7 @@
         .collect()
 }
 
-/// Budgets of which each has been drawn upon.
+/// Returns budgets with a withdrawal each, which [`Budget::tick`] does not drop as full.
 fn used_budget(names: &[String]) -> Budget<u32, String> {
     let mut budget = Budget::new(budget::Settings::default());
     for (name, upstream) in names.iter().zip(0..) {
@@ -75,7 +75,7 @@
 fn budget_repeat(size: u32) -> f64 {
     let names = names(size);
     let mut budget = used_budget(&names);
-    time(ROUNDS, |round| {
+    mean_nanos(ROUNDS, |round| {
         let name = &names[(round % size) as usize];
         budget.first(Duration::ZERO, &(round % UPSTREAMS), name);
         let _ = black_box(budget.repeat(Duration::ZERO, &(round % UPSTREAMS), name));
@@ -84,10 +84,10 @@
 
 fn budget_tick(size: u32) -> f64 {
     let mut budget = used_budget(&names(size));
-    time(1_000, |_| budget.tick(Duration::ZERO))
+    mean_nanos(1_000, |_| budget.tick(Duration::ZERO))
 }
 
-fn judge(size: u32) -> Outliers<u32> {
+fn detector(size: u32) -> Outliers<u32> {
     let members: Vec<u32> = (0..size).collect();
     let mut outliers = Outliers::new(outlier::Settings::default());
     outliers.set_members(Duration::ZERO, &members);
@@ -95,15 +95,15 @@
 }
 
 fn outliers_record(size: u32) -> f64 {
-    let mut outliers = judge(size);
-    time(ROUNDS, |round| {
+    let mut outliers = detector(size);
+    mean_nanos(ROUNDS, |round| {
         outliers.record(&(round % size), Some(Duration::from_millis(5)));
     })
 }
 
 fn outliers_tick(size: u32) -> f64 {
-    let mut outliers = judge(size);
-    time(200, |_| {
+    let mut outliers = detector(size);
+    mean_nanos(200, |_| {
         for member in (0..size).flat_map(|member| [member; 10]) {
             outliers.record(&member, Some(Duration::from_millis(5)));
         }
