--- a/crates/retries/examples/metastable.rs
+++ b/crates/retries/examples/metastable.rs
@@ -1,9 +1,10 @@
-//! Prints whether a burst with a slow upstream leaves a collapse behind, for each policy.
+//! Simulates whether a burst of load on a slowed upstream causes a metastable failure, in which
+//! retries keep the upstream overloaded after the trigger has ended; prints one row per policy.
 //!
 //! `cargo run --release -p auburnline-retries --example metastable [-- --csv] [seed]`
 //!
-//! One upstream serves requests one after another; each caller gives up on an attempt after a
-//! second, but the upstream serves given-up attempts all the same, as real ones do.
+//! One upstream serves requests one after another. Each caller times out an attempt after one
+//! second, but the upstream still serves timed-out attempts, as real ones do.
 
 #![expect(
     clippy::cast_precision_loss,
@@ -36,28 +37,32 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Requests a second that the upstream can serve, and first attempts a second.
-const CAPACITY: f64 = 1_000.0;
-const LOAD: f64 = 700.0;
-/// Start and end of the trigger, and of the run, in seconds.
-const TRIGGER: [u64; 2] = [30, 40];
-const END: u64 = 240;
-/// What the trigger multiplies first attempts and service time by.
-const BURST: f64 = 2.0;
-const SLOWDOWN: f64 = 2.0;
-/// Patience of a caller with one attempt, and with its request.
+/// Requests per second that the upstream can serve.
+const CAPACITY_PER_S: f64 = 1_000.0;
+/// First attempts per second.
+const LOAD_PER_S: f64 = 700.0;
+/// Start and end of the trigger.
+const TRIGGER_S: [u64; 2] = [30, 40];
+/// End of the run.
+const END_S: u64 = 240;
+/// Factor on first attempts during the trigger.
+const BURST_FACTOR: f64 = 2.0;
+/// Factor on service time during the trigger.
+const SLOWDOWN_FACTOR: f64 = 2.0;
+/// Timeout of one attempt.
 const TIMEOUT: Duration = Duration::from_secs(1);
+/// Deadline of a request over all its attempts.
 const DEADLINE: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Rule {
-    /// Three repetitions, each 100 ms after the failure.
+    /// Three retries, each 100 ms after the failure.
     Naive,
-    /// Three repetitions with exponential back-off and jitter.
+    /// Three retries with exponential backoff and jitter.
     Jitter,
-    /// Back-off and a budget of a tenth of the first attempts.
+    /// Backoff, and a retry budget of a tenth of the first attempts.
     Budget,
-    /// The same before a queue that sheds by deadline.
+    /// As `Budget`, with a queue before the upstream that sheds requests by deadline.
     BudgetAndQueue,
 }
 
@@ -68,69 +73,73 @@
     sent: Duration,
 }
 
-struct World {
+struct Simulation {
     rule: Rule,
     rng: ChaCha8Rng,
-    plain: VecDeque<u64>,
-    fair: Queue<u64>,
+    fifo: VecDeque<u64>,
+    fair_queue: Queue<u64>,
     running: Option<(Duration, u64)>,
     attempts: BTreeMap<u64, Attempt>,
     timeouts: BTreeSet<(Duration, u64)>,
-    later: BTreeMap<(Duration, u64), Attempt>,
+    scheduled_retries: BTreeMap<(Duration, u64), Attempt>,
     budget: Budget<u8, u8>,
-    next: u64,
-    good: Vec<u64>,
+    last_key: u64,
+    successes: Vec<u64>,
     sends: Vec<u64>,
 }
 
-impl World {
+impl Simulation {
     fn new(rule: Rule, seed: u64) -> Self {
         let settings = queue::Settings::builder()
             .max_running(1)
             .pace(Duration::from_millis(1));
-        World {
+        Simulation {
             rule,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            plain: VecDeque::new(),
-            fair: Queue::new(settings.build()),
+            fifo: VecDeque::new(),
+            fair_queue: Queue::new(settings.build()),
             running: None,
             attempts: BTreeMap::new(),
             timeouts: BTreeSet::new(),
-            later: BTreeMap::new(),
+            scheduled_retries: BTreeMap::new(),
             budget: Budget::new(budget::Settings::default()),
-            next: 0,
-            good: vec![0; END as usize],
-            sends: vec![0; END as usize],
+            last_key: 0,
+            successes: vec![0; END_S as usize],
+            sends: vec![0; END_S as usize],
         }
     }
 
     fn run(&mut self) {
-        let mut due = 0.0;
-        for step in 0..END * 10_000 {
+        let mut next_arrival = 0.0;
+        for step in 0..END_S * 10_000 {
             let now = Duration::from_micros(step * 100);
-            let triggered = (TRIGGER[0]..TRIGGER[1]).contains(&now.as_secs());
-            let load = if triggered { LOAD * BURST } else { LOAD };
-            while due <= now.as_secs_f64() {
-                due -= self.rng.random_range(f64::EPSILON..1.0).ln() / load;
+            let triggered = (TRIGGER_S[0]..TRIGGER_S[1]).contains(&now.as_secs());
+            let load = if triggered {
+                LOAD_PER_S * BURST_FACTOR
+            } else {
+                LOAD_PER_S
+            };
+            while next_arrival <= now.as_secs_f64() {
+                next_arrival -= self.rng.random_range(f64::EPSILON..1.0).ln() / load;
                 self.budget.first(now, &0, &0);
                 self.send(now, now, 1);
             }
-            while let Some((&(at, _), _)) = self.later.first_key_value() {
+            while let Some((&(at, _), _)) = self.scheduled_retries.first_key_value() {
                 if at > now {
                     break;
                 }
-                if let Some((_, attempt)) = self.later.pop_first() {
+                if let Some((_, attempt)) = self.scheduled_retries.pop_first() {
                     self.send(now, attempt.first, attempt.number);
                 }
             }
-            self.serve(now, if triggered { SLOWDOWN } else { 1.0 });
+            self.serve(now, if triggered { SLOWDOWN_FACTOR } else { 1.0 });
             self.time_out(now);
         }
     }
 
     fn send(&mut self, now: Duration, first: Duration, number: u32) {
-        self.next += 1;
-        let key = self.next;
+        self.last_key += 1;
+        let key = self.last_key;
         self.sends[now.as_secs() as usize] += 1;
         let attempt = Attempt {
             first,
@@ -140,7 +149,7 @@
         self.attempts.insert(key, attempt);
         self.timeouts.insert((now + TIMEOUT, key));
         if self.rule != Rule::BudgetAndQueue {
-            self.plain.push_back(key);
+            self.fifo.push_back(key);
             return;
         }
         let waiting = Waiting {
@@ -151,33 +160,33 @@
             tokens: 1,
             deadline: now + TIMEOUT,
         };
-        if let Pushed::Refused(refused) = self.fair.push(now, waiting) {
+        if let Pushed::Refused(refused) = self.fair_queue.push(now, waiting) {
             self.fail(now, key, refused.kind, refused.retry_after);
         }
     }
 
     fn serve(&mut self, now: Duration, slowdown: f64) {
         if let Some((_, key)) = self.running.take_if(|(at, _)| *at <= now) {
-            self.fair.finish(now, &key, 1);
+            self.fair_queue.finish(now, &key, 1);
             if let Some(attempt) = self.attempts.remove(&key) {
                 self.timeouts.remove(&(attempt.sent + TIMEOUT, key));
-                self.good[now.as_secs() as usize] += 1;
+                self.successes[now.as_secs() as usize] += 1;
             }
         }
         if self.running.is_some() {
             return;
         }
         let next = if self.rule == Rule::BudgetAndQueue {
-            let popped = self.fair.pop(now);
+            let popped = self.fair_queue.pop(now);
             for shed in popped.shed {
                 self.fail(now, *shed.proof.key(), shed.kind, shed.retry_after);
             }
             popped.started.map(|started| started.key)
         } else {
-            self.plain.pop_front()
+            self.fifo.pop_front()
         };
-        let takes = Duration::from_secs_f64(slowdown / CAPACITY);
-        self.running = next.map(|key| (now + takes, key));
+        let service_time = Duration::from_secs_f64(slowdown / CAPACITY_PER_S);
+        self.running = next.map(|key| (now + service_time, key));
     }
 
     fn time_out(&mut self, now: Duration) {
@@ -195,14 +204,14 @@
         };
         self.timeouts.remove(&(attempt.sent + TIMEOUT, key));
         let left = (attempt.first + DEADLINE).saturating_sub(now);
-        let naive = Backoff {
+        let no_backoff = Backoff {
             base: Duration::ZERO,
             cap: Duration::ZERO,
         };
         let policy = Policy {
             max_attempts: 4,
             backoff: if self.rule == Rule::Naive {
-                naive
+                no_backoff
             } else {
                 Backoff::default()
             },
@@ -210,13 +219,13 @@
         if matches!(self.rule, Rule::Naive | Rule::Jitter) {
             self.budget = Budget::new(budget::Settings::default());
         }
-        let fixed = Duration::from_millis(100);
+        let fixed_delay = Duration::from_millis(100);
         let failure = Failure {
             kind,
             witness: Idempotent::of(&request()),
             attempts: attempt.number,
             retry_after: if self.rule == Rule::Naive {
-                fixed
+                fixed_delay
             } else {
                 retry_after
             },
@@ -226,11 +235,11 @@
         };
         let decision = policy.decide(now, &failure, &mut self.budget, &mut self.rng);
         if let Decision::Again { wait, .. } = decision {
-            let again = Attempt {
+            let retry = Attempt {
                 number: attempt.number + 1,
                 ..attempt
             };
-            self.later.insert((now + wait, key), again);
+            self.scheduled_retries.insert((now + wait, key), retry);
         }
     }
 }
@@ -252,16 +261,18 @@
     }
 }
 
-/// Mean of a second's counts over `[from, to)`.
+/// Returns the mean count per second over the seconds `[from, to)`.
 fn mean(counts: &[u64], from: u64, to: u64) -> f64 {
     let range = &counts[from as usize..to as usize];
     range.iter().sum::<u64>() as f64 / (to - from) as f64
 }
 
-/// Seconds after the trigger from which five seconds in a row are as good as before.
-fn recovery(good: &[u64], before: f64) -> String {
-    let whole = (TRIGGER[1]..END - 5).find(|&at| mean(good, at, at + 5) >= before * 0.95);
-    whole.map_or("never".to_string(), |at| format!("{}", at - TRIGGER[1]))
+/// Returns the seconds after the trigger until five seconds in a row have at least 95 % of the
+/// successes per second before it, or `never`.
+fn recovery(successes: &[u64], before: f64) -> String {
+    let recovered_at =
+        (TRIGGER_S[1]..END_S - 5).find(|&at| mean(successes, at, at + 5) >= before * 0.95);
+    recovered_at.map_or("never".to_string(), |at| format!("{}", at - TRIGGER_S[1]))
 }
 
 fn main() {
@@ -284,19 +295,19 @@
         Rule::Budget,
         Rule::BudgetAndQueue,
     ] {
-        let mut world = World::new(rule, seed.unwrap_or(1));
-        world.run();
-        let good = &world.good;
-        let before = mean(good, 10, TRIGGER[0]);
+        let mut simulation = Simulation::new(rule, seed.unwrap_or(1));
+        simulation.run();
+        let successes = &simulation.successes;
+        let before = mean(successes, 10, TRIGGER_S[0]);
         let number = |value: f64| format!("{value:.0}");
         let cells = [
             format!("{rule:?}"),
             number(before),
-            number(mean(good, TRIGGER[0], TRIGGER[1])),
-            number(mean(good, TRIGGER[1], TRIGGER[1] + 20)),
-            number(mean(good, END - 60, END)),
-            number(mean(&world.sends, END - 60, END)),
-            recovery(good, before),
+            number(mean(successes, TRIGGER_S[0], TRIGGER_S[1])),
+            number(mean(successes, TRIGGER_S[1], TRIGGER_S[1] + 20)),
+            number(mean(successes, END_S - 60, END_S)),
+            number(mean(&simulation.sends, END_S - 60, END_S)),
+            recovery(successes, before),
         ];
         print(csv, &cells);
     }
