--- a/crates/attempt/src/attempt.rs
+++ b/crates/attempt/src/attempt.rs
@@ -1,12 +1,13 @@
-//! One send of one request, from entry to slot.
+//! State of one attempt of a request, from the entry that sends it to the slot that takes it.
 //!
-//! The life cycle is in the types: [`Fresh`] → [`Sent`] → an [`Outcome`]. A sent attempt ends "not
-//! run" only by the refusal of the very slot incarnation it was sent to, and only if it is a first
-//! attempt: a later one can't speak for the earlier ones, and ends unknown unless a
-//! [`crate::claim::Claim`] has fenced them. Whatever else happens after the send ends unknown.
+//! The types encode the state machine: [`Fresh`] → [`Sent`] → an [`Outcome`]. A sent attempt ends
+//! as "not run" only if it is a first attempt and the slot incarnation that it was sent to refuses
+//! it. A later attempt proves nothing about the earlier ones, so its outcome is unknown unless a
+//! [`crate::claim::Claim`] has fenced them. Any other loss after the send also leaves the outcome
+//! unknown.
 //!
-//! A lost session is not yet a lost attempt: the same submission may go again to the same slot
-//! incarnation ([`Attempt::send_again`]), whose ledger takes it once.
+//! Losing the session does not end the attempt: the same submission may be sent again to the same
+//! slot incarnation ([`Attempt::send_again`]), whose ledger admits it at most once.
 
 use auburnline_core::error::Kind;
 use auburnline_core::id::Attempt as Number;
@@ -25,17 +26,17 @@
 use crate::outcome::Unknown;
 use crate::stream::Whole;
 
-/// Whether earlier attempts of the request can exist.
+/// Whether earlier attempts of the request may exist.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// The caller says that it is its first, or this process minted the key.
+    /// The caller numbered it 1, or this process generated the idempotency key.
     First,
-    /// There may have been earlier ones.
+    /// Earlier attempts may exist.
     Later,
 }
 
 impl Order {
-    /// Returns the order of `request`; one without a number counts as later.
+    /// Returns the order of `request`; an attempt without a number counts as later.
     #[must_use]
     pub fn of(request: &Request) -> Order {
         if request.attempt == Some(1) {
@@ -46,13 +47,14 @@
     }
 }
 
-/// State: at no slot; it was never sent, or refused by each slot that got it.
+/// State: held by no slot. It was never sent, every slot that received it refused it, or it was
+/// lost and is idempotent.
 #[derive(Clone, Copy, Debug)]
 pub struct Fresh {
     proof: Proof,
 }
 
-/// State: sent to one slot incarnation.
+/// State: sent to one slot incarnation, which may run it.
 #[derive(Clone, Debug)]
 pub struct Sent {
     slot: InstanceId,
@@ -60,7 +62,7 @@
     copies: u32,
 }
 
-/// An attempt in one of its states.
+/// An attempt in state `S`, either [`Fresh`] or [`Sent`].
 #[derive(Clone, Debug)]
 pub struct Attempt<S> {
     id: RequestId,
@@ -71,25 +73,25 @@
 }
 
 impl<S> Attempt<S> {
-    /// Returns the request's id.
+    /// Returns the request's idempotency key.
     #[must_use]
     pub fn id(&self) -> &RequestId {
         &self.id
     }
 
-    /// Returns the number that frames carry; zero if the caller gave none.
+    /// Returns the attempt number that frames carry; zero if the caller gave none.
     #[must_use]
     pub fn number(&self) -> Number {
         self.number
     }
 
-    /// Returns whether earlier attempts can exist.
+    /// Returns whether earlier attempts may exist.
     #[must_use]
     pub fn order(&self) -> Order {
         self.order
     }
 
-    fn with<T>(self, state: T) -> Attempt<T> {
+    fn with_state<T>(self, state: T) -> Attempt<T> {
         Attempt {
             id: self.id,
             number: self.number,
@@ -101,7 +103,7 @@
 }
 
 impl Attempt<Fresh> {
-    /// Starts an attempt of `request`.
+    /// Creates an attempt of `request` with the number that the caller gave.
     #[must_use]
     pub fn new(request: &Request) -> Self {
         Attempt {
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Starts the only attempt of a request whose key this process has just minted.
+    /// Creates the only attempt of a request whose key this process has just generated.
     #[must_use]
     pub fn minted(request: &Request) -> Self {
         Attempt {
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Ends an attempt that is at no slot.
+    /// Ends an attempt that no slot holds: "not run" for a first attempt, otherwise unknown.
     #[must_use]
     pub fn not_sent(self, kind: Kind) -> Outcome {
         match self.order {
@@ -133,10 +135,10 @@
         }
     }
 
-    /// Marks the attempt as sent; call it before the first byte is handed to a session.
+    /// Marks the attempt as sent. Call this before the first byte is passed to a session.
     #[must_use]
     pub fn send(self, slot: InstanceId, incarnation: Incarnation) -> Attempt<Sent> {
-        self.with(Sent {
+        self.with_state(Sent {
             slot,
             incarnation,
             copies: 1,
@@ -144,58 +146,62 @@
     }
 }
 
-/// What a refusal leaves of a sent attempt.
+/// Result of applying a refusal to a sent attempt.
 #[derive(Debug)]
 pub enum Refusable {
-    /// It did not run there, and may be sent elsewhere or ended by [`Attempt::not_sent`].
+    /// That slot did not run it. It may be sent to another slot or ended by [`Attempt::not_sent`].
     Free(Attempt<Fresh>),
     /// It must not be sent elsewhere.
     Ended(Outcome),
-    /// The refusal is another send's; the attempt stands as it was.
+    /// The refusal does not match this send; the attempt is returned unchanged.
     Foreign(Attempt<Sent>),
 }
 
 impl Attempt<Sent> {
-    /// Returns the slot and the incarnation that got it.
+    /// Returns the slot and the incarnation that it was sent to.
     #[must_use]
     pub fn target(&self) -> (&InstanceId, Incarnation) {
         (&self.state.slot, self.state.incarnation)
     }
 
-    /// Notes that the same submission goes to the same slot incarnation over another session.
+    /// Records that the same submission is sent to the same slot incarnation over another session.
     ///
-    /// The ledger there takes it once, so this is safe however often. But a refusal for now then
-    /// proves nothing any more, since a copy can still arrive later.
+    /// The slot's ledger admits it at most once, so this may be repeated any number of times. From
+    /// then on a temporary refusal proves nothing, because another copy may still arrive.
     pub fn send_again(&mut self) {
         self.state.copies += 1;
     }
 
-    /// Takes a refusal; one of another slot incarnation, id or attempt proves nothing.
+    /// Applies a refusal. One for another slot incarnation, id or attempt proves nothing.
     #[must_use]
     pub fn refused(self, from: &InstanceId, refusal: &Refusal) -> Refusable {
         if !self.matches(from, refusal) {
             return Refusable::Foreign(self);
         }
-        let for_good = matches!(refusal.kind, Kind::Fenced | Kind::KeyReused);
-        let alone = self.order == Order::First && (self.state.copies == 1 || for_good);
-        if !alone && !self.idempotent {
+        let permanent = matches!(refusal.kind, Kind::Fenced | Kind::KeyReused);
+        let proves_not_run = self.order == Order::First && (self.state.copies == 1 || permanent);
+        if !proves_not_run && !self.idempotent {
             return Refusable::Ended(self.lost(Cause::Refused(refusal.kind)));
         }
-        let order = if alone { self.order } else { Order::Later };
-        let free = Attempt { order, ..self }.with(Fresh {
+        let order = if proves_not_run {
+            self.order
+        } else {
+            Order::Later
+        };
+        let fresh = Attempt { order, ..self }.with_state(Fresh {
             proof: Proof::Refused(Refused::new()),
         });
-        if for_good {
-            return Refusable::Ended(free.not_sent(refusal.kind));
+        if permanent {
+            return Refusable::Ended(fresh.not_sent(refusal.kind));
         }
-        Refusable::Free(free)
+        Refusable::Free(fresh)
     }
 
-    /// Starts over after a loss, for idempotent work only.
+    /// Returns a fresh later attempt after a loss, for idempotent work only.
     ///
     /// # Errors
     ///
-    /// Returns the attempt as it was if the work may not be repeated.
+    /// Returns the attempt unchanged if the work is not idempotent.
     pub fn repeat(self) -> Result<Attempt<Fresh>, Attempt<Sent>> {
         if !self.idempotent {
             return Err(self);
@@ -204,24 +210,24 @@
             order: Order::Later,
             ..self
         };
-        Ok(later.with(Fresh {
+        Ok(later.with_state(Fresh {
             proof: Proof::Refused(Refused::new()),
         }))
     }
 
-    /// Ends the attempt with a whole answer.
+    /// Ends the attempt with a complete, checked answer.
     #[must_use]
     pub fn answered(self, whole: Whole) -> Outcome {
         Outcome::Answered(whole)
     }
 
-    /// Ends the attempt with the slot's word that it ran and failed.
+    /// Ends the attempt after the slot has reported that it ran and failed.
     #[must_use]
     pub fn failed(self, kind: Kind) -> Outcome {
         Outcome::Ran(kind)
     }
 
-    /// Ends the attempt with nothing known.
+    /// Ends the attempt with an unknown outcome.
     #[must_use]
     pub fn lost(self, cause: Cause) -> Outcome {
         Outcome::Unknown(Unknown::new(cause))
