--- a/crates/attempt/src/ledger/expiry.rs
+++ b/crates/attempt/src/ledger/expiry.rs
@@ -1,11 +1,11 @@
-//! Ids in the order in which something of them expires.
+//! Queue of request ids ordered by expiry time.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use auburnline_core::id::RequestId;
 
-/// Ids by the counted time at which to look at them.
+/// Ids ordered by the ledger time at which they are to be checked for expiry.
 #[derive(Debug, Default)]
 pub(super) struct Expiry {
     due: BTreeSet<(Duration, RequestId)>,
@@ -20,10 +20,10 @@
         self.due.remove(&(at, id.clone()));
     }
 
-    /// Takes the first id that is due at `counted`.
-    pub(super) fn pop(&mut self, counted: Duration) -> Option<RequestId> {
+    /// Removes and returns the earliest id that is due at ledger time `elapsed`.
+    pub(super) fn pop(&mut self, elapsed: Duration) -> Option<RequestId> {
         let (at, _) = self.due.first()?;
-        if *at > counted {
+        if *at > elapsed {
             return None;
         }
         self.due.pop_first().map(|(_, id)| id)
