--- a/crates/attempt/src/ledger/report.rs
+++ b/crates/attempt/src/ledger/report.rs
@@ -1,4 +1,4 @@
-//! What the ledger is told and what it answers.
+//! Inputs and results of the ledger's operations.
 
 use std::time::Duration;
 
@@ -12,152 +12,153 @@
 use crate::fingerprint::Fingerprint;
 use crate::stream::Last;
 
-/// A request that an entry submits.
+/// A request that an entry submits to a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Submission {
     /// Idempotency key.
     pub id: RequestId,
     /// Attempt number, zero if the caller gave none.
     pub attempt: Attempt,
-    /// Longest time since the caller's first send.
+    /// Upper bound of the time since the caller first sent the request.
     pub age: Duration,
-    /// Whether the work may be repeated.
+    /// Whether the work may run more than once.
     pub idempotent: bool,
-    /// Fingerprint of workspace and work.
+    /// Fingerprint of workspace and work, to detect reuse of the key for another request.
     pub fingerprint: Fingerprint,
-    /// Incarnation of the slot that it is meant for.
+    /// Slot incarnation that it is addressed to; any other drops it.
     pub incarnation: Incarnation,
-    /// Revision in force at the sender.
+    /// Configuration revision that the sender uses.
     pub revision: Revision,
 }
 
-/// An order to refuse an id for good.
+/// Request to refuse an id permanently.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fence {
-    /// Request to refuse.
+    /// Id to refuse.
     pub id: RequestId,
-    /// Slot that is to run it instead; `None` if none is.
+    /// Slot that is to run the request instead; `None` if it is not to run anywhere.
     pub favoured: Option<InstanceId>,
-    /// Revision in force at the sender.
+    /// Configuration revision that the sender uses.
     pub revision: Revision,
 }
 
-/// Proof that a slot did not take a submission.
+/// A slot's statement that it did not admit a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Incarnation of the slot.
+    /// Slot incarnation that refused.
     pub incarnation: Incarnation,
     /// Request that was refused.
     pub id: RequestId,
-    /// Attempt that was refused.
+    /// Attempt number that was refused, zero if the caller gave none.
     pub attempt: Attempt,
-    /// Why.
+    /// Reason for the refusal.
     pub kind: Kind,
-    /// Revision in force at the slot.
+    /// Lowest configuration revision that the slot accepts from senders.
     pub revision: Revision,
 }
 
-/// How far a known request is.
+/// Progress of a request that the ledger has admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Waits for its turn.
+    /// Admitted, not yet passed to the upstream.
     Queued,
-    /// Runs; bytes may be read.
+    /// Running at the upstream; part of the answer may already be readable.
     Running,
-    /// Ended with a whole answer that is kept.
+    /// Ended with a complete answer of which at least a part is still held.
     Finished(Last),
-    /// Ended with a whole answer that is kept no longer.
+    /// Ended with a complete answer that is no longer held.
     Expired,
-    /// Ended without a whole answer.
+    /// Ended without a complete answer.
     Failed(Kind),
-    /// The upstream was lost while it ran.
+    /// The upstream was lost during the run.
     Lost,
 }
 
-/// Answer to a submission.
+/// Decision on a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is new and now queued: hand it to the upstream, once.
+    /// New and now queued: pass it to the upstream once.
     Admitted,
-    /// It is known: serve it from the ledger.
+    /// Already known: serve it from the ledger.
     Attached(Standing),
-    /// It is not taken.
+    /// Not admitted.
     Refused(Refusal),
-    /// The request is older than what this ledger has seen: its fate is unknown.
+    /// The request may be older than this ledger's record, so its fate is unknown.
     Unsure,
-    /// It is meant for another incarnation: drop it, count it, answer nothing.
+    /// Addressed to another incarnation: drop and count it, and send no reply.
     Dropped,
 }
 
-/// What a ledger knows of an id.
+/// What a ledger knows about an id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// Nothing.
+    /// The id is unknown.
     Absent,
-    /// It is refused for good, now or before.
+    /// The id is permanently refused, by this fence or an earlier one.
     Fenced {
-        /// Slot that the first fence favours; `None` if no slot is to run it.
+        /// Slot that the first fence named to run the request; `None` if no slot is to run it.
         favoured: Option<InstanceId>,
     },
-    /// It was admitted.
+    /// The request was admitted.
     Known {
-        /// Fingerprint under which it was.
+        /// Fingerprint with which it was admitted.
         fingerprint: Fingerprint,
-        /// Attempt under which it was, which its frames carry.
+        /// Attempt number with which it was admitted; its frames carry this number.
         attempt: Attempt,
-        /// How far it is.
+        /// Progress of the request.
         standing: Standing,
     },
-    /// Nothing, and there is no room to refuse it for good.
+    /// The id is unknown, and it can't be fenced: the ledger is full or the id is too long.
     Full,
-    /// The sender's revision is older than this.
+    /// The sender's revision is older than the contained one, which is the lowest accepted.
     Stale(Revision),
 }
 
-/// Answer to a locate or a fence.
+/// Response to a locate or a fence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Incarnation of the slot.
+    /// Slot incarnation that responded.
     pub incarnation: Incarnation,
-    /// Time since the slot's start.
+    /// Time since this incarnation of the slot started.
     pub uptime: Duration,
-    /// What it knows.
+    /// What the slot knows about the id.
     pub presence: Presence,
-    /// Other slots that may have run it, filled in by the slot with `Candidates::also`.
+    /// Other slots that may have run the request. The ledger leaves this empty; the slot fills it
+    /// from `Candidates::also`.
     pub also: Vec<InstanceId>,
 }
 
-/// Answer to a cancel.
+/// Result of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancellation {
-    /// It was queued, and never runs here.
+    /// It was queued and will never run here.
     NotRun,
-    /// It runs: cancel it at the upstream, then call `fail` or `lose`.
+    /// It is running: cancel it at the upstream, then call `fail` or `lose`.
     Running,
-    /// It ended before, or was refused.
+    /// It had already ended or been refused.
     Ended,
-    /// It is not known.
+    /// The id is unknown.
     Absent,
 }
 
-/// Part of an answer.
+/// Result of reading a part of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Chunk<'a> {
-    /// Bytes from the offset asked for.
+    /// Bytes from the requested offset.
     Bytes {
-        /// Some bytes; none if there are none yet.
+        /// Empty if no byte at that offset has been produced yet.
         bytes: &'a [u8],
-        /// Set if these are the answer's last.
+        /// Set if these bytes end the answer.
         last: Option<Last>,
     },
-    /// The bytes are no longer kept.
+    /// The bytes are no longer held, or the offset is beyond what was produced.
     Expired,
-    /// There will be no whole answer.
+    /// The request failed; there will be no complete answer.
     Failed(Kind),
-    /// The upstream was lost.
+    /// The upstream was lost during the run; there will be no complete answer.
     Lost,
-    /// It is refused for good.
+    /// The id is permanently refused.
     Fenced,
-    /// Nothing is known of it.
+    /// The id is unknown.
     Absent,
 }
