--- a/crates/attempt/examples/ledger.rs
+++ b/crates/attempt/examples/ledger.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 use auburnline_attempt::ledger::Bounds;
-use auburnline_attempt::ledger::KEPT;
+use auburnline_attempt::ledger::ID_RETENTION;
 use auburnline_attempt::ledger::Ledger;
 use auburnline_attempt::ledger::Submission;
 use auburnline_attempt::ledger::Verdict;
@@ -47,7 +47,7 @@
         let mut course = Course {
             ledger: Ledger::new(Duration::ZERO, INCARNATION, bounds),
             now: Duration::ZERO,
-            step: KEPT / size,
+            step: ID_RETENTION / size,
             next: 0,
         };
         for _ in 0..size {
--- a/crates/attempt/src/ledger/entry.rs
+++ b/crates/attempt/src/ledger/entry.rs
@@ -1,4 +1,4 @@
-//! One id of the ledger.
+//! What the ledger stores for one request id.
 
 use std::time::Duration;
 
@@ -15,20 +15,20 @@
 use crate::fingerprint::Fingerprint;
 use crate::stream::Last;
 
-/// State of an id; it moves down this list only.
+/// State of an id. A state is only ever replaced by one further down this list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// Waits for its turn.
+    /// Admitted, not yet passed to the upstream.
     Queued,
-    /// Handed to the upstream.
+    /// Passed to the upstream.
     Running,
-    /// Ended with a whole answer.
+    /// Ended with a complete answer.
     Finished(Last),
-    /// Ended without a whole answer.
+    /// Ended without a complete answer.
     Failed(Kind),
-    /// The upstream was lost.
+    /// The connection to the upstream was lost, so the request may have run or not.
     Lost,
-    /// Refused for good, in favour of a slot if one is to run it.
+    /// Permanently refused; holds the slot that is to run it instead, if any.
     Fenced(Option<InstanceId>),
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// An id with what is known of it.
+/// A request id's state and answer; `created` and `ended` are in ledger time.
 #[derive(Debug)]
 pub(super) struct Entry {
     pub(super) state: State,
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Whether the answer can't be given again.
-    pub(super) fn is_spent(&self) -> bool {
+    /// Whether the complete answer can no longer be served from here.
+    pub(super) fn is_not_replayable(&self) -> bool {
         match self.state {
             State::Queued | State::Running => false,
             State::Finished(last) => !self.answer.holds_all(last.length),
@@ -117,14 +117,14 @@
     pub(super) fn read(&self, offset: Offset, max: usize) -> Chunk<'_> {
         match self.state {
             State::Fenced(_) => Chunk::Fenced,
-            State::Queued | State::Running => self.bytes(offset, max, None),
-            State::Finished(last) => self.bytes(offset, max, Some(last)),
+            State::Queued | State::Running => self.chunk(offset, max, None),
+            State::Finished(last) => self.chunk(offset, max, Some(last)),
             State::Failed(kind) => Chunk::Failed(kind),
             State::Lost => Chunk::Lost,
         }
     }
 
-    fn bytes(&self, offset: Offset, max: usize, last: Option<Last>) -> Chunk<'_> {
+    fn chunk(&self, offset: Offset, max: usize, last: Option<Last>) -> Chunk<'_> {
         let Some(bytes) = self.answer.read(offset, max) else {
             return Chunk::Expired;
         };
--- a/crates/attempt/src/ledger/mod.rs
+++ b/crates/attempt/src/ledger/mod.rs
@@ -1,16 +1,17 @@
-//! A slot's ledger of request ids: the one place that says whether a request ran here.
+//! A slot's ledger of request ids: the single authority on whether a request ran on this slot.
 //!
-//! The ledger knows each id that this incarnation of the slot admitted or refused for good, keeps
-//! the answer's bytes until they are acknowledged or their time is up, and keeps the bare id until
-//! no duplicate of it can arrive any more. It is lost with its process; that is what incarnations
-//! and uptimes in its answers are for. It knows nothing of sessions, queues or upstreams: the slot
-//! tells it what happened, and does what its answers say.
+//! The ledger records each id that this incarnation of the slot has admitted or permanently
+//! refused. It holds the answer's bytes until they are acknowledged or expire, and the id itself
+//! until no duplicate of it can arrive any more. It is held in memory and lost with its process, so
+//! its findings carry the slot's incarnation and uptime. It does not handle sessions, queues or
+//! upstreams: the slot reports events to it and acts on its results.
 //!
-//! An id of non-idempotent work is kept for [`KEPT`] of counted time from its first mention. A
-//! submission older than [`WINDOW`] is refused as unknown, so a duplicate that arrives finds its id
-//! as long as no session holds a frame back for longer than [`KEPT`] - [`WINDOW`]. Counted time
-//! moves by no more than [`MAX_STEP`] between two calls: while the slot is paused, frames wait in
-//! its sockets and ids must not grow old.
+//! An id of non-idempotent work is retained for [`ID_RETENTION`] of ledger time after the ledger
+//! first receives it. The fate of a submission older than [`WINDOW`] is reported as unknown
+//! ([`Verdict::Unsure`]), so a duplicate finds its id as long as no session delays a frame by more
+//! than [`ID_RETENTION`] - [`WINDOW`]. Ledger time advances by at most [`MAX_CLOCK_STEP`]
+//! between two calls: frames wait in the sockets of a paused slot, and ids must not expire
+//! meanwhile.
 
 mod answer;
 mod entry;
@@ -42,31 +43,31 @@
 pub use self::report::Submission;
 pub use self::report::Verdict;
 
-/// Oldest first send that is still served; a key is not to be used for longer.
+/// Greatest age since the first send at which a request is served, and so the life of a key.
 pub const WINDOW: Duration = Duration::from_mins(5);
-/// Time for which an id is kept: the window, and a minute for frames that sessions hold back.
-pub const KEPT: Duration = Duration::from_mins(6);
-/// Usual time for which an answer's bytes are kept after its end.
-pub const ANSWER_KEPT: Duration = Duration::from_mins(1);
-/// Most that counted time moves between two calls.
-pub const MAX_STEP: Duration = Duration::from_secs(1);
-/// Most expired ids that one call drops.
+/// Ledger time for which an id is retained: [`WINDOW`] plus 1 min for frames delayed in sessions.
+pub const ID_RETENTION: Duration = Duration::from_mins(6);
+/// Default of [`Bounds::answer`].
+pub const ANSWER_RETENTION: Duration = Duration::from_mins(1);
+/// Greatest advance of ledger time between two calls.
+pub const MAX_CLOCK_STEP: Duration = Duration::from_secs(1);
+/// Greatest number of expiry entries that one [`Ledger::tick`] handles.
 const MAX_EXPIRED: usize = 64;
-/// Usual bound of the number of ids.
+/// Default of [`Bounds::entries`].
 pub const MAX_ENTRIES: usize = 65_536;
-/// Usual bound of the bytes of answers.
+/// Default of [`Bounds::bytes`], in bytes.
 pub const MAX_BYTES: usize = 64 << 20;
-/// Longest id, in bytes.
+/// Greatest length of an id, in bytes.
 pub const MAX_ID_BYTES: usize = 256;
 
-/// Bounds of a ledger.
+/// Capacity and retention limits of a ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Most ids.
+    /// Greatest number of ids, fenced ones included.
     pub entries: usize,
-    /// Most bytes of answers.
+    /// Greatest total of answer bytes held.
     pub bytes: usize,
-    /// Time for which an answer's bytes are kept after its end.
+    /// Ledger time for which an answer's bytes are held after its end.
     pub answer: Duration,
 }
 
@@ -75,12 +76,12 @@
         Bounds {
             entries: MAX_ENTRIES,
             bytes: MAX_BYTES,
-            answer: ANSWER_KEPT,
+            answer: ANSWER_RETENTION,
         }
     }
 }
 
-/// Ledger of one slot incarnation.
+/// Ledger of one slot incarnation; `expiry` may hold an id more than once.
 #[derive(Debug)]
 pub struct Ledger {
     incarnation: Incarnation,
@@ -92,9 +93,9 @@
     bytes: usize,
     in_flight: usize,
     draining: bool,
-    born: Monotonic,
-    last: Monotonic,
-    counted: Duration,
+    started: Monotonic,
+    last_call: Monotonic,
+    elapsed: Duration,
 }
 
 impl Ledger {
@@ -111,19 +112,19 @@
             bytes: 0,
             in_flight: 0,
             draining: false,
-            born: now,
-            last: now,
-            counted: Duration::ZERO,
+            started: now,
+            last_call: now,
+            elapsed: Duration::ZERO,
         }
     }
 
-    /// Returns the slot's incarnation.
+    /// Returns the incarnation of the slot that this ledger belongs to.
     #[must_use]
     pub const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Returns the number of ids held.
+    /// Returns the number of ids held, fenced ones included.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
@@ -135,7 +136,7 @@
         self.entries.is_empty()
     }
 
-    /// Returns the bytes of answers held.
+    /// Returns the total of answer bytes held.
     #[must_use]
     pub const fn bytes(&self) -> usize {
         self.bytes
@@ -147,37 +148,37 @@
         self.in_flight
     }
 
-    /// Raises the revision below which senders are refused; it never falls.
+    /// Raises the revision below which senders are refused. A lower `revision` has no effect.
     pub fn revise(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Sets whether new work is refused; what is known stays served.
+    /// Sets whether new ids are refused; known ids are still served.
     pub fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
-    /// Decides on a submission. [`Verdict::Admitted`] means: queue it now, once.
+    /// Decides on a submission. On [`Verdict::Admitted`] the caller must queue it once.
     pub fn submit(&mut self, now: Monotonic, submission: &Submission) -> Verdict {
         self.advance(now);
         if submission.incarnation != self.incarnation {
             return Verdict::Dropped;
         }
-        if let Some(verdict) = self.known(submission) {
+        if let Some(verdict) = self.known_verdict(submission) {
             return verdict;
         }
-        if let Some(kind) = self.obstacle(submission) {
+        if let Some(kind) = self.refusal_kind(submission) {
             return self.refuse(submission, kind);
         }
-        if !submission.idempotent && !self.covers(now, submission.age) {
+        if !submission.idempotent && !self.covers_history(now, submission.age) {
             return Verdict::Unsure;
         }
-        self.insert(&submission.id, Entry::queued(submission, self.counted));
+        self.insert(&submission.id, Entry::queued(submission, self.elapsed));
         self.in_flight += 1;
         Verdict::Admitted
     }
 
-    /// Tells what is known of `id`.
+    /// Reports what is known about `id` without changing it.
     pub fn locate(&mut self, now: Monotonic, id: &RequestId) -> Finding {
         self.advance(now);
         let presence = self
@@ -187,20 +188,22 @@
         self.finding(now, presence)
     }
 
-    /// Refuses an id for good unless it is known, and tells what holds now; the first fence stays.
+    /// Permanently refuses an id unless it is known, and reports its state. A later fence of the
+    /// same id changes nothing.
     pub fn fence(&mut self, now: Monotonic, fence: &Fence) -> Finding {
         self.advance(now);
-        let presence = self.refuse_for_good(fence);
+        let presence = self.insert_fence(fence);
         self.finding(now, presence)
     }
 
-    /// Marks a queued request as handed to the upstream; `false` means that it must not be.
+    /// Marks a queued request as running. `false` means that it must not be passed to the upstream.
     ///
-    /// Call it before the first byte goes to the upstream: from here on its fate can be unknown.
+    /// Call this before the first byte goes to the upstream, because its fate may be unknown from
+    /// then on.
     ///
     /// # Panics
     ///
-    /// Panics if a non-idempotent id would start twice, which the states exclude.
+    /// Panics if a non-idempotent id would start twice, which the state machine rules out.
     #[must_use]
     pub fn start(&mut self, now: Monotonic, id: &RequestId) -> bool {
         self.advance(now);
@@ -212,14 +215,14 @@
         }
         entry.state = State::Running;
         entry.runs += 1;
-        let once = entry.idempotent || entry.runs == 1;
-        assert!(once, "invariant: a non-idempotent id starts once");
+        let starts_once = entry.idempotent || entry.runs == 1;
+        assert!(starts_once, "invariant: a non-idempotent id starts once");
         true
     }
 
-    /// Appends bytes of a running answer; `false` means that nothing was taken.
+    /// Appends bytes to a running answer. `false` means that none were appended.
     ///
-    /// The slot then stops reading the upstream until [`Ledger::has_space`] says otherwise.
+    /// The slot then stops reading from the upstream until [`Ledger::has_space`] returns `true`.
     #[must_use]
     pub fn append(&mut self, now: Monotonic, id: &RequestId, bytes: &[u8]) -> bool {
         self.advance(now);
@@ -237,22 +240,22 @@
         true
     }
 
-    /// Returns whether `bytes` more can be kept without dropping a running answer.
+    /// Returns whether `bytes` more fit within [`Bounds::bytes`] without evicting an ended answer.
     #[must_use]
     pub const fn has_space(&self, bytes: usize) -> bool {
         self.bytes + bytes <= self.bounds.bytes
     }
 
-    /// Marks a running request as ended with its whole answer.
+    /// Marks a running request as ended; the bytes appended so far are its complete answer.
     pub fn finish(&mut self, now: Monotonic, id: &RequestId) {
         self.end(now, id, |entry| State::Finished(entry.answer.last()));
     }
 
-    /// Marks a running request as ended by the upstream's word that it failed, or by a cancel.
+    /// Marks a running request as failed, as reported by the upstream, or as cancelled.
     ///
-    /// A non-idempotent request that the upstream is proved not to have run is refused for good
-    /// here, as if it had been cancelled in time: it may have gone to another slot since, which a
-    /// claim must not miss because this one still knows the id.
+    /// A non-idempotent request that the upstream is proved not to have run is fenced, as if it had
+    /// been cancelled while queued. It may have been sent to another slot since, and a claim must
+    /// find that slot instead of stopping at this one because the id is known here.
     pub fn fail(&mut self, now: Monotonic, id: &RequestId, kind: Kind) {
         let not_run = kind.fate() == Fate::NotRun;
         self.end(now, id, |entry| {
@@ -264,12 +267,13 @@
         });
     }
 
-    /// Marks a running request as lost: the upstream may have run it or not.
+    /// Marks a running request as lost: whether the upstream ran it is unknown.
     pub fn lose(&mut self, now: Monotonic, id: &RequestId) {
         self.end(now, id, |_| State::Lost);
     }
 
-    /// Cancels a request; one that is only queued is proved not to run.
+    /// Cancels a request. A queued one is fenced and so proved not to run here; a running one is
+    /// left unchanged.
     pub fn cancel(&mut self, now: Monotonic, id: &RequestId) -> Cancellation {
         self.advance(now);
         let Some(entry) = self.entries.get_mut(id) else {
@@ -286,7 +290,7 @@
         }
     }
 
-    /// Frees the bytes before `offset`, which the caller has; the id stays.
+    /// Frees the answer bytes before `offset`, which the caller has received. The id is retained.
     pub fn acknowledge(&mut self, now: Monotonic, id: &RequestId, offset: Offset) {
         self.advance(now);
         if let Some(entry) = self.entries.get_mut(id) {
@@ -294,7 +298,7 @@
         }
     }
 
-    /// Reads up to `max` bytes of an answer from `offset`, for a stream, a resume or a replay.
+    /// Reads up to `max` bytes of an answer from `offset`, to stream, resume or replay it.
     #[must_use]
     pub fn read(&self, id: &RequestId, offset: Offset, max: usize) -> Chunk<'_> {
         let Some(entry) = self.entries.get(id) else {
@@ -303,17 +307,17 @@
         entry.read(offset, max)
     }
 
-    /// Returns the attempt number that an id was admitted under, which its frames carry.
+    /// Returns the attempt number with which an id was admitted; its frames carry this number.
     #[must_use]
     pub fn attempt(&self, id: &RequestId) -> Option<auburnline_core::id::Attempt> {
         self.entries.get(id).map(|entry| entry.attempt)
     }
 
-    /// Drops what has expired; call it a few times a second.
+    /// Removes expired answers and ids. Call it a few times a second.
     pub fn tick(&mut self, now: Monotonic) {
         self.advance(now);
         for _ in 0..MAX_EXPIRED {
-            let Some(id) = self.expiry.pop(self.counted) else {
+            let Some(id) = self.expiry.pop(self.elapsed) else {
                 break;
             };
             self.expire(&id);
@@ -321,7 +325,7 @@
         debug_assert!(self.invariant_bounds());
     }
 
-    /// Whether the bounds hold and the bytes are counted right.
+    /// Returns whether the limits hold and the byte count matches the answers held.
     #[must_use]
     pub fn invariant_bounds(&self) -> bool {
         let bytes: usize = self.entries.values().map(|entry| entry.answer.held()).sum();
@@ -330,23 +334,23 @@
             && bytes == self.bytes
     }
 
-    fn refuse_for_good(&mut self, fence: &Fence) -> Presence {
+    fn insert_fence(&mut self, fence: &Fence) -> Presence {
         if let Some(entry) = self.entries.get(&fence.id) {
             return entry.presence();
         }
         if fence.revision < self.revision {
             return Presence::Stale(self.revision);
         }
-        if !self.has_room(&fence.id) {
+        if !self.can_insert(&fence.id) {
             return Presence::Full;
         }
-        let entry = Entry::fenced(fence.favoured.clone(), self.counted);
+        let entry = Entry::fenced(fence.favoured.clone(), self.elapsed);
         let presence = entry.presence();
         self.insert(&fence.id, entry);
         presence
     }
 
-    fn known(&mut self, submission: &Submission) -> Option<Verdict> {
+    fn known_verdict(&mut self, submission: &Submission) -> Option<Verdict> {
         let entry = self.entries.get(&submission.id)?;
         if let State::Fenced(_) = entry.state {
             return Some(self.refuse(submission, Kind::Fenced));
@@ -354,14 +358,14 @@
         if entry.fingerprint != submission.fingerprint {
             return Some(self.refuse(submission, Kind::KeyReused));
         }
-        if submission.idempotent && entry.is_spent() {
+        if submission.idempotent && entry.is_not_replayable() {
             self.remove(&submission.id.clone());
             return None;
         }
         Some(Verdict::Attached(entry.standing()))
     }
 
-    fn obstacle(&self, submission: &Submission) -> Option<Kind> {
+    fn refusal_kind(&self, submission: &Submission) -> Option<Kind> {
         if submission.revision < self.revision {
             return Some(Kind::StaleRevision);
         }
@@ -371,13 +375,14 @@
         if submission.id.len() > MAX_ID_BYTES {
             return Some(Kind::BadRequest);
         }
-        let room = self.has_room(&submission.id) && self.bytes < self.bounds.bytes;
-        (!room).then_some(Kind::Overloaded)
+        let has_capacity = self.can_insert(&submission.id) && self.bytes < self.bounds.bytes;
+        (!has_capacity).then_some(Kind::Overloaded)
     }
 
-    /// Whether this ledger has seen all of a request's past that could matter here.
-    fn covers(&self, now: Monotonic, age: Duration) -> bool {
-        age <= WINDOW && age <= now.saturating_sub(self.born)
+    /// Returns whether this ledger has been recording since before a request's first send, and the
+    /// request is within [`WINDOW`].
+    fn covers_history(&self, now: Monotonic, age: Duration) -> bool {
+        age <= WINDOW && age <= now.saturating_sub(self.started)
     }
 
     fn refuse(&self, submission: &Submission, kind: Kind) -> Verdict {
@@ -393,25 +398,25 @@
     fn finding(&self, now: Monotonic, presence: Presence) -> Finding {
         Finding {
             incarnation: self.incarnation,
-            uptime: now.saturating_sub(self.born),
+            uptime: now.saturating_sub(self.started),
             presence,
             also: Vec::<InstanceId>::new(),
         }
     }
 
-    fn has_room(&self, id: &RequestId) -> bool {
+    fn can_insert(&self, id: &RequestId) -> bool {
         self.entries.len() < self.bounds.entries && id.len() <= MAX_ID_BYTES
     }
 
     fn insert(&mut self, id: &RequestId, entry: Entry) {
-        self.expiry.push(self.counted + KEPT, id.clone());
+        self.expiry.push(self.elapsed + ID_RETENTION, id.clone());
         let before = self.entries.insert(id.clone(), entry);
         assert!(before.is_none(), "invariant: an id is entered once");
     }
 
     fn end(&mut self, now: Monotonic, id: &RequestId, next: impl FnOnce(&Entry) -> State) {
         self.advance(now);
-        let counted = self.counted;
+        let elapsed = self.elapsed;
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
@@ -419,10 +424,10 @@
             return;
         }
         entry.state = next(entry);
-        entry.ended = counted;
+        entry.ended = elapsed;
         self.in_flight -= 1;
-        self.ended.push(counted, id.clone());
-        self.expiry.push(counted + self.bounds.answer, id.clone());
+        self.ended.push(elapsed, id.clone());
+        self.expiry.push(elapsed + self.bounds.answer, id.clone());
     }
 
     fn expire(&mut self, id: &RequestId) {
@@ -430,15 +435,15 @@
             return;
         };
         if entry.state.is_live() {
-            self.expiry.push(self.counted + KEPT, id.clone());
+            self.expiry.push(self.elapsed + ID_RETENTION, id.clone());
             return;
         }
-        if self.counted >= entry.ended + self.bounds.answer {
+        if self.elapsed >= entry.ended + self.bounds.answer {
             self.bytes -= entry.answer.clear();
         }
         let ended = entry.ended;
-        let done = entry.created + KEPT <= self.counted && entry.answer.held() == 0;
-        if done {
+        let expired = entry.created + ID_RETENTION <= self.elapsed && entry.answer.held() == 0;
+        if expired {
             self.ended.remove(ended, id);
             self.remove(id);
         }
@@ -450,10 +455,10 @@
         }
     }
 
-    /// Drops the bytes of the answers that ended first until `bytes` more fit.
+    /// Evicts the bytes of the answers that ended first until `bytes` more fit.
     fn make_space(&mut self, bytes: usize) -> bool {
         while !self.has_space(bytes) {
-            let Some(id) = self.ended.pop(self.counted) else {
+            let Some(id) = self.ended.pop(self.elapsed) else {
                 return false;
             };
             if let Some(entry) = self.entries.get_mut(&id)
@@ -466,8 +471,8 @@
     }
 
     fn advance(&mut self, now: Monotonic) {
-        let step = now.saturating_sub(self.last);
-        self.counted += step.min(MAX_STEP);
-        self.last = self.last.max(now);
+        let step = now.saturating_sub(self.last_call);
+        self.elapsed += step.min(MAX_CLOCK_STEP);
+        self.last_call = self.last_call.max(now);
     }
 }
--- a/crates/attempt/tests/unit/ledger.rs
+++ b/crates/attempt/tests/unit/ledger.rs
@@ -3,7 +3,7 @@
 use auburnline_attempt::ledger::Bounds;
 use auburnline_attempt::ledger::Cancellation;
 use auburnline_attempt::ledger::Chunk;
-use auburnline_attempt::ledger::KEPT;
+use auburnline_attempt::ledger::ID_RETENTION;
 use auburnline_attempt::ledger::Ledger;
 use auburnline_attempt::ledger::Presence;
 use auburnline_attempt::ledger::Standing;
@@ -144,10 +144,10 @@
     let _ = ledger.submit(seconds(1), &submission("a"));
     expect_true!(ledger.start(seconds(1), &id));
     ledger.finish(seconds(1), &id);
-    ledger.tick(seconds(1) + KEPT * 2);
+    ledger.tick(seconds(1) + ID_RETENTION * 2);
     expect_that!(ledger.len(), eq(1));
-    for second in 0..=KEPT.as_secs() + 1 {
-        ledger.tick(seconds(2 + second) + KEPT * 2);
+    for second in 0..=ID_RETENTION.as_secs() + 1 {
+        ledger.tick(seconds(2 + second) + ID_RETENTION * 2);
     }
     expect_that!(ledger.len(), eq(0));
 }
