--- a/crates/attempt/src/candidates.rs
+++ b/crates/attempt/src/candidates.rs
@@ -1,14 +1,15 @@
-//! Slots of one pool that a request can have been given to, over changes of the published list.
+//! Slots of one pool that a request may have been sent to, across changes of the published list.
 //!
-//! A later attempt must ask every slot that an earlier one could have reached, also those that have
-//! left the list since. An entry knows what it saw leave; a slot that is asked adds what it saw
-//! leave, so that an entry that has just started does not miss any. Where the two have different
-//! revisions the slot adds its whole list ([`Candidates::also`]): to a slot that lags behind, a slot
-//! that has left is still current.
+//! A later attempt must query every slot that an earlier attempt may have reached, including slots
+//! that have been removed from the list since. An entry records the removals that it has observed,
+//! and a queried slot adds those that it has observed, so that an entry that has just started does
+//! not miss any. If the two are at different revisions, the slot adds its whole list
+//! ([`Candidates::also`]), because a slot that lags behind still lists a removed slot as current.
 //!
-//! A slot that has joined the list gets no first attempt of non-idempotent work that was first sent
-//! less than [`SETTLE`] after: a later attempt through an entry whose list lags would not ask it. An
-//! entry that was paused may come to such a request long after, so its age counts too.
+//! After a slot joins the list, it gets no first attempt of non-idempotent work that was first sent
+//! less than [`SETTLING_TIME`] later, because a later attempt through an entry whose list lags
+//! would not query it. An entry that was paused may handle such a request much later, so the check
+//! includes the request's age.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,39 +20,40 @@
 
 use crate::ledger::WINDOW;
 
-/// Time by which the lists of two processes may differ.
-pub const LAG: Duration = Duration::from_secs(10);
-/// Time for which a slot that joined gets no first attempt of non-idempotent work.
-pub const SETTLE: Duration = LAG;
-/// Most slots that are remembered after they left.
+/// Greatest assumed delay between two processes in applying the same change of the list.
+pub const MAX_LIST_LAG: Duration = Duration::from_secs(10);
+/// Time after a slot joined during which it gets no first attempt of non-idempotent work.
+pub const SETTLING_TIME: Duration = MAX_LIST_LAG;
+/// Greatest number of removed slots that are remembered.
 pub const MAX_RETIRED: usize = 1024;
 
-/// Slots of a pool, with the recent past.
+/// Current and recently removed slots of a pool. `joined` is `None` for slots of the first list,
+/// and `horizon` is the removal time of the latest slot evicted at [`MAX_RETIRED`].
 #[derive(Clone, Debug, Default)]
 pub struct Candidates {
     joined: BTreeMap<InstanceId, Option<Monotonic>>,
     retired: BTreeMap<InstanceId, Monotonic>,
     horizon: Option<Monotonic>,
-    since: Monotonic,
+    first_observed: Monotonic,
     revision: Option<Revision>,
 }
 
 impl Candidates {
-    /// Returns an empty pool.
+    /// Returns an empty pool that has seen no list yet.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the pool's admitting slots as published at `revision`, unless a newer one is known.
+    /// Applies the list of admitting slots published at `revision`, unless a newer one was applied.
     pub fn observe(&mut self, now: Monotonic, revision: Revision, slots: &[InstanceId]) {
         if self.revision.is_some_and(|known| revision < known) {
             return;
         }
         if self.revision.is_none() {
-            self.since = now;
+            self.first_observed = now;
         }
-        for name in self.gone(slots) {
+        for name in self.missing_from(slots) {
             self.joined.remove(&name);
             self.retired.insert(name, now);
         }
@@ -61,37 +63,38 @@
             self.joined.entry(name.clone()).or_insert(joined);
         }
         self.revision = Some(revision);
-        self.forget(now);
+        self.prune(now);
     }
 
-    /// Returns the slots of the newest view.
+    /// Returns the slots of the newest list, sorted by name.
     pub fn current(&self) -> impl Iterator<Item = &InstanceId> {
         self.joined.keys()
     }
 
-    /// Returns the time since the first view.
+    /// Returns the time since the first list was applied, zero before that.
     #[must_use]
     pub fn known_for(&self, now: Monotonic) -> Duration {
-        let known = |_| now.saturating_sub(self.since);
+        let known = |_| now.saturating_sub(self.first_observed);
         self.revision.map_or(Duration::ZERO, known)
     }
 
-    /// Returns whether `slot` may get a first attempt, of `age` by now, of non-idempotent work.
+    /// Returns whether `slot` may get a first attempt of non-idempotent work that was first sent
+    /// `age` ago.
     #[must_use]
     pub fn first(&self, now: Monotonic, age: Duration, slot: &InstanceId) -> bool {
         match self.joined.get(slot) {
-            Some(Some(joined)) => now.saturating_sub(*joined) >= age + SETTLE,
+            Some(Some(joined)) => now.saturating_sub(*joined) >= age + SETTLING_TIME,
             Some(None) => true,
             None => false,
         }
     }
 
-    /// Returns every slot that a request of `age` can have been given to, sorted by name.
+    /// Returns every slot, sorted by name, that may have got a request first sent `age` ago.
     ///
-    /// Returns `None` if slots were forgotten that it can have been given to.
+    /// Returns `None` if one of them may have been evicted from the removed slots.
     #[must_use]
     pub fn cover(&self, now: Monotonic, age: Duration) -> Option<Vec<InstanceId>> {
-        let since = now.saturating_sub(age + LAG);
+        let since = now.saturating_sub(age + MAX_LIST_LAG);
         if self.horizon.is_some_and(|horizon| since <= horizon) {
             return None;
         }
@@ -101,7 +104,7 @@
         Some(cover)
     }
 
-    /// Returns the slots that an asker at revision `asker` may not know, for its claim.
+    /// Returns the slots that a claim from an entry at revision `asker` may be missing.
     #[must_use]
     pub fn also(&self, now: Monotonic, asker: Revision) -> Vec<InstanceId> {
         let mut also = self.retired(now, WINDOW);
@@ -111,10 +114,10 @@
         also
     }
 
-    /// Returns the slots that left since a request of `age` was first sent.
+    /// Returns the slots removed since [`MAX_LIST_LAG`] before a request of `age` was first sent.
     #[must_use]
     pub fn retired(&self, now: Monotonic, age: Duration) -> Vec<InstanceId> {
-        let since = now.saturating_sub(age + LAG);
+        let since = now.saturating_sub(age + MAX_LIST_LAG);
         let recent = |(_, left): &(&InstanceId, &Monotonic)| **left >= since;
         self.retired
             .iter()
@@ -123,17 +126,17 @@
             .collect()
     }
 
-    fn gone(&self, slots: &[InstanceId]) -> Vec<InstanceId> {
+    fn missing_from(&self, slots: &[InstanceId]) -> Vec<InstanceId> {
         let missing = |name: &&InstanceId| !slots.contains(name);
         self.joined.keys().filter(missing).cloned().collect()
     }
 
-    fn forget(&mut self, now: Monotonic) {
-        let oldest = now.saturating_sub(WINDOW + LAG);
-        self.retired.retain(|_, left| *left >= oldest);
+    fn prune(&mut self, now: Monotonic) {
+        let cutoff = now.saturating_sub(WINDOW + MAX_LIST_LAG);
+        self.retired.retain(|_, left| *left >= cutoff);
         while self.retired.len() > MAX_RETIRED {
-            let first = self.retired.iter().min_by_key(|(_, left)| **left);
-            let Some((name, left)) = first.map(|(name, left)| (name.clone(), *left)) else {
+            let oldest = self.retired.iter().min_by_key(|(_, left)| **left);
+            let Some((name, left)) = oldest.map(|(name, left)| (name.clone(), *left)) else {
                 return;
             };
             self.horizon = self.horizon.max(Some(left));
--- a/crates/attempt/src/claim.rs
+++ b/crates/attempt/src/claim.rs
@@ -1,20 +1,21 @@
-//! A later attempt's right to run a request: locate it, fence every slot but one, then run there.
+//! Protocol by which a later attempt may run a request: locate it, fence every slot but one, run it
+//! on that one.
 //!
-//! The claim first asks every slot that an earlier attempt can have reached. If one knows the
-//! request, the answer comes from there. If one can't be asked, or has restarted since the first
-//! send, the fate is unknown and nothing is fenced. Else all slots but one refuse the request for
-//! good, so that an earlier attempt that is still on its way meets a refusal wherever it arrives,
-//! or the one entry in the ledger of the slot that runs it.
+//! The claim first queries every slot that an earlier attempt may have reached. If a slot knows the
+//! request, the answer is served from there. If a slot can't be reached, or has restarted since the
+//! first send, the fate is unknown and nothing is fenced. Otherwise all slots but one permanently
+//! refuse the request. An earlier attempt that is still in transit is then refused wherever it
+//! arrives, or finds the id in the ledger of the slot that runs it.
 //!
-//! The claim needs a witness: this process, or one slot that it asks, must have known the pool's
-//! list since [`LAG`] before the first send. If all of them are younger, none may know a slot that
-//! has just left the list and that an entry whose list lags still sends to.
+//! The claim needs a witness: this process or one of the queried slots must have known the pool's
+//! list since [`MAX_LIST_LAG`] before the first send. If all of them started later, possibly none
+//! knows a slot that has just been removed and that an entry with a lagging list still sends to.
 //!
-//! Two claims of one request, from two entries with two lists, never both run: at any slot that both
-//! ask, the second learns which slot the first one favours, asks that slot too, and runs the request
-//! nowhere but there. A claim that finds fences in favour of any other slot than its own target
-//! fences its target as well and ends "not run". So a request that was once told "not run" after
-//! fences is never run by a claim that was slower.
+//! Two claims of one request, from entries with different lists, never both run it. At a slot that
+//! both query, the second claim learns which slot the first one favours, queries that slot too, and
+//! runs the request only there. A claim that finds a fence that favours another slot than its own
+//! target, or no slot, also fences its target and ends as "not run". So a slower claim never runs a
+//! request that was already reported as "not run" because of fences.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,7 +29,7 @@
 use auburnline_core::id::Revision;
 use auburnline_core::time::Monotonic;
 
-use crate::candidates::LAG;
+use crate::candidates::MAX_LIST_LAG;
 use crate::fingerprint::Fingerprint;
 use crate::ledger::Fence;
 use crate::ledger::Finding;
@@ -42,88 +43,89 @@
 use crate::outcome::Refused;
 use crate::outcome::Unknown;
 
-/// Most slots that one claim asks.
+/// Greatest number of slots that one claim queries.
 pub const MAX_ASKED: usize = 2048;
 
-/// What a claim is for.
+/// Input of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Goal {
-    /// Request.
+    /// Id of the request to claim.
     pub id: RequestId,
-    /// Fingerprint of its workspace and work.
+    /// Fingerprint of its workspace and work; another one under the same id means key reuse.
     pub fingerprint: Fingerprint,
-    /// Longest time since the caller's first send; `None` if the caller does not say.
+    /// Upper bound of the time since the caller first sent the request; `None` if not stated.
     pub age: Option<Duration>,
-    /// Every slot that an earlier attempt can have reached.
+    /// Every slot that an earlier attempt may have reached.
     pub cover: Vec<InstanceId>,
-    /// Slots among them that admit work at present.
+    /// Slots among them that currently admit work.
     pub admitting: Vec<InstanceId>,
-    /// Time for which this process has known the pool's list, [`crate::candidates::Candidates::known_for`].
+    /// Time for which this process has known the pool's list, from
+    /// [`crate::candidates::Candidates::known_for`].
     pub known_for: Duration,
-    /// Revision in force here.
+    /// Configuration revision that this process uses.
     pub revision: Revision,
-    /// Whether to run it, or only to make sure that it never runs.
+    /// Whether to run the request or only to ensure that it never runs.
     pub aim: Aim,
 }
 
-/// What to do with a request that no slot knows.
+/// How to proceed with a request that no slot knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Aim {
-    /// Run it at one slot.
+    /// Fence it at every slot but one and run it there.
     Run,
-    /// Fence it at every slot, so that "not run" is proved.
+    /// Fence it at every slot, which proves "not run".
     Withdraw,
 }
 
-/// Question to a slot.
+/// Query to a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Question {
-    /// What it knows of the request.
+    /// Reports what the slot knows about the request.
     Locate {
-        /// Request.
+        /// Id of the request to look up.
         id: RequestId,
-        /// Revision in force here.
+        /// Configuration revision that this process uses.
         revision: Revision,
     },
-    /// To refuse it for good.
+    /// Refuses the request permanently unless the slot knows it.
     Fence(Fence),
 }
 
-/// Question with the slot to ask.
+/// Query together with its destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ask {
-    /// Slot to ask.
+    /// Destination slot.
     pub slot: InstanceId,
-    /// What to ask.
+    /// Query to send.
     pub question: Question,
 }
 
-/// What to do next.
+/// Next action of the claim's owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Send these questions, if any, and wait for answers.
+    /// Send these queries, if any, and wait for the responses still outstanding.
     Ask(Vec<Ask>),
-    /// Serve the answer from this slot's ledger.
+    /// Serve the answer from this slot's ledger; the claim has ended.
     Serve {
         /// Slot that knows the request.
         slot: InstanceId,
-        /// Its incarnation.
+        /// Incarnation of that slot.
         incarnation: Incarnation,
-        /// Attempt that its frames carry.
+        /// Attempt number that the answer's frames carry.
         attempt: Attempt,
-        /// How far it is.
+        /// Progress of the request there.
         standing: Standing,
     },
-    /// Submit it to this slot incarnation and to no other.
+    /// Submit the request to this slot incarnation and no other; the claim has ended.
     Run {
-        /// Slot to run it.
+        /// Slot that is not fenced.
         slot: InstanceId,
-        /// Its incarnation.
+        /// Incarnation of that slot.
         incarnation: Incarnation,
     },
-    /// It is proved not to have run.
+    /// The request is proved not to have run, or the key belongs to another request.
     NotRun(NotRun),
-    /// Its fate is unknown.
+    /// The request's fate is unknown.
     Unknown(Unknown),
 }
 
@@ -131,7 +133,7 @@
 enum Phase {
     Locate,
     Fence,
-    Over,
+    Done,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -139,19 +141,19 @@
     Asked,
     Clear(Incarnation),
     Fenced,
-    Doubtful,
+    Inconclusive,
 }
 
-/// A claim under way.
+/// State of a claim; `favoured` lists the distinct choices of earlier claims, `None` for no slot.
 #[derive(Clone, Debug)]
 pub struct Claim {
     goal: Goal,
-    begun: Monotonic,
+    started_at: Monotonic,
     phase: Phase,
     slots: BTreeMap<InstanceId, State>,
     favoured: Vec<Option<InstanceId>>,
     target: Option<(InstanceId, Incarnation)>,
-    doubt: Option<Cause>,
+    inconclusive_cause: Option<Cause>,
     witnessed: bool,
 }
 
@@ -161,23 +163,23 @@
     pub fn begin(now: Monotonic, goal: Goal) -> (Claim, Step) {
         let mut claim = Claim {
             goal,
-            begun: now,
+            started_at: now,
             phase: Phase::Locate,
             slots: BTreeMap::new(),
             favoured: Vec::new(),
             target: None,
-            doubt: None,
+            inconclusive_cause: None,
             witnessed: false,
         };
         claim.witness(now, claim.goal.known_for);
-        let step = claim.first(now);
+        let step = claim.query_cover(now);
         (claim, step)
     }
 
-    /// Takes a slot's answer.
+    /// Applies a slot's response. One that was not awaited is ignored.
     #[must_use]
     pub fn answer(&mut self, now: Monotonic, from: &InstanceId, finding: &Finding) -> Step {
-        if self.slots.get(from) != Some(&State::Asked) || self.phase == Phase::Over {
+        if self.slots.get(from) != Some(&State::Asked) || self.phase == Phase::Done {
             return Step::Ask(Vec::new());
         }
         match &finding.presence {
@@ -187,44 +189,45 @@
                 standing,
             } => {
                 if *fingerprint != self.goal.fingerprint {
-                    return self.reused();
+                    return self.key_reused();
                 }
                 return self.serve(from, finding.incarnation, *attempt, *standing);
             }
-            Presence::Fenced { favoured } => self.fenced(from, favoured.as_ref()),
+            Presence::Fenced { favoured } => self.record_fence(from, favoured.as_ref()),
             Presence::Absent if self.phase == Phase::Fence => return Step::Ask(Vec::new()),
             Presence::Absent => {
                 let state = State::Clear(finding.incarnation);
                 self.slots.insert(from.clone(), state);
             }
-            Presence::Full => self.doubt(from, Cause::Refused(Kind::Overloaded)),
-            Presence::Stale(_) => self.doubt(from, Cause::Refused(Kind::StaleRevision)),
+            Presence::Full => self.mark_inconclusive(from, Cause::Refused(Kind::Overloaded)),
+            Presence::Stale(_) => self.mark_inconclusive(from, Cause::Refused(Kind::StaleRevision)),
         }
         if finding.uptime < self.age(now) {
-            self.doubt(from, Cause::Restarted);
+            self.mark_inconclusive(from, Cause::Restarted);
         }
         self.witness(now, finding.uptime);
-        let more = self.extend(&finding.also);
-        self.advance(more)
+        let asks = self.query_new(&finding.also);
+        self.advance(asks)
     }
 
-    /// Notes that a slot can't be asked; call it for each one still silent at the time limit.
+    /// Records that a slot can't be reached. Call it for each slot still awaited at the timeout.
     #[must_use]
     pub fn unreachable(&mut self, from: &InstanceId) -> Step {
-        if self.slots.get(from) != Some(&State::Asked) || self.phase == Phase::Over {
+        if self.slots.get(from) != Some(&State::Asked) || self.phase == Phase::Done {
             return Step::Ask(Vec::new());
         }
-        self.doubt(from, Cause::Unreachable);
+        self.mark_inconclusive(from, Cause::Unreachable);
         self.advance(Vec::new())
     }
 
-    /// Returns the slots whose answers are awaited.
+    /// Returns the slots whose responses are outstanding.
     pub fn awaited(&self) -> impl Iterator<Item = &InstanceId> {
-        let asked = |(_, state): &(&InstanceId, &State)| **state == State::Asked;
-        self.slots.iter().filter(asked).map(|(name, _)| name)
+        let is_awaited = |(_, state): &(&InstanceId, &State)| **state == State::Asked;
+        self.slots.iter().filter(is_awaited).map(|(name, _)| name)
     }
 
-    /// Returns the rendezvous order in which slots are preferred, for the decision's log line.
+    /// Returns the admitting slots in rendezvous order, most preferred first, for the decision's
+    /// log line.
     #[must_use]
     pub fn preference(&self) -> Vec<InstanceId> {
         let mut order = self.goal.admitting.clone();
@@ -232,7 +235,7 @@
         order
     }
 
-    fn first(&mut self, now: Monotonic) -> Step {
+    fn query_cover(&mut self, now: Monotonic) -> Step {
         if self.age(now) > WINDOW {
             return self.unknown(Cause::TooOld);
         }
@@ -240,24 +243,24 @@
             return self.unknown(Cause::NoSlot);
         }
         let cover = std::mem::take(&mut self.goal.cover);
-        let more = self.extend(&cover);
-        self.advance(more)
+        let asks = self.query_new(&cover);
+        self.advance(asks)
     }
 
-    /// Returns the request's greatest age by now; a caller who does not say may be a whole window late.
+    /// Returns the request's greatest possible age; [`WINDOW`] if the caller did not state it.
     fn age(&self, now: Monotonic) -> Duration {
         match self.goal.age {
-            Some(age) => age + now.saturating_sub(self.begun),
+            Some(age) => age + now.saturating_sub(self.started_at),
             None => WINDOW,
         }
     }
 
-    /// Counts a process that has known the list for `known_for`.
+    /// Counts a process as witness if it has known the list for long enough.
     fn witness(&mut self, now: Monotonic, known_for: Duration) {
-        self.witnessed |= known_for >= self.age(now) + LAG;
+        self.witnessed |= known_for >= self.age(now) + MAX_LIST_LAG;
     }
 
-    fn fenced(&mut self, from: &InstanceId, favoured: Option<&InstanceId>) {
+    fn record_fence(&mut self, from: &InstanceId, favoured: Option<&InstanceId>) {
         self.slots.insert(from.clone(), State::Fenced);
         let favoured = favoured.cloned();
         if !self.favoured.contains(&favoured) {
@@ -265,13 +268,13 @@
         }
     }
 
-    fn doubt(&mut self, from: &InstanceId, cause: Cause) {
-        self.doubt.get_or_insert(cause);
-        self.slots.insert(from.clone(), State::Doubtful);
+    fn mark_inconclusive(&mut self, from: &InstanceId, cause: Cause) {
+        self.inconclusive_cause.get_or_insert(cause);
+        self.slots.insert(from.clone(), State::Inconclusive);
     }
 
-    /// Asks slots that were not asked before.
-    fn extend(&mut self, slots: &[InstanceId]) -> Vec<Ask> {
+    /// Returns queries to those of `slots` and of the favoured slots that were not queried before.
+    fn query_new(&mut self, slots: &[InstanceId]) -> Vec<Ask> {
         let mut asks = Vec::new();
         let favoured = self.favoured.clone();
         for slot in slots.iter().chain(favoured.iter().flatten()) {
@@ -279,7 +282,7 @@
                 continue;
             }
             if self.slots.len() >= MAX_ASKED {
-                self.doubt.get_or_insert(Cause::UnknownPool);
+                self.inconclusive_cause.get_or_insert(Cause::UnknownPool);
                 break;
             }
             asks.push(self.ask(slot));
@@ -294,7 +297,7 @@
                 id: self.goal.id.clone(),
                 revision: self.goal.revision,
             },
-            Phase::Fence | Phase::Over => Question::Fence(Fence {
+            Phase::Fence | Phase::Done => Question::Fence(Fence {
                 id: self.goal.id.clone(),
                 favoured: self.target.as_ref().map(|(name, _)| name.clone()),
                 revision: self.goal.revision,
@@ -307,11 +310,11 @@
     }
 
     fn advance(&mut self, asks: Vec<Ask>) -> Step {
-        let waits = self.awaited().next().is_some();
-        if waits {
+        let is_waiting = self.awaited().next().is_some();
+        if is_waiting {
             return Step::Ask(asks);
         }
-        if let Some(cause) = self.doubt {
+        if let Some(cause) = self.inconclusive_cause {
             return self.unknown(cause);
         }
         if !self.witnessed {
@@ -319,16 +322,16 @@
         }
         match self.phase {
             Phase::Locate => self.fence(),
-            Phase::Fence | Phase::Over => self.conclude(),
+            Phase::Fence | Phase::Done => self.conclude(),
         }
     }
 
-    /// Every slot answered and none knows it: fences all but the one to run it.
+    /// Fences all slots but the target, after every slot has responded and none knows the request.
     fn fence(&mut self) -> Step {
         self.phase = Phase::Fence;
         self.target = self.choose();
-        let may_wait = self.target.is_none() && self.favoured.is_empty();
-        if may_wait && self.goal.aim == Aim::Run {
+        let is_unassigned = self.target.is_none() && self.favoured.is_empty();
+        if is_unassigned && self.goal.aim == Aim::Run {
             return self.unknown(Cause::NoSlot);
         }
         self.fence_clear()
@@ -336,16 +339,17 @@
 
     fn fence_clear(&mut self) -> Step {
         let target = self.target.as_ref().map(|(name, _)| name.clone());
-        let open = |(name, state): (&InstanceId, &State)| {
+        let to_fence = |(name, state): (&InstanceId, &State)| {
             let clear = matches!(state, State::Clear(_));
             (clear && Some(name) != target.as_ref()).then(|| name.clone())
         };
-        let others: Vec<InstanceId> = self.slots.iter().filter_map(open).collect();
+        let others: Vec<InstanceId> = self.slots.iter().filter_map(to_fence).collect();
         let asks = others.iter().map(|slot| self.ask(slot)).collect();
         self.advance(asks)
     }
 
-    /// Chooses the slot to run it: the only one that earlier claims favour, else the preferred one.
+    /// Chooses the target: the slot that all earlier claims favour, or the most preferred if there
+    /// were none. Returns `None` if earlier claims disagree or the slot is not clear.
     fn choose(&self) -> Option<(InstanceId, Incarnation)> {
         if self.goal.aim == Aim::Withdraw {
             return None;
@@ -355,17 +359,17 @@
             _ => None,
         };
         let favoured = |name: &&InstanceId| {
-            let same = |other: &Option<InstanceId>| other.as_ref() == Some(*name);
-            self.favoured.iter().all(same)
+            let is_favoured = |choice: &Option<InstanceId>| choice.as_ref() == Some(*name);
+            self.favoured.iter().all(is_favoured)
         };
         self.preference().iter().filter(favoured).find_map(clear)
     }
 
-    /// Whether another claim favours another slot than this claim's target.
+    /// Returns whether an earlier claim favours another slot than this claim's target, or none.
     fn contested(&self) -> bool {
         let target = self.target.as_ref().map(|(name, _)| name);
-        let other = |slot: &Option<InstanceId>| slot.as_ref() != target;
-        target.is_some() && self.favoured.iter().any(other)
+        let differs = |slot: &Option<InstanceId>| slot.as_ref() != target;
+        target.is_some() && self.favoured.iter().any(differs)
     }
 
     fn conclude(&mut self) -> Step {
@@ -373,7 +377,7 @@
             self.target = None;
             return self.fence_clear();
         }
-        self.phase = Phase::Over;
+        self.phase = Phase::Done;
         assert!(self.invariant_fenced(), "invariant: all but one are fenced");
         if let Some((slot, incarnation)) = self.target.clone() {
             return Step::Run { slot, incarnation };
@@ -382,16 +386,17 @@
         Step::NotRun(NotRun::new(Kind::Fenced, proof))
     }
 
-    /// Whether every slot but the target has refused the request for good, without a doubt.
+    /// Returns whether every slot but the target has permanently refused the request, a witness was
+    /// found, and no response was inconclusive.
     #[must_use]
     pub fn invariant_fenced(&self) -> bool {
         let target = self.target.as_ref().map(|(name, _)| name);
-        let held = |(name, state): (&InstanceId, &State)| match state {
+        let is_closed = |(name, state): (&InstanceId, &State)| match state {
             State::Fenced => true,
             State::Clear(_) => Some(name) == target,
-            State::Asked | State::Doubtful => false,
+            State::Asked | State::Inconclusive => false,
         };
-        self.doubt.is_none() && self.witnessed && self.slots.iter().all(held)
+        self.inconclusive_cause.is_none() && self.witnessed && self.slots.iter().all(is_closed)
     }
 
     fn serve(
@@ -401,7 +406,7 @@
         attempt: Attempt,
         standing: Standing,
     ) -> Step {
-        self.phase = Phase::Over;
+        self.phase = Phase::Done;
         Step::Serve {
             slot: from.clone(),
             incarnation,
@@ -410,14 +415,14 @@
         }
     }
 
-    fn reused(&mut self) -> Step {
-        self.phase = Phase::Over;
+    fn key_reused(&mut self) -> Step {
+        self.phase = Phase::Done;
         let proof = Proof::Refused(Refused::new());
         Step::NotRun(NotRun::new(Kind::KeyReused, proof))
     }
 
     fn unknown(&mut self, cause: Cause) -> Step {
-        self.phase = Phase::Over;
+        self.phase = Phase::Done;
         Step::Unknown(Unknown::new(cause))
     }
 }
--- a/crates/attempt/tests/unit/candidates.rs
+++ b/crates/attempt/tests/unit/candidates.rs
@@ -1,7 +1,7 @@
-//! Candidates over changes of the published list.
+//! Candidate slots across changes of the published list.
 
 use auburnline_attempt::candidates::Candidates;
-use auburnline_attempt::candidates::SETTLE;
+use auburnline_attempt::candidates::SETTLING_TIME;
 use auburnline_core::id::InstanceId;
 use googletest::prelude::*;
 
@@ -18,8 +18,8 @@
     candidates.observe(seconds(100), 2, &names(&["b", "c"]));
     let cover = candidates.cover(seconds(105), seconds(1));
     expect_that!(cover, some(eq(&names(&["a", "b", "c"]))));
-    let young = candidates.cover(seconds(200), seconds(1));
-    expect_that!(young, some(eq(&names(&["b", "c"]))));
+    let recent = candidates.cover(seconds(200), seconds(1));
+    expect_that!(recent, some(eq(&names(&["b", "c"]))));
     candidates.observe(seconds(201), 1, &names(&["a"]));
     expect_that!(candidates.current().count(), eq(2));
 }
@@ -38,7 +38,7 @@
     candidates.observe(seconds(0), 1, &names(&["a"]));
     candidates.observe(seconds(100), 2, &names(&["a", "b"]));
     let [old, new] = [InstanceId::from("a"), InstanceId::from("b")];
-    let settled = seconds(100) + SETTLE;
+    let settled = seconds(100) + SETTLING_TIME;
     expect_true!(candidates.first(seconds(100), seconds(50), &old));
     expect_false!(candidates.first(seconds(100), seconds(0), &new));
     expect_true!(candidates.first(settled, seconds(0), &new));
