--- a/crates/attempt/src/stream.rs
+++ b/crates/attempt/src/stream.rs
@@ -1,10 +1,10 @@
-//! The receiving side of an answer: which frames are the caller's own, in order and whole.
+//! Receiver of an answer, which accepts only the frames of that answer and only in order.
 //!
-//! A frame names the slot incarnation, id, attempt and offset. One that does not fit is dropped and
-//! counted, whatever its cause: crossed, duplicated, reordered, late or truncated. The last frame
-//! carries the answer's length and checksum; without a right one the answer is not whole. After a
-//! lost session the receiver resumes by offset, from the same incarnation only, since another one
-//! can't have the rest of the same answer.
+//! A frame carries the slot incarnation, id, attempt and offset. A frame that does not match is
+//! dropped and counted, whether it belongs to another answer or is duplicated, reordered, late or
+//! truncated. The last frame carries the answer's length and checksum; unless both match, the
+//! answer is incomplete. After a lost session the receiver resumes by offset, but only from the
+//! same incarnation, because another one can't hold the rest of the same answer.
 
 use auburnline_core::hash::Checksum;
 use auburnline_core::id::Attempt;
@@ -12,33 +12,33 @@
 use auburnline_core::id::Offset;
 use auburnline_core::id::RequestId;
 
-/// End of an answer.
+/// Length and checksum of a complete answer, as carried by its last frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Last {
-    /// Length of the whole answer.
+    /// Length of the complete answer, in bytes.
     pub length: Offset,
-    /// Checksum of the whole answer.
+    /// [`Checksum`] of all bytes of the answer.
     pub checksum: u64,
 }
 
 /// One frame of an answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Frame<'a> {
-    /// Incarnation of the slot that sent it.
+    /// Incarnation of the sending slot.
     pub incarnation: Incarnation,
-    /// Request it answers.
+    /// Id of the request that it answers.
     pub id: &'a RequestId,
-    /// Attempt it answers, zero if the caller gave no number.
+    /// Number of the attempt that was admitted, zero if the caller gave none.
     pub attempt: Attempt,
-    /// Position of its first byte.
+    /// Position of the first byte of `bytes` in the answer.
     pub offset: Offset,
-    /// Bytes.
+    /// Part of the answer; may be empty on the last frame.
     pub bytes: &'a [u8],
-    /// Set on the last frame.
+    /// Set on the last frame only.
     pub last: Option<Last>,
 }
 
-/// A checked whole answer.
+/// Complete answer whose length and, if received from its first byte, checksum were verified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Whole {
     length: Offset,
@@ -52,7 +52,7 @@
         self.length
     }
 
-    /// Returns the checksum.
+    /// Returns the checksum that the last frame carried.
     #[must_use]
     pub const fn checksum(&self) -> u64 {
         self.checksum
@@ -62,38 +62,38 @@
 /// Why a frame was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// It is another incarnation's.
+    /// It was sent by another slot incarnation.
     Incarnation,
-    /// It is another request's.
+    /// It answers another request.
     Id,
-    /// It is another attempt's.
+    /// It answers another attempt.
     Attempt,
-    /// Its bytes were passed on before.
+    /// Its offset is before the next expected byte.
     Duplicate,
-    /// Bytes before it are missing.
+    /// Its offset is after the next expected byte.
     Gap,
-    /// It came after the end.
+    /// It arrived after the answer had ended.
     Late,
-    /// Its length or checksum does not fit what was received.
+    /// Its length or checksum does not match the bytes received.
     Damaged,
 }
 
-/// Counts of dropped frames.
+/// Counts of dropped frames by [`Fault`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dropped {
-    /// Frames of another incarnation.
+    /// Frames sent by another slot incarnation.
     pub incarnation: u64,
-    /// Frames of another request.
+    /// Frames that answer another request.
     pub id: u64,
-    /// Frames of another attempt.
+    /// Frames that answer another attempt.
     pub attempt: u64,
-    /// Frames that were passed on before.
+    /// Frames with an offset before the next expected byte.
     pub duplicate: u64,
-    /// Frames after a gap.
+    /// Frames with an offset after the next expected byte.
     pub gap: u64,
-    /// Frames after the end.
+    /// Frames that arrived after the answer had ended.
     pub late: u64,
-    /// Last frames that do not fit.
+    /// Last frames whose length or checksum did not match.
     pub damaged: u64,
 }
 
@@ -124,16 +124,16 @@
     }
 }
 
-/// What a frame that fits brought.
+/// State of the answer after an accepted frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Bytes to pass on; more are to come.
+    /// The frame's bytes are to be passed on; the answer continues.
     More,
-    /// Bytes to pass on, and the answer is whole.
+    /// The frame's bytes are to be passed on; the answer is complete.
     Whole(Whole),
 }
 
-/// Receiver of one answer.
+/// Receiver of one answer, which checks each frame against the expected position.
 #[derive(Clone, Debug)]
 pub struct Receiver {
     incarnation: Incarnation,
@@ -150,11 +150,11 @@
 enum State {
     Open,
     Whole(Whole),
-    Broken,
+    Failed,
 }
 
 impl Receiver {
-    /// Expects an answer from its first byte.
+    /// Creates a receiver of an answer from its first byte.
     #[must_use]
     pub fn new(incarnation: Incarnation, id: RequestId, attempt: Attempt) -> Self {
         Receiver {
@@ -169,9 +169,11 @@
         }
     }
 
-    /// Expects the rest of an answer whose first `start` bytes the caller has from elsewhere.
+    /// Creates a receiver of the rest of an answer from offset `start`; the caller has the bytes
+    /// before.
     ///
-    /// Only the length can be checked then; the caller holds the bytes that the checksum covers.
+    /// If `start` is not zero, only the length is verified: the checksum also covers the earlier
+    /// bytes, which the receiver does not have.
     #[must_use]
     pub fn from_offset(
         incarnation: Incarnation,
@@ -186,38 +188,38 @@
         }
     }
 
-    /// Returns the offset of the next byte, from which to resume.
+    /// Returns the offset of the next expected byte, from which to resume.
     #[must_use]
     pub const fn offset(&self) -> Offset {
         self.offset
     }
 
-    /// Returns the counts of dropped frames.
+    /// Returns the frames dropped so far.
     #[must_use]
     pub const fn dropped(&self) -> Dropped {
         self.dropped
     }
 
-    /// Returns the whole answer once it is.
+    /// Returns the length and checksum of the answer, `None` until it is complete.
     #[must_use]
     pub const fn whole(&self) -> Option<Whole> {
         match self.state {
             State::Whole(whole) => Some(whole),
-            State::Open | State::Broken => None,
+            State::Open | State::Failed => None,
         }
     }
 
-    /// Returns whether the answer can still become whole over a session with `incarnation`.
+    /// Returns whether the answer can still be completed over a session with `incarnation`.
     #[must_use]
     pub fn resumable(&self, incarnation: Incarnation) -> bool {
         self.state == State::Open && self.incarnation == incarnation
     }
 
-    /// Takes a frame; on success its bytes are the caller's next ones.
+    /// Checks a frame. On success its bytes are the next ones to pass to the caller.
     ///
     /// # Errors
     ///
-    /// Returns why the frame was dropped. [`Fault::Damaged`] ends the answer as not whole.
+    /// Returns why the frame was dropped. [`Fault::Damaged`] ends the answer as incomplete.
     pub fn accept(&mut self, frame: &Frame<'_>) -> Result<Progress, Fault> {
         self.check(frame)
             .inspect_err(|&fault| self.dropped.count(fault))?;
@@ -226,8 +228,8 @@
         let Some(last) = frame.last else {
             return Ok(Progress::More);
         };
-        if !self.fits(last) {
-            self.state = State::Broken;
+        if !self.matches_received(last) {
+            self.state = State::Failed;
             self.dropped.count(Fault::Damaged);
             return Err(Fault::Damaged);
         }
@@ -259,32 +261,33 @@
         }
     }
 
-    fn fits(&self, last: Last) -> bool {
-        let same = self.start > 0 || last.checksum == self.checksum.value();
-        same && last.length == self.offset
+    fn matches_received(&self, last: Last) -> bool {
+        let checksum_matches = self.start > 0 || last.checksum == self.checksum.value();
+        checksum_matches && last.length == self.offset
     }
 }
 
-/// Order of the messages of one session, so that a duplicate is never taken twice.
+/// Sequence check of one direction of a session, which drops duplicated and reordered messages.
 ///
-/// A refusal is remembered by nobody; its proof needs that the refused submission can't arrive a
-/// second time. Each message of a session carries a number that grows by one; any other is dropped.
+/// A refusal proves "not run" only if the refused submission can't arrive a second time, because
+/// temporary refusals are not recorded. So each message of a session carries a number that grows by
+/// one, and a message with any other number is dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sequence {
     next: u64,
 }
 
 impl Sequence {
-    /// Returns the number that the next message must have.
+    /// Returns the number that the next message must carry; the first is zero.
     #[must_use]
     pub const fn next(&self) -> u64 {
         self.next
     }
 
-    /// Returns whether message `number` is the next one, and moves on if it is.
+    /// Returns whether message `number` is the next one, and advances if it is.
     pub fn accept(&mut self, number: u64) -> bool {
-        let next = number == self.next;
-        self.next += u64::from(next);
-        next
+        let is_next = number == self.next;
+        self.next += u64::from(is_next);
+        is_next
     }
 }
