--- a/crates/attempt/src/outcome.rs
+++ b/crates/attempt/src/outcome.rs
@@ -1,9 +1,9 @@
-//! How an attempt ends, and the proofs without which "not run" can't be said.
+//! Outcomes of attempts, and the proofs that a "not run" outcome requires.
 //!
 //! A [`NotRun`] holds a [`Proof`], and a proof has no public constructor: it comes from an attempt
 //! that was never sent, from a slot's refusal of exactly that send, or from a claim that has fenced
-//! every slot that could have run the request. "Not run" speaks of the request, so a later attempt
-//! needs more proof than that it did not run itself.
+//! every slot that could have run the request. "Not run" is a statement about the request, so it is
+//! not enough for a later attempt to prove that it did not run itself.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 use crate::stream::Whole;
 
-/// Time to come back when a kind names none.
+/// Retry delay for kinds that define none.
 const DEFAULT_RETRY: Duration = Duration::from_secs(1);
 
 /// Proof that a request was not run and will not be.
@@ -21,21 +21,22 @@
 pub enum Proof {
     /// It was a first attempt and was never sent.
     NeverSent(NeverSent),
-    /// It was a first attempt and the one slot that got it refused it.
+    /// It was a first attempt and each slot that received it refused it, or the key belongs to
+    /// another request.
     Refused(Refused),
-    /// Every slot that could have run it has refused it for good.
+    /// Every slot that could have run it has permanently refused it.
     Fenced(Fenced),
 }
 
-/// Proof by never having been sent.
+/// Evidence that no attempt was sent; only this crate can create it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NeverSent(());
 
-/// Proof by a slot's refusal.
+/// Evidence from a slot's refusal; only this crate can create it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused(());
 
-/// Proof by fences at every slot.
+/// Evidence from fences at every slot; only this crate can create it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fenced(());
 
@@ -65,12 +66,13 @@
 }
 
 impl NotRun {
-    /// Pairs a kind whose fate is "not run" with its proof; any other kind becomes `Fenced`.
+    /// Combines a kind whose fate is "not run" with its proof. Any other kind is a bug and becomes
+    /// `Fenced` in release builds.
     pub(crate) fn new(kind: Kind, proof: Proof) -> Self {
         debug_assert_eq!(
             kind.fate(),
             Fate::NotRun,
-            "kind {kind} does not say not run"
+            "kind {kind} does not mean \"not run\""
         );
         let kind = match kind.fate() {
             Fate::NotRun => kind,
@@ -79,65 +81,65 @@
         NotRun { kind, proof }
     }
 
-    /// Returns why it was not run.
+    /// Returns the reason; its fate is always "not run".
     #[must_use]
     pub const fn kind(&self) -> Kind {
         self.kind
     }
 
-    /// Returns the proof.
+    /// Returns how it was proved.
     #[must_use]
     pub const fn proof(&self) -> Proof {
         self.proof
     }
 }
 
-/// Why a fate is not known.
+/// Why a request's fate is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// A later attempt was not sent on, and an earlier one may have run.
+    /// A later attempt was not sent to any slot, and an earlier one may have run.
     NotSent(Kind),
-    /// A slot that may have run an earlier attempt refused this one for now.
+    /// A slot refused this attempt or its claim, but an earlier attempt or another copy may run.
     Refused(Kind),
     /// The session was lost after the send.
     SessionLost,
-    /// A slot that may have run it can't be asked.
+    /// A slot that may have run it can't be reached.
     Unreachable,
     /// A slot that may have run it has restarted since the first send.
     Restarted,
-    /// The slot's call to its upstream was lost.
+    /// The slot lost its upstream during the run.
     UpstreamLost,
-    /// The first send is longer ago than slots keep ids.
+    /// The first send is longer ago than [`crate::ledger::WINDOW`].
     TooOld,
-    /// No slot admits work at present.
+    /// No slot currently admits work.
     NoSlot,
-    /// The pool's slots at the time of the first send are not known.
+    /// Not all slots that the pool had at the time of the first send are known.
     UnknownPool,
-    /// The answer ended without its right last frame.
+    /// The answer ended without a valid last frame.
     Incomplete,
 }
 
-/// A request whose fate is not known.
+/// Outcome of a request whose fate is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unknown {
-    /// Why.
+    /// Why the fate is unknown.
     pub cause: Cause,
-    /// When to come back under the same key.
+    /// Delay after which the caller may retry with the same key.
     pub retry: Duration,
 }
 
 impl Unknown {
-    /// Returns an unknown fate with the usual time to come back.
+    /// Returns an unknown outcome with the retry delay of the cause's kind, or else of 1 s.
     #[must_use]
     pub fn new(cause: Cause) -> Self {
         let retry = match cause {
-            Cause::NotSent(kind) | Cause::Refused(kind) => delay(kind),
+            Cause::NotSent(kind) | Cause::Refused(kind) => retry_delay(kind),
             _ => DEFAULT_RETRY,
         };
         Unknown { cause, retry }
     }
 
-    /// Returns the kind of the answer.
+    /// Returns the error kind that the caller receives.
     #[must_use]
     pub const fn kind(&self) -> Kind {
         match self.cause {
@@ -147,7 +149,7 @@
     }
 }
 
-fn delay(kind: Kind) -> Duration {
+fn retry_delay(kind: Kind) -> Duration {
     match kind.row().retry {
         Return::Now => Duration::ZERO,
         Return::After(delay) => delay,
@@ -155,12 +157,12 @@
     }
 }
 
-/// How a request ends.
+/// Final result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It ran and its answer is whole.
+    /// It ran and its answer is complete.
     Answered(Whole),
-    /// It ran and has no whole answer.
+    /// It ran and has no complete answer.
     Ran(Kind),
     /// It is proved not to have run.
     NotRun(NotRun),
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Returns the kind of the answer, if it is no success.
+    /// Returns the error kind that the caller receives, `None` on success.
     #[must_use]
     pub const fn kind(&self) -> Option<Kind> {
         match self {
