--- a/crates/attempt/src/fingerprint.rs
+++ b/crates/attempt/src/fingerprint.rs
@@ -1,33 +1,34 @@
-//! Fingerprint of a request, to tell a retry from another request under the same key.
+//! Fingerprint of a request, which tells a retry from a different request with the same key.
 //!
-//! It covers the workspace and the work, not the attempt, age or deadline, which differ between
-//! attempts of one request. Two workspaces that use the same key never share an answer.
+//! It covers the workspace and the work but not the attempt, age or deadline, which differ between
+//! attempts of one request. Requests of two workspaces with the same key have different
+//! fingerprints, so they never share an answer.
 
 use auburnline_core::hash::stable;
 use auburnline_core::request::Request;
 use auburnline_core::request::Work;
 
-/// Seed of fingerprints, equal in every process.
+/// Hash seed, which must be equal in every process.
 const SEED: u64 = 0x6175_6275_726e_0002;
 
-/// Fingerprint of a request's workspace and work.
+/// 64-bit hash of a request's workspace and work.
 pub type Fingerprint = u64;
 
-/// Returns the fingerprint of `request`.
+/// Computes the fingerprint of `request`.
 #[must_use]
 pub fn of(request: &Request) -> Fingerprint {
     let mut bytes = Vec::new();
-    put(&mut bytes, request.workspace.as_bytes());
+    append_part(&mut bytes, request.workspace.as_bytes());
     match &request.work {
         Work::Draft {
             model,
             prompt,
             max_tokens,
         } => {
-            put(&mut bytes, b"draft");
-            put(&mut bytes, model.as_bytes());
-            put(&mut bytes, prompt.as_bytes());
-            put(&mut bytes, &max_tokens.to_be_bytes());
+            append_part(&mut bytes, b"draft");
+            append_part(&mut bytes, model.as_bytes());
+            append_part(&mut bytes, prompt.as_bytes());
+            append_part(&mut bytes, &max_tokens.to_be_bytes());
         }
         Work::Call {
             service,
@@ -35,18 +36,18 @@
             path,
             body,
         } => {
-            put(&mut bytes, b"call");
-            put(&mut bytes, service.as_bytes());
-            put(&mut bytes, method.as_bytes());
-            put(&mut bytes, path.as_bytes());
-            put(&mut bytes, body);
+            append_part(&mut bytes, b"call");
+            append_part(&mut bytes, service.as_bytes());
+            append_part(&mut bytes, method.as_bytes());
+            append_part(&mut bytes, path.as_bytes());
+            append_part(&mut bytes, body);
         }
     }
     stable(SEED, &bytes)
 }
 
-/// Appends `part` with its length, so that no two lists of parts give the same bytes.
-fn put(bytes: &mut Vec<u8>, part: &[u8]) {
+/// Appends `part` prefixed with its length, so that different lists of parts give different bytes.
+fn append_part(bytes: &mut Vec<u8>, part: &[u8]) {
     bytes.extend_from_slice(&(part.len() as u64).to_be_bytes());
     bytes.extend_from_slice(part);
 }
