--- a/crates/attempt/examples/options.rs
+++ b/crates/attempt/examples/options.rs
@@ -16,7 +16,7 @@
 #[path = "../tests/model/entry.rs"]
 mod entry;
 #[path = "../tests/model/setting.rs"]
-#[expect(dead_code, reason = "only tests plant defects in the driver")]
+#[expect(dead_code, reason = "only tests defect defects in the driver")]
 mod setting;
 #[path = "../tests/model/slot.rs"]
 mod slot;
@@ -89,7 +89,7 @@
         notice,
         downtime: 2_000,
         faults,
-        plant: None,
+        defect: None,
     }
 }
 
--- a/crates/attempt/tests/model/entry.rs
+++ b/crates/attempt/tests/model/entry.rs
@@ -34,7 +34,7 @@
 use auburnline_core::request::Work;
 use rand::Rng;
 
-use crate::setting::Plant;
+use crate::setting::Defect;
 use crate::wire::Message;
 use crate::wire::Owned;
 use crate::world::Event;
@@ -106,8 +106,8 @@
         let state = self.calls[call].clone();
         let caller = self.requests[state.request].clone();
         // The entry knows the caller's age and, from its connection, how long it was silent.
-        let silence = match self.setting.plant {
-            Some(Plant::NoSilence) => 0,
+        let silence = match self.setting.defect {
+            Some(Defect::NoSilence) => 0,
             _ => self.now - sent,
         };
         let age = sent - caller.first + silence;
@@ -129,7 +129,7 @@
         let attempt = Attempt::new(&request);
         let free = request.idempotent
             || attempt.order() == Order::First
-            || self.setting.plant == Some(Plant::NoClaim);
+            || self.setting.defect == Some(Defect::NoClaim);
         let op = Op {
             first: request.attempt.map(|_| self.now - age),
             request,
@@ -363,7 +363,7 @@
 
     /// An attempt can't come to an end any more.
     fn lose(&mut self, entry: usize, call: usize, attempt: Attempt<Sent>, cause: Cause) {
-        if self.setting.plant == Some(Plant::FalseNotRun) {
+        if self.setting.defect == Some(Defect::FalseNotRun) {
             let request = Request {
                 attempt: Some(1),
                 ..self.entries[entry].ops[&call].request.clone()
@@ -498,7 +498,7 @@
     }
 
     fn take_frame(&mut self, entry: usize, call: usize, frame: &Owned) {
-        let unchecked = self.setting.plant == Some(Plant::NoFrameCheck);
+        let unchecked = self.setting.defect == Some(Defect::NoFrameCheck);
         let Some(op) = self.entries[entry].ops.get_mut(&call) else {
             return;
         };
--- a/crates/attempt/tests/model/main.rs
+++ b/crates/attempt/tests/model/main.rs
@@ -16,14 +16,14 @@
 use auburnline_history::checker::Violation;
 use googletest::prelude::*;
 
+use crate::setting::Defect;
 use crate::setting::Faults;
-use crate::setting::Plant;
 use crate::setting::Setting;
 use crate::world::World;
 
 const EVENTS: u64 = 300_000;
 /// Seeds in which a planted fault must show.
-const PLANT_SEEDS: u64 = 20;
+const DEFECT_SEEDS: u64 = 20;
 
 fn all_faults() -> Setting {
     Setting {
@@ -51,7 +51,7 @@
             late: 10,
             stray: 100,
         },
-        plant: None,
+        defect: None,
     }
 }
 
@@ -118,37 +118,37 @@
 }
 
 /// Checks that `plant` shows as a violation that `expected` knows.
-fn caught(plant: Plant, expected: impl Fn(&Violation) -> bool) {
+fn caught(defect: Defect, expected: impl Fn(&Violation) -> bool) {
     let shows = |seed: &u64| {
         let setting = Setting {
-            plant: Some(plant),
+            defect: Some(defect),
             ..varied(*seed)
         };
         let world = World::run(setting, *seed);
         Checker::check(&world.lines).iter().any(&expected)
     };
-    let seed = (1..=PLANT_SEEDS).find(shows);
-    println!("{plant:?} shows at seed {seed:?}");
-    expect_that!(seed, some(anything()), "{plant:?} is not caught");
+    let seed = (1..=DEFECT_SEEDS).find(shows);
+    println!("{defect:?} shows at seed {seed:?}");
+    expect_that!(seed, some(anything()), "{defect:?} is not caught");
 }
 
 #[gtest]
 fn a_later_attempt_without_a_claim_is_caught() {
-    caught(Plant::NoClaim, |found| {
+    caught(Defect::NoClaim, |found| {
         matches!(found, Violation::Doubled { .. })
     });
 }
 
 #[gtest]
 fn a_request_held_back_longer_than_it_says_is_caught() {
-    caught(Plant::NoSilence, |found| {
+    caught(Defect::NoSilence, |found| {
         matches!(found, Violation::Doubled { .. })
     });
 }
 
 #[gtest]
 fn a_lost_session_told_as_not_run_is_caught() {
-    caught(Plant::FalseNotRun, |found| {
+    caught(Defect::FalseNotRun, |found| {
         matches!(found, Violation::FalseNotRun { .. })
     });
 }
@@ -161,7 +161,7 @@
             Violation::Crossed { .. } | Violation::NotWhole { .. }
         )
     };
-    caught(Plant::NoFrameCheck, wrong);
+    caught(Defect::NoFrameCheck, wrong);
 }
 
 #[gtest]
--- a/crates/attempt/tests/model/setting.rs
+++ b/crates/attempt/tests/model/setting.rs
@@ -6,7 +6,7 @@
 
 /// Deliberate defects of the driver, to show that the checks catch them. The crate has no such switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Plant {
+pub(crate) enum Defect {
     /// Runs a later attempt without a claim.
     NoClaim,
     /// Believes the caller's age and forgets how long the request was on its way.
@@ -60,7 +60,7 @@
     /// Longest downtime of a killed process, in milliseconds.
     pub(crate) downtime: u64,
     pub(crate) faults: Faults,
-    pub(crate) plant: Option<Plant>,
+    pub(crate) defect: Option<Defect>,
 }
 
 /// Counts of a run.
