--- a/crates/attempt/tests/model/entry.rs
+++ b/crates/attempt/tests/model/entry.rs
@@ -37,8 +37,8 @@
 use crate::setting::Defect;
 use crate::wire::Message;
 use crate::wire::Owned;
+use crate::world::Envelope;
 use crate::world::Event;
-use crate::world::Letter;
 use crate::world::World;
 use crate::world::first_view;
 use crate::world::slot_index;
@@ -413,12 +413,12 @@
         }
     }
 
-    pub(crate) fn entry_receives(&mut self, letter: Letter) {
-        let session = letter.session;
+    pub(crate) fn entry_receives(&mut self, envelope: Envelope) {
+        let session = envelope.session;
         let entry = self.sessions[session].entry;
         let slot = slot_name(self.sessions[session].slot);
         let incarnation = self.sessions[session].slot_incarnation;
-        match letter.message {
+        match envelope.message {
             Message::Finding { call, finding } => self.found(entry, call, &slot, &finding),
             Message::Verdict {
                 call,
--- a/crates/attempt/tests/model/slot.rs
+++ b/crates/attempt/tests/model/slot.rs
@@ -14,8 +14,8 @@
 
 use crate::wire::Message;
 use crate::wire::Owned;
+use crate::world::Envelope;
 use crate::world::Event;
-use crate::world::Letter;
 use crate::world::Session;
 use crate::world::World;
 use crate::world::answer_bytes;
@@ -58,14 +58,14 @@
 }
 
 impl World {
-    pub(crate) fn slot_receives(&mut self, session: &Session, letter: Letter) {
-        let (index, from) = (session.slot, letter.session);
+    pub(crate) fn slot_receives(&mut self, session: &Session, envelope: Envelope) {
+        let (index, from) = (session.slot, envelope.session);
         let slot = &self.slots[index];
         if !slot.up || slot.incarnation != session.slot_incarnation {
             return;
         }
         let now = self.clock();
-        match letter.message {
+        match envelope.message {
             Message::Submit { call, submission } => {
                 let verdict = self.slots[index].ledger.submit(now, &submission);
                 let attempt = self.slots[index]
--- a/crates/attempt/tests/model/world.rs
+++ b/crates/attempt/tests/model/world.rs
@@ -41,7 +41,7 @@
 
 /// A message on its way.
 #[derive(Clone, Debug)]
-pub(crate) struct Letter {
+pub(crate) struct Envelope {
     pub(crate) session: usize,
     pub(crate) to_slot: bool,
     pub(crate) number: u64,
@@ -60,7 +60,7 @@
         entry: usize,
         sent: u64,
     },
-    Deliver(Letter),
+    Deliver(Envelope),
     Closed {
         session: usize,
     },
@@ -254,7 +254,7 @@
             Event::NewRequest if open => self.new_request(),
             Event::Send { request } => self.send_call(request),
             Event::Arrive { call, entry, sent } => self.arrive(call, entry, sent),
-            Event::Deliver(letter) => self.deliver(letter),
+            Event::Deliver(envelope) => self.deliver(envelope),
             Event::Closed { session } => self.closed(session),
             Event::Patience { call } => self.patience(call),
             Event::ClaimTimeout { call, incarnation } => self.claim_timeout(call, incarnation),
@@ -496,20 +496,20 @@
         one.sent[way] += 1;
         one.due[way] = one.due[way].max(self.now + delay);
         let wait = one.due[way] - self.now;
-        let letter = Letter {
+        let envelope = Envelope {
             session,
             to_slot,
             number,
             message,
         };
         if self.chance(lost, 1000) {
-            let copy = Event::Deliver(letter.clone());
+            let copy = Event::Deliver(envelope.clone());
             let later = wait + self.up_to(5_000_000);
             self.after(later, copy);
         }
         let swapped = self.chance(lost, 1000);
         let wait = if swapped { delay } else { wait };
-        self.after(wait, Event::Deliver(letter));
+        self.after(wait, Event::Deliver(envelope));
     }
 
     /// Breaks a session; its entry notices after the silence that heartbeats allow.
@@ -526,29 +526,29 @@
         self.after(delay, Event::Closed { session });
     }
 
-    fn deliver(&mut self, letter: Letter) {
-        let one = self.sessions[letter.session].clone();
-        let until = if letter.to_slot {
+    fn deliver(&mut self, envelope: Envelope) {
+        let one = self.sessions[envelope.session].clone();
+        let until = if envelope.to_slot {
             self.slots[one.slot].paused_until
         } else {
             self.entries[one.entry].frozen_until
         };
         if until > self.now {
             let wait = until - self.now;
-            self.after(wait, Event::Deliver(letter));
+            self.after(wait, Event::Deliver(envelope));
             return;
         }
-        let way = usize::from(letter.to_slot);
-        if !self.sessions[letter.session].heard[way].accept(letter.number) {
-            if letter.number >= one.heard[way].next() {
-                self.break_session(letter.session);
+        let way = usize::from(envelope.to_slot);
+        if !self.sessions[envelope.session].heard[way].accept(envelope.number) {
+            if envelope.number >= one.heard[way].next() {
+                self.break_session(envelope.session);
             }
             return;
         }
-        if letter.to_slot {
-            self.slot_receives(&one, letter);
+        if envelope.to_slot {
+            self.slot_receives(&one, envelope);
         } else if self.entries[one.entry].incarnation == one.entry_incarnation {
-            self.entry_receives(letter);
+            self.entry_receives(envelope);
         }
     }
 
