--- a/crates/attempt/examples/options.rs
+++ b/crates/attempt/examples/options.rs
@@ -84,7 +84,7 @@
         candidates,
         numbered,
         idempotent: 0,
-        hasty: 0,
+        impatient: 0,
         lag: 2_000,
         notice,
         downtime: 2_000,
--- a/crates/attempt/tests/model/main.rs
+++ b/crates/attempt/tests/model/main.rs
@@ -35,7 +35,7 @@
         candidates: usize::try_from(number("AUBURNLINE_CANDIDATES", 0)).unwrap_or(0),
         numbered: 80,
         idempotent: 10,
-        hasty: 50,
+        impatient: 50,
         lag: number("AUBURNLINE_LAG_MS", 9_000),
         notice: 3_000,
         downtime: 4_000,
--- a/crates/attempt/tests/model/setting.rs
+++ b/crates/attempt/tests/model/setting.rs
@@ -52,7 +52,7 @@
     /// Requests in 100 that may be repeated.
     pub(crate) idempotent: u32,
     /// Requests in 100 whose caller is impatient and doubles its retries.
-    pub(crate) hasty: u32,
+    pub(crate) impatient: u32,
     /// Longest lag of the published list, in milliseconds.
     pub(crate) lag: u64,
     /// Longest time until a killed slot's sessions are known to be lost, in milliseconds.
--- a/crates/attempt/tests/model/world.rs
+++ b/crates/attempt/tests/model/world.rs
@@ -119,7 +119,7 @@
     pub(crate) id: RequestId,
     pub(crate) numbered: bool,
     pub(crate) idempotent: bool,
-    pub(crate) hasty: bool,
+    pub(crate) impatient: bool,
     pub(crate) first: u64,
     pub(crate) attempts: u32,
     pub(crate) ended: Option<&'static str>,
@@ -303,7 +303,7 @@
             id: Arc::from(format!("r{number}")),
             numbered: self.chance(numbered, 100),
             idempotent: self.chance(idempotent, 100),
-            hasty: self.chance(self.setting.hasty, 100),
+            impatient: self.chance(self.setting.impatient, 100),
             first: self.now,
             attempts: 0,
             ended: None,
@@ -318,7 +318,7 @@
     /// A caller sends its next attempt; a hasty one may send two at once.
     fn send_call(&mut self, request: usize) {
         let doubled = self.requests[request].attempts > 0
-            && self.requests[request].hasty
+            && self.requests[request].impatient
             && self.chance(1, 3);
         for _ in 0..=u32::from(doubled) {
             self.send_one(request);
@@ -339,7 +339,7 @@
             attempt,
             idempotent: one.idempotent,
         });
-        let hasty = one.hasty;
+        let impatient = one.impatient;
         self.log(record);
         self.calls.push(CallState {
             request,
@@ -350,7 +350,7 @@
         let delay = self.request_delay();
         let sent = self.now;
         self.after(delay, Event::Arrive { call, entry, sent });
-        let patience = if hasty { 1_000_000 } else { 5_000_000 };
+        let patience = if impatient { 1_000_000 } else { 5_000_000 };
         self.after(patience, Event::Patience { call });
     }
 
