--- a/crates/attempt/examples/options.rs
+++ b/crates/attempt/examples/options.rs
@@ -74,20 +74,20 @@
     ]
 }
 
-fn setting(candidates: usize, numbered: u32, notice: u64, faults: Faults) -> Setting {
+fn setting(candidates: usize, numbered: u32, detection_ms: u64, faults: Faults) -> Setting {
     Setting {
         slots: 12,
         entries: 6,
         seconds: 600,
-        between: 20_000,
-        service: 400,
+        request_interval_us: 20_000,
+        service_ms: 400,
         candidates,
         numbered,
         idempotent: 0,
         impatient: 0,
-        lag: 2_000,
-        notice,
-        downtime: 2_000,
+        lag_ms: 2_000,
+        detection_ms,
+        downtime_ms: 2_000,
         faults,
         defect: None,
     }
@@ -142,11 +142,11 @@
         );
     }
     for (option, candidates, numbered) in OPTIONS {
-        for (fault, notice, faults) in faults() {
+        for (fault, detection_ms, faults) in faults() {
             let mut total = Report::default();
             let mut violations = 0;
             for seed in first..first + seeds {
-                let world = World::run(setting(candidates, numbered, notice, faults), seed);
+                let world = World::run(setting(candidates, numbered, detection_ms, faults), seed);
                 violations += Checker::check(&world.lines).len();
                 total.add(&world.report);
             }
--- a/crates/attempt/tests/model/main.rs
+++ b/crates/attempt/tests/model/main.rs
@@ -30,15 +30,15 @@
         slots: 6,
         entries: 3,
         seconds: 180,
-        between: 300_000,
-        service: 400,
+        request_interval_us: 300_000,
+        service_ms: 400,
         candidates: usize::try_from(number("AUBURNLINE_CANDIDATES", 0)).unwrap_or(0),
         numbered: 80,
         idempotent: 10,
         impatient: 50,
-        lag: number("AUBURNLINE_LAG_MS", 9_000),
-        notice: 3_000,
-        downtime: 4_000,
+        lag_ms: number("AUBURNLINE_LAG_MS", 9_000),
+        detection_ms: 3_000,
+        downtime_ms: 4_000,
         faults: Faults {
             slot_kill: 15_000,
             slot_pause: 20_000,
@@ -60,7 +60,7 @@
 fn varied(seed: u64) -> Setting {
     let mut setting = all_faults();
     if seed % 8 == 7 {
-        setting.downtime = 500;
+        setting.downtime_ms = 500;
         setting.faults.slot_kill = 3_000;
         setting.faults.entry_kill = 10_000;
         setting.faults.membership = 8_000;
--- a/crates/attempt/tests/model/setting.rs
+++ b/crates/attempt/tests/model/setting.rs
@@ -42,9 +42,9 @@
     pub(crate) entries: usize,
     pub(crate) seconds: u64,
     /// Mean time between new requests, in microseconds.
-    pub(crate) between: u64,
+    pub(crate) request_interval_us: u64,
     /// Mean time of a run at the upstream, in milliseconds.
-    pub(crate) service: u64,
+    pub(crate) service_ms: u64,
     /// Slots by rendezvous that may get a request; zero for all.
     pub(crate) candidates: usize,
     /// Requests in 100 whose caller counts attempts.
@@ -54,11 +54,11 @@
     /// Requests in 100 whose caller is impatient and doubles its retries.
     pub(crate) impatient: u32,
     /// Longest lag of the published list, in milliseconds.
-    pub(crate) lag: u64,
+    pub(crate) lag_ms: u64,
     /// Longest time until a killed slot's sessions are known to be lost, in milliseconds.
-    pub(crate) notice: u64,
+    pub(crate) detection_ms: u64,
     /// Longest downtime of a killed process, in milliseconds.
-    pub(crate) downtime: u64,
+    pub(crate) downtime_ms: u64,
     pub(crate) faults: Faults,
     pub(crate) defect: Option<Defect>,
 }
--- a/crates/attempt/tests/model/slot.rs
+++ b/crates/attempt/tests/model/slot.rs
@@ -120,7 +120,7 @@
     }
 
     fn queue_start(&mut self, slot: usize, id: &RequestId) {
-        let delay = self.up_to(self.setting.service * 200);
+        let delay = self.up_to(self.setting.service_ms * 200);
         let incarnation = self.slots[slot].incarnation;
         let id = id.clone();
         self.after(
@@ -143,7 +143,7 @@
         let (run, upstream) = (one.run, one.name.clone());
         let attempt = one.ledger.attempt(id).unwrap_or(0);
         let id = id.clone();
-        let service = self.setting.service * 1_000;
+        let service = self.setting.service_ms * 1_000;
         let at = self.up_to(service);
         let rest = self.up_to(service);
         let effect = Event::Effect {
--- a/crates/attempt/tests/model/world.rs
+++ b/crates/attempt/tests/model/world.rs
@@ -311,7 +311,7 @@
         self.requests.push(request);
         self.report.requests += 1;
         self.send_call(number);
-        let delay = self.up_to(self.setting.between * 2);
+        let delay = self.up_to(self.setting.request_interval_us * 2);
         self.after(delay, Event::NewRequest);
     }
 
@@ -598,10 +598,10 @@
         self.slots[slot].up = false;
         for session in 0..self.sessions.len() {
             if self.sessions[session].slot == slot {
-                self.break_within(session, self.setting.notice * 1_000);
+                self.break_within(session, self.setting.detection_ms * 1_000);
             }
         }
-        let delay = 100_000 + self.up_to(self.setting.downtime * 1_000);
+        let delay = 100_000 + self.up_to(self.setting.downtime_ms * 1_000);
         self.after(delay, Event::SlotUp(slot));
     }
 
@@ -633,7 +633,7 @@
                 self.sessions[session].broken = true;
             }
         }
-        let delay = 100_000 + self.up_to(self.setting.downtime * 1_000);
+        let delay = 100_000 + self.up_to(self.setting.downtime_ms * 1_000);
         self.after(delay, Event::EntryUp(entry));
     }
 
@@ -675,7 +675,7 @@
         self.revision += 1;
         let (view, revision) = (self.published.clone(), self.revision);
         for entry in 0..self.entries.len() {
-            let lag = self.up_to(self.setting.lag * 1_000);
+            let lag = self.up_to(self.setting.lag_ms * 1_000);
             let view = view.clone();
             self.after(
                 lag,
@@ -688,7 +688,7 @@
             );
         }
         for slot in 0..self.slots.len() {
-            let lag = self.up_to(self.setting.lag * 1_000);
+            let lag = self.up_to(self.setting.lag_ms * 1_000);
             let view = view.clone();
             self.after(
                 lag,
