--- a/crates/attempt/tests/model/entry.rs
+++ b/crates/attempt/tests/model/entry.rs
@@ -549,7 +549,7 @@
     }
 
     /// A session is known to be lost: resumes at the same incarnation, or gives up.
-    pub(crate) fn closed(&mut self, session: usize) {
+    pub(crate) fn session_closed(&mut self, session: usize) {
         let lost = self.sessions[session].clone();
         let entry = lost.entry;
         let one = &mut self.entries[entry];
--- a/crates/attempt/tests/model/world.rs
+++ b/crates/attempt/tests/model/world.rs
@@ -255,7 +255,7 @@
             Event::Send { request } => self.send_call(request),
             Event::Arrive { call, entry, sent } => self.arrive(call, entry, sent),
             Event::Deliver(envelope) => self.deliver(envelope),
-            Event::Closed { session } => self.closed(session),
+            Event::Closed { session } => self.session_closed(session),
             Event::Patience { call } => self.patience(call),
             Event::ClaimTimeout { call, incarnation } => self.claim_timeout(call, incarnation),
             Event::Start {
