--- a/crates/attempt/tests/model/slot.rs
+++ b/crates/attempt/tests/model/slot.rs
@@ -1,4 +1,4 @@
-//! The model's slots and their upstreams.
+//! Slots of the simulation and their upstreams.
 
 use std::collections::BTreeMap;
 
@@ -29,9 +29,9 @@
     pub(crate) ledger: Ledger,
     pub(crate) candidates: Candidates,
     pub(crate) revision: u64,
-    /// Sessions and calls that wait for an id's answer.
+    /// Readers that wait for an id's answer, as session, call and next offset.
     pub(crate) readers: BTreeMap<RequestId, Vec<(usize, usize, u64)>>,
-    /// Runs of the upstream so far; goes on over incarnations.
+    /// Number of runs that the upstream has started, carried over to the slot's next incarnation.
     pub(crate) run: u64,
 }
 
@@ -86,11 +86,11 @@
             }
             Message::Locate { call, id, revision } => {
                 let finding = self.slots[index].ledger.locate(now, &id);
-                self.find(index, from, call, revision, finding);
+                self.send_finding(index, from, call, revision, finding);
             }
             Message::Fence { call, fence } => {
                 let finding = self.slots[index].ledger.fence(now, &fence);
-                self.find(index, from, call, fence.revision, finding);
+                self.send_finding(index, from, call, fence.revision, finding);
             }
             Message::Resume {
                 call,
@@ -106,7 +106,7 @@
         }
     }
 
-    fn find(
+    fn send_finding(
         &mut self,
         index: usize,
         session: usize,
@@ -135,17 +135,17 @@
 
     pub(crate) fn start(&mut self, slot: usize, incarnation: u64, id: &RequestId) {
         let now = self.clock();
-        let one = &mut self.slots[slot];
-        if !one.up || one.incarnation != incarnation || !one.ledger.start(now, id) {
+        let state = &mut self.slots[slot];
+        if !state.up || state.incarnation != incarnation || !state.ledger.start(now, id) {
             return;
         }
-        one.run += 1;
-        let (run, upstream) = (one.run, one.name.clone());
-        let attempt = one.ledger.attempt(id).unwrap_or(0);
+        state.run += 1;
+        let (run, upstream) = (state.run, state.name.clone());
+        let attempt = state.ledger.attempt(id).unwrap_or(0);
         let id = id.clone();
-        let service = self.setting.service_ms * 1_000;
-        let at = self.up_to(service);
-        let rest = self.up_to(service);
+        let service_us = self.setting.service_ms * 1_000;
+        let at = self.up_to(service_us);
+        let rest = self.up_to(service_us);
         let effect = Event::Effect {
             id: id.clone(),
             attempt,
@@ -166,18 +166,18 @@
 
     pub(crate) fn finish(&mut self, slot: usize, incarnation: u64, id: &RequestId, run: u64) {
         let now = self.clock();
-        let one = &mut self.slots[slot];
-        if !one.up || one.incarnation != incarnation {
+        let state = &mut self.slots[slot];
+        if !state.up || state.incarnation != incarnation {
             return;
         }
         let bytes = answer_bytes(id, run);
-        if one.ledger.append(now, id, &bytes) {
-            one.ledger.finish(now, id);
+        if state.ledger.append(now, id, &bytes) {
+            state.ledger.finish(now, id);
         }
         self.stream(slot, id);
     }
 
-    /// The upstream dies: what runs is lost to its slot, though it may still have its effect.
+    /// Kills the upstream. The slot loses its running requests, whose effects may still happen.
     pub(crate) fn kill_upstream(&mut self, slot: usize) {
         let now = self.clock();
         let ids: Vec<RequestId> = self.slots[slot].readers.keys().cloned().collect();
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Sends what there is of an answer to all who wait for it.
+    /// Sends the available part of an answer to all of its readers.
     fn stream(&mut self, slot: usize, id: &RequestId) {
         let readers = self.slots[slot].readers.remove(id).unwrap_or_default();
         for (session, call, offset) in readers {
@@ -209,18 +209,18 @@
         call: usize,
         offset: u64,
     ) -> (Vec<Message>, bool) {
-        let one = &self.slots[slot];
-        let incarnation = one.incarnation;
+        let state = &self.slots[slot];
+        let incarnation = state.incarnation;
         let end = |kind| vec![Message::End { call, kind }];
         let mut messages = Vec::new();
         let mut offset = offset;
         loop {
-            match one.ledger.read(id, offset, 8) {
+            match state.ledger.read(id, offset, 8) {
                 Chunk::Bytes { bytes, last } if last.is_some() || !bytes.is_empty() => {
                     let frame = Owned {
                         incarnation,
                         id: id.clone(),
-                        attempt: one.ledger.attempt(id).unwrap_or(0),
+                        attempt: state.ledger.attempt(id).unwrap_or(0),
                         offset,
                         bytes: bytes.to_vec(),
                         last,
