--- a/crates/attempt/tests/model/entry.rs
+++ b/crates/attempt/tests/model/entry.rs
@@ -1,4 +1,4 @@
-//! The model's entries.
+//! Entries of the simulation.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -44,11 +44,11 @@
 use crate::world::slot_index;
 use crate::world::slot_name;
 
-/// Most slots that a free attempt is sent to one after the other.
+/// Greatest number of slots to which an attempt without a claim is sent, one after the other.
 const MAX_TRIES: u32 = 3;
-/// Time after which a claim takes a silent slot as unreachable.
-const ASK_TIMEOUT: u64 = 1_000_000;
-/// Most strays kept to slip in.
+/// Time after which a claim treats a slot that has not responded as unreachable, in microseconds.
+const CLAIM_TIMEOUT_US: u64 = 1_000_000;
+/// Greatest number of frames kept for injection as stray frames.
 const MAX_STRAYS: usize = 256;
 
 pub(crate) struct Entry {
@@ -75,18 +75,19 @@
     }
 }
 
-/// A request that an entry works on.
+/// A request that an entry is handling.
 pub(crate) struct Op {
     request: Request,
-    /// Earliest time at which the caller can have sent it first, as this entry knows.
+    /// Earliest possible time of the caller's first send, as far as this entry knows.
     first: Option<u64>,
     arrived: u64,
     tries: u32,
     stage: Stage,
 }
 
+/// Stage of an operation; `Detached` while the code that handles it holds the attempt.
 enum Stage {
-    Moving,
+    Detached,
     Claiming(Attempt<Fresh>, Claim),
     Submitted(Attempt<Sent>, usize),
     Streaming(Attempt<Sent>, Box<Receiver>, usize, Vec<u8>),
@@ -94,18 +95,19 @@
 
 impl World {
     pub(crate) fn arrive(&mut self, call: usize, entry: usize, sent: u64) {
-        let one = &self.entries[entry];
-        if !one.up {
+        let entry_state = &self.entries[entry];
+        if !entry_state.up {
             return;
         }
-        if one.frozen_until > self.now {
-            let wait = one.frozen_until - self.now;
+        if entry_state.frozen_until > self.now {
+            let wait = entry_state.frozen_until - self.now;
             self.after(wait, Event::Arrive { call, entry, sent });
             return;
         }
-        let state = self.calls[call].clone();
-        let caller = self.requests[state.request].clone();
-        // The entry knows the caller's age and, from its connection, how long it was silent.
+        let call_state = self.calls[call].clone();
+        let caller = self.requests[call_state.request].clone();
+        // The entry adds to the stated age how long the connection was silent, which is the
+        // request's time in transit here.
         let silence = match self.setting.defect {
             Some(Defect::NoSilence) => 0,
             _ => self.now - sent,
@@ -113,7 +115,7 @@
         let age = sent - caller.first + silence;
         let request = Request {
             id: caller.id.clone(),
-            attempt: state.attempt,
+            attempt: call_state.attempt,
             age: Duration::from_micros(age),
             workspace: Arc::from("desk"),
             priority: Priority::Normal,
@@ -127,7 +129,7 @@
             },
         };
         let attempt = Attempt::new(&request);
-        let free = request.idempotent
+        let needs_no_claim = request.idempotent
             || attempt.order() == Order::First
             || self.setting.defect == Some(Defect::NoClaim);
         let op = Op {
@@ -135,19 +137,19 @@
             request,
             arrived: self.now,
             tries: 0,
-            stage: Stage::Moving,
+            stage: Stage::Detached,
         };
         self.entries[entry].ops.insert(call, op);
-        if free {
-            self.send_free(entry, call, attempt, Kind::Unreachable);
+        if needs_no_claim {
+            self.send_unclaimed(entry, call, attempt, Kind::Unreachable);
         } else {
             self.report.later += 1;
             self.claim(entry, call, attempt);
         }
     }
 
-    /// Sends an attempt to any slot that it may go to.
-    fn send_free(&mut self, entry: usize, call: usize, attempt: Attempt<Fresh>, kind: Kind) {
+    /// Sends an attempt, without a claim, to a random slot that may get it.
+    fn send_unclaimed(&mut self, entry: usize, call: usize, attempt: Attempt<Fresh>, kind: Kind) {
         let op = &self.entries[entry].ops[&call];
         let sessions = self.usable(entry, op);
         let tries = op.tries;
@@ -160,17 +162,18 @@
         self.submit(entry, call, attempt, session);
     }
 
-    /// Returns the sessions over which a free attempt may go: up since before the first send.
+    /// Returns the sessions over which an attempt without a claim may be sent. For non-idempotent
+    /// work they must be older than the first send, and their slots must have settled.
     fn usable(&self, entry: usize, op: &Op) -> Vec<usize> {
-        let one = &self.entries[entry];
-        let all: Vec<InstanceId> = one.candidates.current().cloned().collect();
+        let entry_state = &self.entries[entry];
+        let all: Vec<InstanceId> = entry_state.candidates.current().cloned().collect();
         let now = self.clock();
         let age = Duration::from_micros(op.first.map_or(0, |first| self.now - first));
         let fits = |name: &InstanceId| {
-            let session = *one.sessions.get(&slot_index(name))?;
+            let session = *entry_state.sessions.get(&slot_index(name))?;
             let since = self.sessions[session].since;
             let before = since == 0 || op.first.is_some_and(|first| since <= first);
-            let settled = one.candidates.first(now, age, name);
+            let settled = entry_state.candidates.first(now, age, name);
             (op.request.idempotent || (before && settled)).then_some(session)
         };
         let subset = self.subset(&op.request.id, all);
@@ -178,8 +181,8 @@
     }
 
     fn submit(&mut self, entry: usize, call: usize, attempt: Attempt<Fresh>, session: usize) {
-        let one = &self.sessions[session];
-        let (slot, incarnation) = (slot_name(one.slot), one.slot_incarnation);
+        let target = &self.sessions[session];
+        let (slot, incarnation) = (slot_name(target.slot), target.slot_incarnation);
         let wait = self.now - self.entries[entry].ops[&call].arrived;
         self.report.waits.push(wait);
         let sent = attempt.send(slot, incarnation);
@@ -214,36 +217,36 @@
 
     fn claim(&mut self, entry: usize, call: usize, attempt: Attempt<Fresh>) {
         let now = self.clock();
-        let one = &self.entries[entry];
-        let op = &one.ops[&call];
+        let entry_state = &self.entries[entry];
+        let op = &entry_state.ops[&call];
         let id = op.request.id.clone();
         let age = op
             .first
             .map(|first| Duration::from_micros(self.now - first));
-        let Some(cover) = one.candidates.cover(now, age.unwrap_or(WINDOW)) else {
+        let Some(cover) = entry_state.candidates.cover(now, age.unwrap_or(WINDOW)) else {
             let outcome = Outcome::Unknown(Unknown::new(Cause::UnknownPool));
             self.end(entry, call, &outcome, &[]);
             return;
         };
-        let current: Vec<InstanceId> = one.candidates.current().cloned().collect();
+        let current: Vec<InstanceId> = entry_state.candidates.current().cloned().collect();
         let goal = Goal {
             id: id.clone(),
             fingerprint: fingerprint::of(&op.request),
             age,
             cover: self.subset(&id, cover),
             admitting: self.subset(&id, current),
-            known_for: one.candidates.known_for(now),
-            revision: one.revision,
+            known_for: entry_state.candidates.known_for(now),
+            revision: entry_state.revision,
             aim: Aim::Run,
         };
         let (claim, step) = Claim::begin(now, goal);
-        let incarnation = one.incarnation;
+        let incarnation = entry_state.incarnation;
         self.op(entry, call).stage = Stage::Claiming(attempt, claim);
-        self.after(ASK_TIMEOUT, Event::ClaimTimeout { call, incarnation });
+        self.after(CLAIM_TIMEOUT_US, Event::ClaimTimeout { call, incarnation });
         self.step(entry, call, step);
     }
 
-    /// Carries out what a claim says.
+    /// Carries out a claim's next step.
     fn step(&mut self, entry: usize, call: usize, step: Step) {
         let name = match &step {
             Step::Ask(_) => "asked",
@@ -279,7 +282,7 @@
 
     fn ask(&mut self, entry: usize, call: usize, ask: Ask) {
         let Some(session) = self.session(entry, slot_index(&ask.slot)) else {
-            self.refused_by_network(entry, call, &ask.slot);
+            self.mark_unreachable(entry, call, &ask.slot);
             return;
         };
         self.report.messages += 1;
@@ -290,7 +293,7 @@
         self.post(session, true, message);
     }
 
-    fn refused_by_network(&mut self, entry: usize, call: usize, slot: &InstanceId) {
+    fn mark_unreachable(&mut self, entry: usize, call: usize, slot: &InstanceId) {
         let Some(op) = self.entries[entry].ops.get_mut(&call) else {
             return;
         };
@@ -306,7 +309,7 @@
     }
 
     fn take_fresh(&mut self, entry: usize, call: usize) -> Attempt<Fresh> {
-        match std::mem::replace(&mut self.op(entry, call).stage, Stage::Moving) {
+        match std::mem::replace(&mut self.op(entry, call).stage, Stage::Detached) {
             Stage::Claiming(attempt, _) => attempt,
             _ => panic!("a claim holds its attempt"),
         }
@@ -361,7 +364,7 @@
         self.post(from, true, message);
     }
 
-    /// An attempt can't come to an end any more.
+    /// Handles the loss of a sent attempt: repeats idempotent work, otherwise ends it as unknown.
     fn lose(&mut self, entry: usize, call: usize, attempt: Attempt<Sent>, cause: Cause) {
         if self.setting.defect == Some(Defect::FalseNotRun) {
             let request = Request {
@@ -372,7 +375,7 @@
             return self.end(entry, call, &outcome, &[]);
         }
         match attempt.repeat() {
-            Ok(fresh) => self.send_free(entry, call, fresh, Kind::Unreachable),
+            Ok(fresh) => self.send_unclaimed(entry, call, fresh, Kind::Unreachable),
             Err(attempt) => self.end(entry, call, &attempt.lost(cause), &[]),
         }
     }
@@ -409,7 +412,7 @@
         };
         let silent: Vec<InstanceId> = claim.awaited().cloned().collect();
         for slot in silent {
-            self.refused_by_network(entry, call, &slot);
+            self.mark_unreachable(entry, call, &slot);
         }
     }
 
@@ -419,21 +422,21 @@
         let slot = slot_name(self.sessions[session].slot);
         let incarnation = self.sessions[session].slot_incarnation;
         match envelope.message {
-            Message::Finding { call, finding } => self.found(entry, call, &slot, &finding),
+            Message::Finding { call, finding } => self.on_finding(entry, call, &slot, &finding),
             Message::Verdict {
                 call,
                 verdict,
                 attempt,
             } => {
-                self.decided(entry, call, &slot, session, verdict, attempt);
+                self.on_verdict(entry, call, &slot, session, verdict, attempt);
             }
-            Message::Frame { call, frame } => self.framed(entry, call, &frame),
-            Message::End { call, kind, .. } => self.ended(entry, call, &slot, incarnation, kind),
+            Message::Frame { call, frame } => self.on_frame(entry, call, &frame),
+            Message::End { call, kind, .. } => self.on_end(entry, call, &slot, incarnation, kind),
             _ => {}
         }
     }
 
-    fn found(&mut self, entry: usize, call: usize, slot: &InstanceId, finding: &Finding) {
+    fn on_finding(&mut self, entry: usize, call: usize, slot: &InstanceId, finding: &Finding) {
         let now = self.clock();
         let Some(op) = self.entries[entry].ops.get_mut(&call) else {
             return;
@@ -444,7 +447,7 @@
         }
     }
 
-    fn decided(
+    fn on_verdict(
         &mut self,
         entry: usize,
         call: usize,
@@ -456,7 +459,7 @@
         let Some(op) = self.entries[entry].ops.get_mut(&call) else {
             return;
         };
-        let stage = std::mem::replace(&mut op.stage, Stage::Moving);
+        let stage = std::mem::replace(&mut op.stage, Stage::Detached);
         let Stage::Submitted(attempt, at) = stage else {
             op.stage = stage;
             return;
@@ -473,7 +476,7 @@
             Verdict::Unsure => self.lose(entry, call, attempt, Cause::Restarted),
             Verdict::Dropped => {}
             Verdict::Refused(refusal) => match attempt.refused(slot, &refusal) {
-                Refusable::Free(fresh) => self.send_free(entry, call, fresh, refusal.kind),
+                Refusable::Free(fresh) => self.send_unclaimed(entry, call, fresh, refusal.kind),
                 Refusable::Ended(outcome) => self.end(entry, call, &outcome, &[]),
                 Refusable::Foreign(attempt) => {
                     self.op(entry, call).stage = Stage::Submitted(attempt, at);
@@ -482,7 +485,7 @@
         }
     }
 
-    fn framed(&mut self, entry: usize, call: usize, frame: &Owned) {
+    fn on_frame(&mut self, entry: usize, call: usize, frame: &Owned) {
         let stray = self.setting.faults.stray;
         if !self.strays.is_empty() && self.chance(stray, 1000) {
             let index = self.rng.random_range(0..self.strays.len());
@@ -524,7 +527,7 @@
         }
     }
 
-    fn ended(
+    fn on_end(
         &mut self,
         entry: usize,
         call: usize,
@@ -548,21 +551,22 @@
         }
     }
 
-    /// A session is known to be lost: resumes at the same incarnation, or gives up.
+    /// Handles the detected loss of a session: resumes its requests at the same slot incarnation,
+    /// or treats them as lost.
     pub(crate) fn session_closed(&mut self, session: usize) {
         let lost = self.sessions[session].clone();
         let entry = lost.entry;
-        let one = &mut self.entries[entry];
-        if one.incarnation != lost.entry_incarnation || !one.up {
+        let entry_state = &mut self.entries[entry];
+        if entry_state.incarnation != lost.entry_incarnation || !entry_state.up {
             return;
         }
-        if one.frozen_until > self.now {
-            let wait = one.frozen_until - self.now;
+        if entry_state.frozen_until > self.now {
+            let wait = entry_state.frozen_until - self.now;
             self.after(wait, Event::Closed { session });
             return;
         }
-        if one.sessions.get(&lost.slot) == Some(&session) {
-            one.sessions.remove(&lost.slot);
+        if entry_state.sessions.get(&lost.slot) == Some(&session) {
+            entry_state.sessions.remove(&lost.slot);
         }
         let uses = |(call, op): (&usize, &Op)| match &op.stage {
             Stage::Submitted(_, at) | Stage::Streaming(_, _, at, _) => {
@@ -570,7 +574,7 @@
             }
             _ => None,
         };
-        let waiting: Vec<usize> = one.ops.iter().filter_map(uses).collect();
+        let waiting: Vec<usize> = entry_state.ops.iter().filter_map(uses).collect();
         let Some(newer) = self.session(entry, lost.slot) else {
             self.after(500_000, Event::Closed { session });
             return;
@@ -582,7 +586,7 @@
 
     fn resume(&mut self, entry: usize, call: usize, session: usize) {
         let incarnation = self.sessions[session].slot_incarnation;
-        let stage = std::mem::replace(&mut self.op(entry, call).stage, Stage::Moving);
+        let stage = std::mem::replace(&mut self.op(entry, call).stage, Stage::Detached);
         match stage {
             Stage::Submitted(mut attempt, _) if attempt.target().1 == incarnation => {
                 attempt.send_again();
@@ -603,7 +607,7 @@
             }
             Stage::Submitted(attempt, _) => self.lose(entry, call, attempt, Cause::SessionLost),
             Stage::Streaming(attempt, ..) => self.lose(entry, call, attempt, Cause::Incomplete),
-            Stage::Moving | Stage::Claiming(..) => {}
+            Stage::Detached | Stage::Claiming(..) => {}
         }
     }
 }
