--- a/crates/attempt/tests/model/wire.rs
+++ b/crates/attempt/tests/model/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between the model's entries and slots.
+//! Messages between the entries and slots of the simulation.
 
 use auburnline_attempt::ledger::Fence;
 use auburnline_attempt::ledger::Finding;
@@ -9,7 +9,7 @@
 use auburnline_core::error::Kind;
 use auburnline_core::id::RequestId;
 
-/// A message with the call that it is for.
+/// A message together with the call that it belongs to.
 #[derive(Clone, Debug)]
 pub(crate) enum Message {
     Submit {
@@ -50,7 +50,7 @@
     },
 }
 
-/// A frame that owns its parts.
+/// An owned copy of a [`Frame`].
 #[derive(Clone, Debug)]
 pub(crate) struct Owned {
     pub(crate) incarnation: u64,
