--- a/crates/attempt/tests/model/setting.rs
+++ b/crates/attempt/tests/model/setting.rs
@@ -1,23 +1,24 @@
-//! Settings of a model run.
+//! Settings and counts of a simulation run.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
 use std::fmt::Formatter;
 
-/// Deliberate defects of the driver, to show that the checks catch them. The crate has no such switch.
+/// Defects that the simulation can inject into its own entries, to show that the checks detect
+/// them. The crate itself has no such option.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Defect {
     /// Runs a later attempt without a claim.
     NoClaim,
-    /// Believes the caller's age and forgets how long the request was on its way.
+    /// Uses the age that the caller stated, without the request's time in transit.
     NoSilence,
-    /// Says "not run" when a session is lost.
+    /// Reports "not run" when a session is lost.
     FalseNotRun,
-    /// Passes on every frame that arrives.
+    /// Passes on every received frame unchecked.
     NoFrameCheck,
 }
 
-/// Mean times between faults, in milliseconds; zero for never.
+/// Mean times between faults, in milliseconds; zero disables a fault.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
     pub(crate) slot_kill: u64,
@@ -27,15 +28,16 @@
     pub(crate) upstream_kill: u64,
     pub(crate) partition: u64,
     pub(crate) membership: u64,
-    /// Messages in 1,000 that are lost with their session, and as many doubled and swapped.
+    /// Messages in 1,000 that are lost together with their session; as many are duplicated, and as
+    /// many reordered.
     pub(crate) lost: u32,
-    /// Messages in 1,000 that are late by up to 50 s, and requests by up to 60 s.
+    /// Messages in 1,000 that are delayed by up to 50 s, and requests in 1,000 by up to 60 s.
     pub(crate) late: u32,
-    /// Frames in 1,000 beside which a stray one arrives.
+    /// Frames in 1,000 before which a copy of an earlier frame is injected.
     pub(crate) stray: u32,
 }
 
-/// Settings of a run.
+/// Settings of a simulation run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Setting {
     pub(crate) slots: usize,
@@ -45,46 +47,46 @@
     pub(crate) request_interval_us: u64,
     /// Mean time of a run at the upstream, in milliseconds.
     pub(crate) service_ms: u64,
-    /// Slots by rendezvous that may get a request; zero for all.
+    /// Number of slots, by rendezvous order, that may get a request; zero for all.
     pub(crate) candidates: usize,
-    /// Requests in 100 whose caller counts attempts.
+    /// Requests in 100 whose caller numbers its attempts.
     pub(crate) numbered: u32,
-    /// Requests in 100 that may be repeated.
+    /// Requests in 100 that are idempotent.
     pub(crate) idempotent: u32,
-    /// Requests in 100 whose caller is impatient and doubles its retries.
+    /// Requests in 100 whose caller has a short timeout and sends some retries twice at once.
     pub(crate) impatient: u32,
-    /// Longest lag of the published list, in milliseconds.
+    /// Greatest lag of the published list, in milliseconds.
     pub(crate) lag_ms: u64,
-    /// Longest time until a killed slot's sessions are known to be lost, in milliseconds.
+    /// Greatest time until entries detect the loss of a killed slot's sessions, in milliseconds.
     pub(crate) detection_ms: u64,
-    /// Longest downtime of a killed process, in milliseconds.
+    /// Greatest downtime of a killed process beyond the fixed 100 ms, in milliseconds.
     pub(crate) downtime_ms: u64,
     pub(crate) faults: Faults,
     pub(crate) defect: Option<Defect>,
 }
 
-/// Counts of a run.
+/// Counts of one or several runs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Report {
-    /// Events handled.
+    /// Number of simulation events handled.
     pub(crate) events: u64,
-    /// Requests.
+    /// Number of distinct requests, not counting repeated attempts.
     pub(crate) requests: u64,
-    /// Requests by how their last answer ended.
+    /// Requests by the outcome of their last answer; `answered` stays once reached.
     pub(crate) ends: BTreeMap<&'static str, u64>,
     /// Unknown answers by cause.
     pub(crate) causes: BTreeMap<String, u64>,
     /// Faults by kind.
     pub(crate) faults: BTreeMap<&'static str, u64>,
-    /// Questions and submissions between entries and slots.
+    /// Queries and submissions sent from entries to slots; resent submissions count again.
     pub(crate) messages: u64,
-    /// Times from a request's arrival at an entry to its submission, in microseconds.
+    /// Times from an attempt's arrival at an entry to each of its submissions, in microseconds.
     pub(crate) waits: Vec<u64>,
     /// Frames dropped by receivers.
     pub(crate) dropped: u64,
-    /// Later attempts.
+    /// Attempts that needed a claim.
     pub(crate) later: u64,
-    /// Claims by how they ended.
+    /// Steps of claims by kind.
     pub(crate) claims: BTreeMap<&'static str, u64>,
 }
 
