--- a/crates/attempt/tests/model/main.rs
+++ b/crates/attempt/tests/model/main.rs
@@ -1,8 +1,8 @@
-//! Randomised runs of ledgers, claims, attempts and streams under all faults at once.
+//! Randomised simulation of ledgers, claims, attempts and streams under all faults at once.
 //!
-//! `AUBURNLINE_SEED` sets the first seed and `AUBURNLINE_EVENTS` the number of events to reach. To
-//! go beyond the limits that the design names, `AUBURNLINE_LAG_MS` sets the longest lag of the list
-//! and `AUBURNLINE_CANDIDATES` the number of slots that may get a request.
+//! `AUBURNLINE_SEED` sets the first seed and `AUBURNLINE_EVENTS` the number of events to reach.
+//! `AUBURNLINE_LAG_MS` (greatest lag of the list) and `AUBURNLINE_CANDIDATES` (number of slots that
+//! may get a request) allow runs beyond the limits that the design states.
 
 mod entry;
 mod setting;
@@ -21,8 +21,9 @@
 use crate::setting::Setting;
 use crate::world::World;
 
-const EVENTS: u64 = 300_000;
-/// Seeds in which a planted fault must show.
+/// Default number of events to reach.
+const MIN_EVENTS: u64 = 300_000;
+/// Number of seeds within which an injected defect must be detected.
 const DEFECT_SEEDS: u64 = 20;
 
 fn all_faults() -> Setting {
@@ -55,8 +56,8 @@
     }
 }
 
-/// Makes faults rarer at most seeds, so that claims also succeed, and at one in eight restarts
-/// nearly everything while the list changes.
+/// Varies the fault rates by seed. Most seeds have rarer faults, so that claims also succeed; one
+/// in eight restarts slots and entries often while the list changes.
 fn varied(seed: u64) -> Setting {
     let mut setting = all_faults();
     if seed % 8 == 7 {
@@ -88,7 +89,7 @@
 #[gtest]
 fn nothing_is_doubled_crossed_or_falsely_not_run_under_all_faults() {
     let first = number("AUBURNLINE_SEED", 1);
-    let goal = number("AUBURNLINE_EVENTS", EVENTS);
+    let goal = number("AUBURNLINE_EVENTS", MIN_EVENTS);
     let mut events = 0;
     let mut total = setting::Report::default();
     let mut seed = first;
@@ -103,23 +104,23 @@
     println!("seeds {first}..{seed}: {total}");
 }
 
-/// Seeds at which a run was once doubled. At the first two, a fresh entry whose list was newer than
-/// all slots' missed a slot that had left; at the third, a paused entry sent a first attempt to a
-/// slot that had joined since; at the last, an entry and all slots that it asked had started after a
-/// slot had left.
-const ONCE_DOUBLED: [u64; 4] = [1080, 1804, 2248, 1335];
+/// Seeds that guard against past double runs. In the first two, a newly started entry with a newer
+/// list than all slots did not query a removed slot. In the third, an entry that had been paused
+/// sent a first attempt to a slot that had joined in the meantime. In the last, an entry and all
+/// slots that it queried had started after a slot was removed.
+const DOUBLE_RUN_SEEDS: [u64; 4] = [1080, 1804, 2248, 1335];
 
 #[gtest]
 fn the_seeds_that_once_doubled_a_run_pass() {
-    for seed in ONCE_DOUBLED {
+    for seed in DOUBLE_RUN_SEEDS {
         let found = Checker::check(&World::run(varied(seed), seed).lines);
         expect_that!(found, is_empty(), "seed {seed}");
     }
 }
 
-/// Checks that `plant` shows as a violation that `expected` knows.
-fn caught(defect: Defect, expected: impl Fn(&Violation) -> bool) {
-    let shows = |seed: &u64| {
+/// Checks that the checker reports `defect` as a violation that matches `expected`.
+fn expect_detected(defect: Defect, expected: impl Fn(&Violation) -> bool) {
+    let is_detected = |seed: &u64| {
         let setting = Setting {
             defect: Some(defect),
             ..varied(*seed)
@@ -127,41 +128,41 @@
         let world = World::run(setting, *seed);
         Checker::check(&world.lines).iter().any(&expected)
     };
-    let seed = (1..=DEFECT_SEEDS).find(shows);
+    let seed = (1..=DEFECT_SEEDS).find(is_detected);
     println!("{defect:?} shows at seed {seed:?}");
     expect_that!(seed, some(anything()), "{defect:?} is not caught");
 }
 
 #[gtest]
 fn a_later_attempt_without_a_claim_is_caught() {
-    caught(Defect::NoClaim, |found| {
+    expect_detected(Defect::NoClaim, |found| {
         matches!(found, Violation::Doubled { .. })
     });
 }
 
 #[gtest]
 fn a_request_held_back_longer_than_it_says_is_caught() {
-    caught(Defect::NoSilence, |found| {
+    expect_detected(Defect::NoSilence, |found| {
         matches!(found, Violation::Doubled { .. })
     });
 }
 
 #[gtest]
 fn a_lost_session_told_as_not_run_is_caught() {
-    caught(Defect::FalseNotRun, |found| {
+    expect_detected(Defect::FalseNotRun, |found| {
         matches!(found, Violation::FalseNotRun { .. })
     });
 }
 
 #[gtest]
 fn frames_taken_unchecked_are_caught() {
-    let wrong = |found: &Violation| {
+    let is_wrong_answer = |found: &Violation| {
         matches!(
             found,
             Violation::Crossed { .. } | Violation::NotWhole { .. }
         )
     };
-    caught(Defect::NoFrameCheck, wrong);
+    expect_detected(Defect::NoFrameCheck, is_wrong_answer);
 }
 
 #[gtest]
