--- a/crates/attempt/tests/model/world.rs
+++ b/crates/attempt/tests/model/world.rs
@@ -1,9 +1,10 @@
-//! A driver of the crate's decisions under an adversarial network, in virtual time.
+//! Deterministic simulation of the crate under an adversarial network, in virtual time.
 //!
-//! Entries, slots and callers are thin: they carry out what the decisions say. The network may lose
-//! a session with any message, hold messages and requests back for long, and slip stray frames in.
-//! A session's messages are numbered; messages of an older session may come after a newer one's.
-//! Effects happen at upstreams, which go on when their slot dies. Everything comes from one seed.
+//! Entries, slots and callers only carry out the crate's decisions. The network may lose a session
+//! at any message, delay messages and requests for a long time, and inject stray frames. A
+//! session's messages are numbered; messages of an older session may arrive after those of a newer
+//! one. Effects happen at upstreams, which keep running when their slot dies. One seed determines
+//! the whole run.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -36,10 +37,10 @@
 use crate::slot::Slot;
 use crate::wire::Message;
 
-/// Most attempts of one request.
+/// Greatest number of attempts of one request.
 const MAX_ATTEMPTS: u32 = 5;
 
-/// A message on its way.
+/// A message in transit over a session, with its sequence number.
 #[derive(Clone, Debug)]
 pub(crate) struct Envelope {
     pub(crate) session: usize,
@@ -48,7 +49,7 @@
     pub(crate) message: Message,
 }
 
-/// What happens next.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
     NewRequest,
@@ -64,7 +65,7 @@
     Closed {
         session: usize,
     },
-    Patience {
+    CallTimeout {
         call: usize,
     },
     ClaimTimeout {
@@ -109,7 +110,7 @@
     pub(crate) slot_incarnation: u64,
     pub(crate) since: u64,
     pub(crate) broken: bool,
-    pub(crate) heard: [Sequence; 2],
+    pub(crate) received: [Sequence; 2],
     pub(crate) sent: [u64; 2],
     pub(crate) due: [u64; 2],
 }
@@ -145,14 +146,15 @@
     pub(crate) calls: Vec<CallState>,
     pub(crate) published: Vec<InstanceId>,
     pub(crate) revision: u64,
-    pub(crate) split: bool,
+    pub(crate) is_partitioned: bool,
     pub(crate) strays: Vec<Message>,
     pub(crate) lines: Vec<Line>,
     pub(crate) report: Report,
 }
 
 impl World {
-    /// Runs `setting` with `seed` to its end.
+    /// Simulates `setting` with `seed`, then up to 120 s more in which no new requests or faults
+    /// occur.
     pub(crate) fn run(setting: Setting, seed: u64) -> World {
         let mut world = World::new(setting, seed);
         let end = setting.seconds * 1_000_000;
@@ -184,7 +186,7 @@
             calls: Vec::new(),
             published: names.clone(),
             revision: 1,
-            split: false,
+            is_partitioned: false,
             strays: Vec::new(),
             lines: Vec::new(),
             report: Report::default(),
@@ -256,7 +258,7 @@
             Event::Arrive { call, entry, sent } => self.arrive(call, entry, sent),
             Event::Deliver(envelope) => self.deliver(envelope),
             Event::Closed { session } => self.session_closed(session),
-            Event::Patience { call } => self.patience(call),
+            Event::CallTimeout { call } => self.call_timeout(call),
             Event::ClaimTimeout { call, incarnation } => self.claim_timeout(call, incarnation),
             Event::Start {
                 slot,
@@ -282,14 +284,14 @@
             Event::Fault(name) if open => self.fault(name),
             Event::SlotUp(slot) => self.slot_up(slot),
             Event::EntryUp(entry) => self.entry_up(entry),
-            Event::Heal => self.split = false,
+            Event::Heal => self.is_partitioned = false,
             Event::View {
                 entry,
                 slot,
                 view,
                 revision,
             } => {
-                self.view(entry, slot, &view, revision);
+                self.apply_view(entry, slot, &view, revision);
             }
             Event::Tick => self.tick(open),
             Event::NewRequest | Event::Fault(_) => {}
@@ -315,7 +317,7 @@
         self.after(delay, Event::NewRequest);
     }
 
-    /// A caller sends its next attempt; a hasty one may send two at once.
+    /// Sends a caller's next attempt; an impatient caller may send two retries at once.
     fn send_call(&mut self, request: usize) {
         let doubled = self.requests[request].attempts > 0
             && self.requests[request].impatient
@@ -326,20 +328,20 @@
     }
 
     fn send_one(&mut self, request: usize) {
-        let one = &mut self.requests[request];
-        if one.attempts >= MAX_ATTEMPTS || one.ended.is_some_and(|end| end == "answered") {
+        let state = &mut self.requests[request];
+        if state.attempts >= MAX_ATTEMPTS || state.ended.is_some_and(|end| end == "answered") {
             return;
         }
-        one.attempts += 1;
+        state.attempts += 1;
         let call = self.calls.len();
-        let attempt = one.numbered.then_some(one.attempts);
+        let attempt = state.numbered.then_some(state.attempts);
         let record = Record::Call(Call {
             call: call as u64,
-            id: one.id.clone(),
+            id: state.id.clone(),
             attempt,
-            idempotent: one.idempotent,
+            idempotent: state.idempotent,
         });
-        let impatient = one.impatient;
+        let impatient = state.impatient;
         self.log(record);
         self.calls.push(CallState {
             request,
@@ -350,8 +352,8 @@
         let delay = self.request_delay();
         let sent = self.now;
         self.after(delay, Event::Arrive { call, entry, sent });
-        let patience = if impatient { 1_000_000 } else { 5_000_000 };
-        self.after(patience, Event::Patience { call });
+        let timeout = if impatient { 1_000_000 } else { 5_000_000 };
+        self.after(timeout, Event::CallTimeout { call });
     }
 
     fn request_delay(&mut self) -> u64 {
@@ -362,14 +364,15 @@
         500 + self.up_to(1_500)
     }
 
-    fn patience(&mut self, call: usize) {
+    fn call_timeout(&mut self, call: usize) {
         if !self.calls[call].answered {
             let request = self.calls[call].request;
             self.send_call(request);
         }
     }
 
-    /// Ends a call with what its entry says.
+    /// Ends a call with its entry's outcome, and schedules the caller's retry if there is to be
+    /// one.
     pub(crate) fn answer(&mut self, call: usize, outcome: &Outcome, bytes: &[u8]) {
         assert!(!self.calls[call].answered, "a call ends once");
         self.calls[call].answered = true;
@@ -447,9 +450,9 @@
         }
     }
 
-    /// Opens a session if the slot can be reached.
+    /// Opens a session if the slot is up and reachable.
     pub(crate) fn open(&mut self, entry: usize, slot: usize) -> Option<usize> {
-        if !self.slots[slot].up || self.parted(entry, slot) {
+        if !self.slots[slot].up || self.are_partitioned(entry, slot) {
             return None;
         }
         let session = self.sessions.len();
@@ -460,7 +463,7 @@
             slot_incarnation: self.slots[slot].incarnation,
             since: self.now,
             broken: false,
-            heard: [Sequence::default(); 2],
+            received: [Sequence::default(); 2],
             sent: [0; 2],
             due: [0; 2],
         });
@@ -468,34 +471,35 @@
         Some(session)
     }
 
-    fn parted(&self, entry: usize, slot: usize) -> bool {
-        self.split && entry % 2 != slot % 2
+    fn are_partitioned(&self, entry: usize, slot: usize) -> bool {
+        self.is_partitioned && entry % 2 != slot % 2
     }
 
-    /// Hands a message to a session, in order, lost with the rest of it, or late.
+    /// Sends a message over a session. It is delivered in order or reordered, delayed or
+    /// duplicated, or lost together with the session.
     pub(crate) fn post(&mut self, session: usize, to_slot: bool, message: Message) {
         let (entry, slot) = (self.sessions[session].entry, self.sessions[session].slot);
         if self.sessions[session].broken {
             return;
         }
         let lost = self.setting.faults.lost;
-        if self.parted(entry, slot) || self.chance(lost, 1000) {
+        if self.are_partitioned(entry, slot) || self.chance(lost, 1000) {
             self.break_session(session);
             return;
         }
         let late = self.setting.faults.late;
-        let held = if self.chance(late, 1000) {
+        let extra = if self.chance(late, 1000) {
             self.up_to(50_000_000)
         } else {
             0
         };
-        let delay = 500 + self.up_to(1_000) + held;
-        let way = usize::from(to_slot);
-        let one = &mut self.sessions[session];
-        let number = one.sent[way];
-        one.sent[way] += 1;
-        one.due[way] = one.due[way].max(self.now + delay);
-        let wait = one.due[way] - self.now;
+        let delay = 500 + self.up_to(1_000) + extra;
+        let direction = usize::from(to_slot);
+        let state = &mut self.sessions[session];
+        let number = state.sent[direction];
+        state.sent[direction] += 1;
+        state.due[direction] = state.due[direction].max(self.now + delay);
+        let wait = state.due[direction] - self.now;
         let envelope = Envelope {
             session,
             to_slot,
@@ -512,42 +516,43 @@
         self.after(wait, Event::Deliver(envelope));
     }
 
-    /// Breaks a session; its entry notices after the silence that heartbeats allow.
+    /// Breaks a session; its entry detects this within 3 s, the time that heartbeats allow for
+    /// silence.
     pub(crate) fn break_session(&mut self, session: usize) {
         self.break_within(session, 3_000_000);
     }
 
-    fn break_within(&mut self, session: usize, notice: u64) {
+    fn break_within(&mut self, session: usize, detection_us: u64) {
         if self.sessions[session].broken {
             return;
         }
         self.sessions[session].broken = true;
-        let delay = self.up_to(notice);
+        let delay = self.up_to(detection_us);
         self.after(delay, Event::Closed { session });
     }
 
     fn deliver(&mut self, envelope: Envelope) {
-        let one = self.sessions[envelope.session].clone();
+        let state = self.sessions[envelope.session].clone();
         let until = if envelope.to_slot {
-            self.slots[one.slot].paused_until
+            self.slots[state.slot].paused_until
         } else {
-            self.entries[one.entry].frozen_until
+            self.entries[state.entry].frozen_until
         };
         if until > self.now {
             let wait = until - self.now;
             self.after(wait, Event::Deliver(envelope));
             return;
         }
-        let way = usize::from(envelope.to_slot);
-        if !self.sessions[envelope.session].heard[way].accept(envelope.number) {
-            if envelope.number >= one.heard[way].next() {
+        let direction = usize::from(envelope.to_slot);
+        if !self.sessions[envelope.session].received[direction].accept(envelope.number) {
+            if envelope.number >= state.received[direction].next() {
                 self.break_session(envelope.session);
             }
             return;
         }
         if envelope.to_slot {
-            self.slot_receives(&one, envelope);
-        } else if self.entries[one.entry].incarnation == one.entry_incarnation {
+            self.slot_receives(&state, envelope);
+        } else if self.entries[state.entry].incarnation == state.entry_incarnation {
             self.entry_receives(envelope);
         }
     }
@@ -580,7 +585,7 @@
                 faults.upstream_kill
             }
             "partition" => {
-                self.part();
+                self.partition();
                 faults.partition
             }
             _ => {
@@ -610,11 +615,11 @@
         let name = self.slots[slot].name.clone();
         let revision = self.revision;
         let view = self.published.clone();
-        let mut fresh = Slot::new(name, incarnation, self.now, revision, &view);
-        fresh.ledger = Ledger::new(self.clock(), incarnation, Bounds::default());
-        fresh.ledger.revise(revision);
-        fresh.run = self.slots[slot].run;
-        self.slots[slot] = fresh;
+        let mut restarted = Slot::new(name, incarnation, self.now, revision, &view);
+        restarted.ledger = Ledger::new(self.clock(), incarnation, Bounds::default());
+        restarted.ledger.revise(revision);
+        restarted.run = self.slots[slot].run;
+        self.slots[slot] = restarted;
         for entry in 0..self.entries.len() {
             if self.entries[entry].up {
                 self.open(entry, slot);
@@ -646,11 +651,11 @@
         }
     }
 
-    fn part(&mut self) {
-        self.split = true;
+    fn partition(&mut self) {
+        self.is_partitioned = true;
         for session in 0..self.sessions.len() {
-            let one = &self.sessions[session];
-            if self.parted(one.entry, one.slot) {
+            let state = &self.sessions[session];
+            if self.are_partitioned(state.entry, state.slot) {
                 self.break_session(session);
             }
         }
@@ -658,7 +663,8 @@
         self.after(delay, Event::Heal);
     }
 
-    /// Publishes a list without one slot, or with one that was left out; all see it after a lag.
+    /// Publishes a list with one slot removed or one removed slot added back. Each process applies
+    /// it after a random lag.
     fn change_membership(&mut self) {
         let missing: Vec<InstanceId> = self
             .slots
@@ -702,7 +708,13 @@
         }
     }
 
-    fn view(&mut self, entry: Option<usize>, slot: Option<usize>, view: &[InstanceId], new: u64) {
+    fn apply_view(
+        &mut self,
+        entry: Option<usize>,
+        slot: Option<usize>,
+        view: &[InstanceId],
+        new: u64,
+    ) {
         let now = self.clock();
         if let Some(entry) = entry.map(|entry| &mut self.entries[entry])
             && entry.revision < new
@@ -719,7 +731,8 @@
         }
     }
 
-    /// Returns the slots of `all` that may get `id`.
+    /// Returns the slots of `all` that may get `id`: all of them if the setting sets no number,
+    /// otherwise the first ones in rendezvous order, at most one of each of three failure domains.
     pub(crate) fn subset(&self, id: &str, mut all: Vec<InstanceId>) -> Vec<InstanceId> {
         let count = self.setting.candidates;
         if count == 0 {
@@ -734,7 +747,7 @@
 }
 
 pub(crate) fn clock(micros: u64) -> Duration {
-    // Processes have been up for ten minutes when a run begins.
+    // Processes have been up for ten minutes at the start of a run.
     Duration::from_micros(micros) + Duration::from_mins(10)
 }
 
@@ -755,7 +768,7 @@
     text.split('(').next().unwrap_or_default().to_owned()
 }
 
-/// Returns the pool as a process sees it at its start.
+/// Returns the pool as known to a process that starts at `now`.
 pub(crate) fn first_view(now: u64, revision: u64, view: &[InstanceId]) -> Candidates {
     let mut candidates = Candidates::new();
     candidates.observe(clock(now), revision, view);
