--- a/crates/attempt/examples/options.rs
+++ b/crates/attempt/examples/options.rs
@@ -1,8 +1,9 @@
-//! Compares the options for at most once, in the driver of the randomised tests.
+//! Compares options for at-most-once execution in the simulation of the randomised tests.
 //!
 //! `cargo run --release -p auburnline-attempt --example options [-- --csv]`; `AUBURNLINE_SEED` sets
-//! the first seed and `AUBURNLINE_SEEDS` how many are added up. Each row is one option under one
-//! fault: what callers were told in the end, what they were told on the way, and what it cost.
+//! the first seed and `AUBURNLINE_SEEDS` the number of seeds, whose counts are added. Each row is
+//! one option under one fault: the final outcomes of requests, the share of intermediate "unknown"
+//! answers, and the cost in messages and waiting time.
 
 use std::env;
 
@@ -16,7 +17,7 @@
 #[path = "../tests/model/entry.rs"]
 mod entry;
 #[path = "../tests/model/setting.rs"]
-#[expect(dead_code, reason = "only tests defect defects in the driver")]
+#[expect(dead_code, reason = "only tests inject defects into the simulation")]
 mod setting;
 #[path = "../tests/model/slot.rs"]
 mod slot;
@@ -25,12 +26,13 @@
 #[path = "../tests/model/world.rs"]
 mod world;
 
-const MINUTE: u64 = 60_000;
-/// Time until a killed process's sessions are seen to close, and a lost machine's, in milliseconds.
-const CLOSED: u64 = 2;
-const SILENT: u64 = 3_000;
+const MINUTE_MS: u64 = 60_000;
+/// Greatest time until the closed sessions of a killed process are detected.
+const KILL_DETECTION_MS: u64 = 2;
+/// Greatest time until the silent sessions of a lost machine are detected.
+const LOSS_DETECTION_MS: u64 = 3_000;
 
-/// Options: name, slots that may get a request (zero for all), callers in 100 who count attempts.
+/// Options: name, slots that may get a request (zero for all), callers in 100 that number attempts.
 const OPTIONS: [(&str, usize, u32); 5] = [
     ("home slot", 1, 100),
     ("3 candidates", 3, 100),
@@ -42,35 +44,35 @@
 fn faults() -> [(&'static str, u64, Faults); 8] {
     let none = Faults::default();
     let killed = Faults {
-        slot_kill: MINUTE,
+        slot_kill: MINUTE_MS,
         ..none
     };
     let paused = Faults {
-        slot_pause: MINUTE,
+        slot_pause: MINUTE_MS,
         ..none
     };
     let entry = Faults {
-        entry_kill: MINUTE,
+        entry_kill: MINUTE_MS,
         ..none
     };
     let upstream = Faults {
-        upstream_kill: MINUTE,
+        upstream_kill: MINUTE_MS,
         ..none
     };
     let partition = Faults {
-        partition: MINUTE,
+        partition: MINUTE_MS,
         ..none
     };
     let loss = Faults { lost: 1, ..none };
     [
-        ("none", CLOSED, none),
-        ("slot killed", CLOSED, killed),
-        ("slot machine lost", SILENT, killed),
-        ("slot paused", CLOSED, paused),
-        ("entry killed", CLOSED, entry),
-        ("upstream killed", CLOSED, upstream),
-        ("partition", CLOSED, partition),
-        ("loss 1 in 1,000", CLOSED, loss),
+        ("none", KILL_DETECTION_MS, none),
+        ("slot killed", KILL_DETECTION_MS, killed),
+        ("slot machine lost", LOSS_DETECTION_MS, killed),
+        ("slot paused", KILL_DETECTION_MS, paused),
+        ("entry killed", KILL_DETECTION_MS, entry),
+        ("upstream killed", KILL_DETECTION_MS, upstream),
+        ("partition", KILL_DETECTION_MS, partition),
+        ("loss 1 in 1,000", KILL_DETECTION_MS, loss),
     ]
 }
 
@@ -97,7 +99,7 @@
     env::var(name).map_or(default, |text| text.parse().expect("a number"))
 }
 
-/// Returns how many of 1,000 requests `count` is.
+/// Returns `count` per 1,000 requests.
 fn share(count: u64, report: &Report) -> f64 {
     ratio(count * 1_000, report.requests)
 }
@@ -107,7 +109,7 @@
     exact(part) / exact(whole.max(1))
 }
 
-/// Returns mean and 99th percentile, in milliseconds.
+/// Returns the mean and 99th percentile of the waits before submission, in milliseconds.
 fn waits(report: &Report) -> (f64, f64) {
     let mut waits = report.waits.clone();
     waits.sort_unstable();
