--- a/crates/attempt/examples/ledger.rs
+++ b/crates/attempt/examples/ledger.rs
@@ -1,10 +1,10 @@
-//! Prints time and memory of a ledger against the ids that it holds.
+//! Prints the time per request and memory per id of a ledger for different numbers of ids held.
 //!
 //! `cargo run --release -p auburnline-attempt --example ledger [-- --csv]`
 //!
-//! Ids come evenly over the time for which they are kept, so that one expires for each that comes.
-//! Memory is the growth of the resident set, so it holds the allocator's loss; answers are taken by
-//! their callers, but for the row that keeps them.
+//! Ids arrive evenly over the time for which they are retained, so one expires for each that
+//! arrives. Memory is the growth of the resident set, so it includes allocator overhead. Callers
+//! acknowledge their answers except in the row "answers kept".
 
 use std::env;
 use std::fs;
@@ -18,46 +18,46 @@
 use auburnline_attempt::ledger::Verdict;
 use auburnline_core::id::RequestId;
 
-/// Ids of each row.
+/// Number of ids held, for each column.
 const SIZES: [u32; 4] = [4_000, 16_000, 32_000, 64_000];
-/// Requests that one figure is the mean of.
-const ROUNDS: u32 = 50_000;
-/// Bytes of an answer: 400 tokens.
+/// Number of requests over which the time is averaged.
+const REQUESTS: u32 = 50_000;
+/// Answer of 2,000 bytes, about 400 tokens.
 const ANSWER: [u8; 2_000] = [b'x'; 2_000];
-/// Bytes of a page.
-const PAGE: f64 = 4_096.0;
-/// Incarnation of the ledger.
+/// Size of a memory page, the unit of `/proc/self/statm`.
+const PAGE_BYTES: f64 = 4_096.0;
+/// Incarnation of the ledger, to which all submissions are addressed.
 const INCARNATION: u64 = 7;
 
-/// A ledger with the requests that have come to it.
-struct Course {
+/// A ledger under a steady load of one request every `step`.
+struct Workload {
     ledger: Ledger,
     now: Duration,
     step: Duration,
     next: u32,
 }
 
-impl Course {
-    /// Fills a ledger with `size` ids.
-    fn new(size: u32, takes: bool) -> Course {
+impl Workload {
+    /// Creates a ledger and fills it with `size` ids; `acknowledges` as in [`Workload::request`].
+    fn new(size: u32, acknowledges: bool) -> Workload {
         let bounds = Bounds {
             bytes: usize::MAX / 2,
             ..Bounds::default()
         };
-        let mut course = Course {
+        let mut workload = Workload {
             ledger: Ledger::new(Duration::ZERO, INCARNATION, bounds),
             now: Duration::ZERO,
             step: ID_RETENTION / size,
             next: 0,
         };
         for _ in 0..size {
-            course.request(takes);
+            workload.request(acknowledges);
         }
-        course
+        workload
     }
 
-    /// One request from its submission to its end.
-    fn request(&mut self, takes: bool) {
+    /// Runs one request from submission to end; `acknowledges` frees its answer at once.
+    fn request(&mut self, acknowledges: bool) {
         self.now += self.step;
         self.next += 1;
         let id: RequestId =
@@ -76,7 +76,7 @@
         let started = self.ledger.start(self.now, &id);
         assert!(started && self.ledger.append(self.now, &id, &ANSWER));
         self.ledger.finish(self.now, &id);
-        if takes {
+        if acknowledges {
             self.ledger.acknowledge(self.now, &id, ANSWER.len() as u64);
         }
         self.ledger.tick(self.now);
@@ -87,7 +87,8 @@
     let csv = env::args().any(|argument| argument == "--csv");
     let cells = SIZES.map(|size| size.to_string());
     print(csv, "ids held", &cells);
-    let memory = |takes: bool| SIZES.map(|size| format!("{:.0}", memory(size, takes)));
+    let memory =
+        |acknowledges: bool| SIZES.map(|size| format!("{:.0}", memory(size, acknowledges)));
     print(csv, "B/id, answers taken", &memory(true));
     print(csv, "B/id, answers kept", &memory(false));
     let times = SIZES.map(|size| format!("{:.0}", time(size)));
@@ -103,10 +104,10 @@
     println!("{name:<24}{}", cells.join(""));
 }
 
-/// Resident bytes of an id; nothing is freed, so that no ledger takes the place of another.
-fn memory(size: u32, takes: bool) -> f64 {
+/// Returns the resident bytes per id. The ledger is leaked, so that none reuses another's memory.
+fn memory(size: u32, acknowledges: bool) -> f64 {
     let before = resident();
-    std::mem::forget(Course::new(size, takes));
+    std::mem::forget(Workload::new(size, acknowledges));
     (resident() - before) / f64::from(size)
 }
 
@@ -114,15 +115,15 @@
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1);
     let pages: f64 = pages.and_then(|pages| pages.parse().ok()).unwrap_or(0.0);
-    pages * PAGE
+    pages * PAGE_BYTES
 }
 
-/// Mean nanoseconds of a request with its part of a tick.
+/// Returns the mean time of a request including its tick, in nanoseconds.
 fn time(size: u32) -> f64 {
-    let mut course = Course::new(size, true);
+    let mut workload = Workload::new(size, true);
     let start = Instant::now();
-    for _ in 0..ROUNDS {
-        course.request(true);
+    for _ in 0..REQUESTS {
+        workload.request(true);
     }
-    start.elapsed().as_secs_f64() * 1e9 / f64::from(ROUNDS)
+    start.elapsed().as_secs_f64() * 1e9 / f64::from(REQUESTS)
 }
