--- a/crates/attempt/tests/unit/ledger.rs
+++ b/crates/attempt/tests/unit/ledger.rs
@@ -1,4 +1,4 @@
-//! The slot's ledger: once per id, fences, resume, bounds and expiry.
+//! The slot's ledger: one run per id, fences, resume, limits and expiry.
 
 use auburnline_attempt::ledger::Bounds;
 use auburnline_attempt::ledger::Cancellation;
@@ -152,7 +152,8 @@
     expect_that!(ledger.len(), eq(0));
 }
 
-/// Guards against a time for which answers are kept that the settings bound and the ledger does not read.
+/// Guards against a ledger that ignores `Bounds::answer`, the retention time that the settings
+/// limit.
 #[gtest]
 fn an_answer_is_kept_for_as_long_as_the_bounds_say() {
     for (kept, at, is_kept) in [(2, 1, true), (2, 2, false), (600, 300, true)] {
