--- a/crates/attempt/tests/unit/support.rs
+++ b/crates/attempt/tests/unit/support.rs
@@ -1,4 +1,4 @@
-//! Small builders that the tests share.
+//! Builders shared by the tests.
 
 use std::sync::Arc;
 use std::time::Duration;
