--- a/crates/attempt/tests/unit/claim.rs
+++ b/crates/attempt/tests/unit/claim.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// Asks every question at once until the claim ends.
+/// Answers each query from the ledgers, one after the other, until the claim ends.
 fn drive(slots: &mut Slots, claim: &mut Claim, mut step: Step) -> Step {
     while let Step::Ask(asks) = step {
         step = Step::Ask(Vec::new());
@@ -89,8 +89,8 @@
 #[gtest]
 fn a_request_that_a_slot_knows_is_served_from_there() {
     let mut slots = slots();
-    let third = slots.get_mut("s3").expect("a slot");
-    let _ = third.submit(seconds(99), &submission("a"));
+    let ledger = slots.get_mut("s3").expect("a slot");
+    let _ = ledger.submit(seconds(99), &submission("a"));
     let goal = goal(&slots, Some(seconds(5)));
     let served = matches!(run(&mut slots, goal), Step::Serve { slot, .. } if &*slot == "s3");
     expect_true!(served);
@@ -122,8 +122,8 @@
 #[gtest]
 fn a_slot_that_cant_be_asked_or_is_younger_leaves_the_fate_unknown_and_fences_nothing() {
     let mut slots = slots();
-    let old = goal(&slots, Some(seconds(101)));
-    let unknown = run(&mut slots, old);
+    let older_than_slots = goal(&slots, Some(seconds(101)));
+    let unknown = run(&mut slots, older_than_slots);
     expect_true!(matches!(unknown, Step::Unknown(unknown) if unknown.cause == Cause::Restarted));
     let (mut claim, _) = Claim::begin(seconds(100), goal(&slots, Some(seconds(5))));
     let waiting: Vec<InstanceId> = claim.awaited().cloned().collect();
@@ -138,11 +138,11 @@
 #[gtest]
 fn a_claim_without_a_witness_of_the_past_leaves_the_fate_unknown() {
     let mut slots = slots();
-    let young = Goal {
+    let recently_started = Goal {
         known_for: Duration::ZERO,
         ..goal(&slots, Some(seconds(95)))
     };
-    let step = run(&mut slots, young);
+    let step = run(&mut slots, recently_started);
     expect_true!(matches!(step, Step::Unknown(unknown) if unknown.cause == Cause::UnknownPool));
 }
 
@@ -157,8 +157,8 @@
     second.admitting.retain(|name| *name != slot);
     let step = run(&mut slots, second);
     expect_true!(matches!(step, Step::NotRun(not_run) if not_run.kind() == Kind::Fenced));
-    let late = slots.get_mut(&slot).expect("a slot");
-    let verdict = late.submit(seconds(100), &submission("a"));
+    let ledger = slots.get_mut(&slot).expect("a slot");
+    let verdict = ledger.submit(seconds(100), &submission("a"));
     expect_true!(matches!(verdict, Verdict::Refused(_)));
 }
 
@@ -175,10 +175,10 @@
     let foreign = sent().refused(&"s2".into(), &refusal);
     expect_true!(matches!(foreign, Refusable::Foreign(_)));
     expect_that!(sent().lost(Cause::SessionLost).fate(), eq(Fate::Unknown));
-    let Refusable::Free(free) = sent().refused(&"s1".into(), &refusal) else {
+    let Refusable::Free(fresh) = sent().refused(&"s1".into(), &refusal) else {
         panic!("the refusal is its own");
     };
-    expect_that!(free.not_sent(Kind::Overloaded).fate(), eq(Fate::NotRun));
+    expect_that!(fresh.not_sent(Kind::Overloaded).fate(), eq(Fate::NotRun));
     let later = Attempt::new(&request("a", None));
     let outcome: Outcome = later.not_sent(Kind::Overloaded);
     expect_that!(outcome.fate(), eq(Fate::Unknown));
