--- a/crates/attempt/tests/unit/stream.rs
+++ b/crates/attempt/tests/unit/stream.rs
@@ -1,4 +1,4 @@
-//! Frames of answers: only the caller's own, in order and whole.
+//! Answer frames: only the caller's own are accepted, in order and complete.
 
 use auburnline_attempt::stream::Fault;
 use auburnline_attempt::stream::Frame;
@@ -34,17 +34,20 @@
     let id = RequestId::from("a");
     let other = RequestId::from("b");
     let mut receiver = Receiver::new(7, id.clone(), 1);
-    let old = Frame {
+    let old_incarnation = Frame {
         incarnation: 6,
         ..frame(&id, 0, b"x")
     };
-    let first_attempt = Frame {
+    let other_attempt = Frame {
         attempt: 2,
         ..frame(&id, 0, b"x")
     };
-    expect_that!(receiver.accept(&old), err(eq(Fault::Incarnation)));
+    expect_that!(
+        receiver.accept(&old_incarnation),
+        err(eq(Fault::Incarnation))
+    );
     expect_that!(receiver.accept(&frame(&other, 0, b"x")), err(eq(Fault::Id)));
-    expect_that!(receiver.accept(&first_attempt), err(eq(Fault::Attempt)));
+    expect_that!(receiver.accept(&other_attempt), err(eq(Fault::Attempt)));
     expect_that!(receiver.accept(&frame(&id, 3, b"lo")), err(eq(Fault::Gap)));
     expect_that!(
         receiver.accept(&frame(&id, 0, b"hel")),
