--- a/crates/attempt/src/attempt.rs
+++ b/crates/attempt/src/attempt.rs
@@ -7,7 +7,7 @@
 //! unknown.
 //!
 //! Losing the session does not end the attempt: the same submission may be sent again to the same
-//! slot incarnation ([`Attempt::send_again`]), whose ledger admits it at most once.
+//! slot incarnation ([`Attempt::record_resend`]), whose ledger admits it at most once.
 
 use auburnline_core::error::Kind;
 use auburnline_core::id::Attempt as Number;
@@ -168,7 +168,7 @@
     ///
     /// The slot's ledger admits it at most once, so this may be repeated any number of times. From
     /// then on a temporary refusal proves nothing, because another copy may still arrive.
-    pub fn send_again(&mut self) {
+    pub fn record_resend(&mut self) {
         self.state.copies += 1;
     }
 
--- a/crates/attempt/tests/model/entry.rs
+++ b/crates/attempt/tests/model/entry.rs
@@ -589,7 +589,7 @@
         let stage = std::mem::replace(&mut self.op(entry, call).stage, Stage::Detached);
         match stage {
             Stage::Submitted(mut attempt, _) if attempt.target().1 == incarnation => {
-                attempt.send_again();
+                attempt.record_resend();
                 self.op(entry, call).stage = Stage::Submitted(attempt, session);
                 self.post_submission(entry, call);
             }
