--- a/crates/attempt/tests/unit/ledger.rs
+++ b/crates/attempt/tests/unit/ledger.rs
@@ -1,9 +1,9 @@
-//! The slot's ledger: once per id, fences, resume, bounds and expiry.
+//! The slot's ledger: one run per id, fences, resume, limits and expiry.
 
 use auburnline_attempt::ledger::Bounds;
 use auburnline_attempt::ledger::Cancellation;
 use auburnline_attempt::ledger::Chunk;
-use auburnline_attempt::ledger::KEPT;
+use auburnline_attempt::ledger::ID_RETENTION;
 use auburnline_attempt::ledger::Ledger;
 use auburnline_attempt::ledger::Presence;
 use auburnline_attempt::ledger::Standing;
@@ -144,15 +144,16 @@
     let _ = ledger.submit(seconds(1), &submission("a"));
     expect_true!(ledger.start(seconds(1), &id));
     ledger.finish(seconds(1), &id);
-    ledger.tick(seconds(1) + KEPT * 2);
+    ledger.tick(seconds(1) + ID_RETENTION * 2);
     expect_that!(ledger.len(), eq(1));
-    for second in 0..=KEPT.as_secs() + 1 {
-        ledger.tick(seconds(2 + second) + KEPT * 2);
+    for second in 0..=ID_RETENTION.as_secs() + 1 {
+        ledger.tick(seconds(2 + second) + ID_RETENTION * 2);
     }
     expect_that!(ledger.len(), eq(0));
 }
 
-/// Guards against a time for which answers are kept that the settings bound and the ledger does not read.
+/// Guards against a ledger that ignores `Bounds::answer`, the retention time that the settings
+/// limit.
 #[gtest]
 fn an_answer_is_kept_for_as_long_as_the_bounds_say() {
     for (kept, at, is_kept) in [(2, 1, true), (2, 2, false), (600, 300, true)] {
