--- a/crates/routing/src/candidate.rs
+++ b/crates/routing/src/candidate.rs
@@ -35,7 +35,7 @@
 
 /// A unit to be scored.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Draft {
+pub(crate) struct Proposal {
     pub(crate) unit: u32,
     pub(crate) reason: Reason,
     /// Tokens of the prompt that it is expected to cache.
@@ -80,34 +80,35 @@
     }
 
     /// Returns the candidates, at most [`MAX_CANDIDATES`].
-    pub(crate) fn gather(&self, rng: &mut impl Rng) -> Vec<Draft> {
-        let mut drafts = Vec::with_capacity(MAX_CANDIDATES);
-        self.cached(&mut drafts);
-        self.ring(&mut drafts);
-        self.draw(&mut drafts, rng);
-        let bounded = |draft: &Draft| {
-            self.eligible(draft.unit)
+    pub(crate) fn gather(&self, rng: &mut impl Rng) -> Vec<Proposal> {
+        let mut proposals = Vec::with_capacity(MAX_CANDIDATES);
+        self.cached(&mut proposals);
+        self.ring(&mut proposals);
+        self.draw(&mut proposals, rng);
+        let bounded = |proposal: &Proposal| {
+            self.eligible(proposal.unit)
                 .is_some_and(|unit| self.within_bound(unit))
         };
         let common = self.common();
-        for draft in &mut drafts {
-            draft.cached = draft.cached.max(common);
+        for proposal in &mut proposals {
+            proposal.cached = proposal.cached.max(common);
         }
-        if !drafts.iter().any(bounded) {
-            self.spill(&mut drafts, rng);
+        if !proposals.iter().any(bounded) {
+            self.spill(&mut proposals, rng);
         }
-        debug_assert!(drafts.len() <= MAX_CANDIDATES);
-        drafts
+        debug_assert!(proposals.len() <= MAX_CANDIDATES);
+        proposals
     }
 
     /// Adds the units that hints name, those of the deepest prefix first.
-    fn cached(&self, drafts: &mut Vec<Draft>) {
+    fn cached(&self, proposals: &mut Vec<Proposal>) {
         for (depth, key) in self.query.prefix.keys().rev() {
             for (unit, age) in self.memory.holders(key, self.now) {
-                let known = drafts.iter().any(|draft| draft.unit == unit);
+                let known = proposals.iter().any(|proposal| proposal.unit == unit);
                 let fresh = age <= self.config.hint_life;
-                if drafts.len() < MAX_CACHED && !known && fresh && self.eligible(unit).is_some() {
-                    drafts.push(Draft {
+                if proposals.len() < MAX_CACHED && !known && fresh && self.eligible(unit).is_some()
+                {
+                    proposals.push(Proposal {
                         unit,
                         reason: Reason::Cached,
                         cached: u64::from(depth) * BLOCK_TOKENS,
@@ -123,7 +124,7 @@
     /// Prefixes that many prompts share are known to every entry, so this one is the first that
     /// holds the case's own text. Each entry that meets the case for the first time names the same
     /// unit for it, which then caches what the case's earlier requests left there.
-    fn ring(&self, drafts: &mut Vec<Draft>) {
+    fn ring(&self, proposals: &mut Vec<Proposal>) {
         let Some((deepest, _)) = self.query.prefix.keys().next_back() else {
             return;
         };
@@ -135,9 +136,9 @@
             return;
         };
         let cached = self.config.ring_trust * u64::from(deepest) * BLOCK_TOKENS / 100;
-        match drafts.iter_mut().find(|draft| draft.unit == unit) {
-            Some(draft) => draft.cached = draft.cached.max(cached),
-            None => drafts.push(Draft {
+        match proposals.iter_mut().find(|proposal| proposal.unit == unit) {
+            Some(proposal) => proposal.cached = proposal.cached.max(cached),
+            None => proposals.push(Proposal {
                 unit,
                 reason: Reason::Ring,
                 cached,
@@ -164,7 +165,7 @@
     }
 
     /// Adds units drawn at random.
-    fn draw(&self, drafts: &mut Vec<Draft>, rng: &mut impl Rng) {
+    fn draw(&self, proposals: &mut Vec<Proposal>, rng: &mut impl Rng) {
         let count = self.shard.admitting.len();
         let mut drawn = 0;
         for _ in 0..self.config.choices + MAX_MISSES {
@@ -172,16 +173,16 @@
                 break;
             }
             let unit = self.shard.admitting[rng.random_range(0..count)];
-            let known = drafts.iter().any(|draft| draft.unit == unit);
+            let known = proposals.iter().any(|proposal| proposal.unit == unit);
             if !known && self.eligible(unit).is_some() {
-                drafts.push(plain(unit, Reason::Drawn));
+                proposals.push(plain(unit, Reason::Drawn));
                 drawn += 1;
             }
         }
     }
 
     /// Adds the next unit under the bound on the ring, or failing that the next of all.
-    fn spill(&self, drafts: &mut Vec<Draft>, rng: &mut impl Rng) {
+    fn spill(&self, proposals: &mut Vec<Proposal>, rng: &mut impl Rng) {
         let deepest = self.query.prefix.keys().next_back();
         let key = deepest.map_or_else(|| rng.random(), |(_, key)| key);
         let walk = || self.shard.ring.from(key).take(MAX_WALK);
@@ -195,13 +196,13 @@
                 .from(key)
                 .find(|&unit| self.eligible(unit).is_some())
         };
-        let found = bounded.or_else(|| if drafts.is_empty() { any() } else { None });
-        drafts.extend(found.map(|unit| plain(unit, Reason::Spill)));
+        let found = bounded.or_else(|| if proposals.is_empty() { any() } else { None });
+        proposals.extend(found.map(|unit| plain(unit, Reason::Spill)));
     }
 }
 
-fn plain(unit: u32, reason: Reason) -> Draft {
-    Draft {
+fn plain(unit: u32, reason: Reason) -> Proposal {
+    Proposal {
         unit,
         reason,
         cached: 0,
--- a/crates/routing/src/score.rs
+++ b/crates/routing/src/score.rs
@@ -4,7 +4,7 @@
 
 use auburnline_core::error::Kind;
 
-use crate::candidate::Draft;
+use crate::candidate::Proposal;
 use crate::candidate::View;
 use crate::decision::Candidate;
 use crate::decision::Decision;
@@ -13,10 +13,10 @@
 
 impl View<'_> {
     /// Chooses the cheapest candidate under the bound, or the least loaded if none is.
-    pub(crate) fn decide(&self, drafts: &[Draft]) -> Decision {
-        let mut scored: Vec<Candidate> = drafts
+    pub(crate) fn decide(&self, proposals: &[Proposal]) -> Decision {
+        let mut scored: Vec<Candidate> = proposals
             .iter()
-            .filter_map(|draft| self.score(draft))
+            .filter_map(|proposal| self.score(proposal))
             .collect();
         scored.sort_by_key(|candidate| {
             let overload = if candidate.within_bound {
@@ -40,9 +40,9 @@
         }
     }
 
-    fn score(&self, draft: &Draft) -> Option<Candidate> {
-        let unit = self.eligible(draft.unit)?;
-        let cached = draft.cached.min(self.query.prompt_tokens);
+    fn score(&self, proposal: &Proposal) -> Option<Candidate> {
+        let unit = self.eligible(proposal.unit)?;
+        let cached = proposal.cached.min(self.query.prompt_tokens);
         let prefill = float(self.query.prompt_tokens - cached);
         let tokens = self.config.backlog_weight * self.load(unit) + prefill;
         let steps = 1.0 + tokens / self.config.tokens_per_step;
@@ -55,13 +55,13 @@
         };
         Some(Candidate {
             group: unit.group.clone(),
-            reason: draft.reason,
+            reason: proposal.reason,
             cost: Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX) + crossing,
             load: unit.load().total(),
             cached_tokens: cached,
             within_bound: self.within_bound(unit),
             report_age: unit.report_age(self.config, self.now),
-            hint_age: draft.hint_age,
+            hint_age: proposal.hint_age,
         })
     }
 }
