--- a/crates/routing/src/candidate.rs
+++ b/crates/routing/src/candidate.rs
@@ -10,7 +10,7 @@
 
 use crate::config::Config;
 use crate::decision::Reason;
-use crate::hint::Memory;
+use crate::hint::Table;
 use crate::hint::WAYS;
 use crate::number::float;
 use crate::prefix::BLOCK_TOKENS;
@@ -47,7 +47,7 @@
 pub(crate) struct View<'a> {
     pub(crate) config: &'a Config,
     pub(crate) units: &'a [Option<Unit>],
-    pub(crate) memory: &'a Memory,
+    pub(crate) hints: &'a Table,
     pub(crate) shard: &'a Shard,
     pub(crate) query: &'a Query,
     pub(crate) now: Monotonic,
@@ -103,7 +103,7 @@
     /// Adds the units that hints name, those of the deepest prefix first.
     fn cached(&self, proposals: &mut Vec<Proposal>) {
         for (depth, key) in self.query.prefix.keys().rev() {
-            for (unit, age) in self.memory.holders(key, self.now) {
+            for (unit, age) in self.hints.holders(key, self.now) {
                 let known = proposals.iter().any(|proposal| proposal.unit == unit);
                 let fresh = age <= self.config.hint_life;
                 if proposals.len() < MAX_CACHED && !known && fresh && self.eligible(unit).is_some()
@@ -152,7 +152,7 @@
         let mut keys = self.query.prefix.keys().rev();
         let fresh = |&(_, age): &(u32, Duration)| age <= self.config.hint_life;
         let common = keys.find(|&(_, key)| {
-            let holders = self.memory.holders(key, self.now);
+            let holders = self.hints.holders(key, self.now);
             holders.filter(fresh).count() >= COMMON
         });
         common.map_or(0, |(depth, _)| u64::from(depth) * BLOCK_TOKENS)
@@ -160,7 +160,7 @@
 
     /// Whether a fresh hint names `key`.
     fn seen(&self, key: u64) -> bool {
-        let mut holders = self.memory.holders(key, self.now);
+        let mut holders = self.hints.holders(key, self.now);
         holders.any(|(_, age)| age <= self.config.hint_life)
     }
 
--- a/crates/routing/src/hint.rs
+++ b/crates/routing/src/hint.rs
@@ -1,7 +1,7 @@
-//! Memory of which units probably cache which prefixes.
+//! Table of which units probably cache which prefixes.
 //!
 //! Hints come from this process's own sends and from cache events, which are late, sampled and
-//! gappy; a wrong hint costs time only. The memory is a table of fixed size, four places to a row:
+//! gappy; a wrong hint costs time only. The hints is a table of fixed size, four places to a row:
 //! a new hint replaces the oldest of its row.
 
 use std::time::Duration;
@@ -34,13 +34,13 @@
 
 /// Table of hints.
 #[derive(Debug)]
-pub(crate) struct Memory {
+pub(crate) struct Table {
     rows: Vec<[Option<Hint>; WAYS]>,
 }
 
-impl Memory {
+impl Table {
     pub(crate) fn new() -> Self {
-        Memory {
+        Table {
             rows: vec![[None; WAYS]; ROWS],
         }
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -15,7 +15,7 @@
 use crate::config::Config;
 use crate::decision::Decision;
 use crate::hint::Event;
-use crate::hint::Memory;
+use crate::hint::Table;
 use crate::query::Query;
 use crate::score::refused;
 use crate::shard::Shard;
@@ -37,7 +37,7 @@
     pub(crate) units: Vec<Option<Unit>>,
     pub(crate) index: BTreeMap<GroupId, u32>,
     pub(crate) shards: BTreeMap<ShardKey, Shard>,
-    memory: Memory,
+    hints: Table,
 }
 
 impl Router {
@@ -49,7 +49,7 @@
             units: Vec::new(),
             index: BTreeMap::new(),
             shards: BTreeMap::new(),
-            memory: Memory::new(),
+            hints: Table::new(),
         }
     }
 
@@ -81,7 +81,7 @@
         if let Some(unit) = self.units[index as usize].take() {
             self.leave_shard(index, &unit.member);
         }
-        self.memory.clear(index);
+        self.hints.clear(index);
     }
 
     /// Returns the units that are known, in the order of their names.
@@ -115,7 +115,7 @@
     pub fn sent(&mut self, group: &GroupId, query: &Query, now: Monotonic) -> Option<Ticket> {
         let index = *self.index.get(group)?;
         for (_, key) in query.prefix.keys() {
-            self.memory.store(key, index, now);
+            self.hints.store(key, index, now);
         }
         self.count(group, |unit| unit.sent(query.tokens(), now))
     }
@@ -132,9 +132,9 @@
             return;
         };
         match event {
-            Event::Stored(key) => self.memory.store(key, index, now.saturating_sub(age)),
-            Event::Evicted(key) => self.memory.evict(key, index),
-            Event::Cleared => self.memory.clear(index),
+            Event::Stored(key) => self.hints.store(key, index, now.saturating_sub(age)),
+            Event::Evicted(key) => self.hints.evict(key, index),
+            Event::Cleared => self.hints.clear(index),
         }
     }
 
@@ -155,7 +155,7 @@
         let view = View {
             config: &self.config,
             units: &self.units,
-            memory: &self.memory,
+            hints: &self.hints,
             shard,
             query,
             now,
@@ -205,7 +205,7 @@
         shard.all.push(index);
         shard.dirty = true;
         if old.model != member.model {
-            self.memory.clear(index);
+            self.hints.clear(index);
         }
     }
 
