--- a/crates/routing/src/candidate.rs
+++ b/crates/routing/src/candidate.rs
@@ -67,15 +67,15 @@
     /// With loads of one age, a unit at or below the mean passes. With mixed ages it can be that
     /// none does; then the least loaded candidate is taken.
     pub(crate) fn within_bound(&self, unit: &Unit) -> bool {
-        let own = self.shard.known.own.saturating_add(self.query.tokens());
+        let own = self.shard.backlog.own.saturating_add(self.query.tokens());
         let count = self.shard.admitting.len().max(1) as u64;
-        let mean = self.shard.known.mean_reported() + float(own) / float(count);
+        let mean = self.shard.backlog.mean_reported() + float(own) / float(count);
         self.load(unit) <= self.config.load_bound * mean
     }
 
     /// Returns the tokens believed to be before `unit`.
     pub(crate) fn load(&self, unit: &Unit) -> f64 {
-        let mean = self.shard.known.mean_reported();
+        let mean = self.shard.backlog.mean_reported();
         unit.believed(mean, self.config, self.now)
     }
 
--- a/crates/routing/src/invariant.rs
+++ b/crates/routing/src/invariant.rs
@@ -2,7 +2,7 @@
 
 use crate::router::MAX_GROUPS;
 use crate::router::Router;
-use crate::unit::Known;
+use crate::unit::Backlog;
 
 impl Router {
     /// Asserts that the state is bounded and that sums kept by events equal those made anew.
@@ -15,11 +15,11 @@
         for shard in self.shards.values().filter(|shard| !shard.dirty) {
             let units = shard.admitting.iter();
             let units = units.filter_map(|&index| self.units[index as usize].as_ref());
-            let sum = units.fold(Known::default(), |sum, unit| {
+            let sum = units.fold(Backlog::default(), |sum, unit| {
                 assert!(unit.admits(), "{} does not admit", unit.group);
-                sum.replace(Known::default(), unit.load())
+                sum.replace(Backlog::default(), unit.load())
             });
-            assert_eq!(sum, shard.known, "a shard's sum of loads");
+            assert_eq!(sum, shard.backlog, "a shard's sum of loads");
         }
     }
 
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -246,7 +246,7 @@
             && admits
             && !shard.dirty
         {
-            shard.known = shard.known.replace(before, after);
+            shard.backlog = shard.backlog.replace(before, after);
         }
         Some(value)
     }
--- a/crates/routing/src/shard.rs
+++ b/crates/routing/src/shard.rs
@@ -1,7 +1,7 @@
 //! Units that serve the same pool and model.
 
 use crate::ring::Ring;
-use crate::unit::Known;
+use crate::unit::Backlog;
 use crate::unit::Unit;
 
 /// The admitting units of one pool and model.
@@ -14,7 +14,7 @@
     /// Ring over the admitting units.
     pub(crate) ring: Ring,
     /// Sum of the admitting units' loads.
-    pub(crate) known: Known,
+    pub(crate) backlog: Backlog,
     /// Whether the fields above must be rebuilt before use.
     pub(crate) dirty: bool,
 }
@@ -37,15 +37,15 @@
         self.admitting = named.iter().map(|&(_, index)| index).collect();
         let admitting = self.admitting.iter();
         let loads = admitting.filter_map(|&index| units[index as usize].as_ref().map(Unit::load));
-        self.known = loads.fold(Known::default(), |sum, load| {
-            sum.replace(Known::default(), load)
+        self.backlog = loads.fold(Backlog::default(), |sum, load| {
+            sum.replace(Backlog::default(), load)
         });
         self.dirty = false;
     }
 
     /// Returns the mean load of the admitting units.
     pub(crate) fn mean(&self) -> u64 {
-        self.known
+        self.backlog
             .total()
             .checked_div(self.admitting.len() as u64)
             .unwrap_or(0)
--- a/crates/routing/src/unit.rs
+++ b/crates/routing/src/unit.rs
@@ -70,7 +70,7 @@
 
 /// Tokens before a unit, or a sum over units, by who knows of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Known {
+pub(crate) struct Backlog {
     /// Units that have reported.
     pub(crate) reports: u64,
     /// Tokens that the last report names.
@@ -79,7 +79,7 @@
     pub(crate) own: u64,
 }
 
-impl Known {
+impl Backlog {
     /// Returns all tokens.
     pub(crate) fn total(self) -> u64 {
         self.reported.saturating_add(self.own)
@@ -91,8 +91,8 @@
     }
 
     /// Returns the sum with one unit's part replaced.
-    pub(crate) fn replace(self, before: Known, after: Known) -> Known {
-        Known {
+    pub(crate) fn replace(self, before: Backlog, after: Backlog) -> Backlog {
+        Backlog {
             reports: self.reports - before.reports + after.reports,
             reported: self.reported - before.reported + after.reported,
             own: self.own - before.own + after.own,
@@ -237,14 +237,14 @@
     }
 
     /// Returns what is known of the tokens before the unit.
-    pub(crate) fn load(&self) -> Known {
+    pub(crate) fn load(&self) -> Backlog {
         match self.measured {
-            Some(measured) => Known {
+            Some(measured) => Backlog {
                 reports: 1,
                 reported: measured.load.backlog_tokens,
                 own: self.since,
             },
-            None => Known {
+            None => Backlog {
                 reports: 0,
                 reported: 0,
                 own: self.outstanding,
