--- a/crates/routing/src/unit.rs
+++ b/crates/routing/src/unit.rs
@@ -63,7 +63,7 @@
 
 /// A report and the moment of its measurement on this process's clock.
 #[derive(Clone, Copy, Debug)]
-struct Measured {
+struct Measurement {
     load: Load,
     at: Monotonic,
 }
@@ -107,7 +107,7 @@
     pub(crate) member: Member,
     up: bool,
     marks: u8,
-    measured: Option<Measured>,
+    measured: Option<Measurement>,
     /// Mean of reported step times over about [`Config::step_life`], in seconds.
     step: Option<f64>,
     sends: VecDeque<(Monotonic, u64)>,
@@ -159,7 +159,7 @@
             return;
         }
         self.smooth(report.load.step_time, at, step_life);
-        self.measured = Some(Measured {
+        self.measured = Some(Measurement {
             load: report.load,
             at,
         });
