--- a/crates/routing/src/unit.rs
+++ b/crates/routing/src/unit.rs
@@ -111,7 +111,7 @@
     /// Mean of reported step times over about [`Config::step_life`], in seconds.
     step: Option<f64>,
     sends: VecDeque<(Monotonic, u64)>,
-    since: u64,
+    unreported: u64,
     outstanding: u64,
 }
 
@@ -125,7 +125,7 @@
             measured: None,
             step: None,
             sends: VecDeque::new(),
-            since: 0,
+            unreported: 0,
             outstanding: 0,
         }
     }
@@ -167,7 +167,7 @@
             if sent > at {
                 break;
             }
-            self.since -= tokens;
+            self.unreported -= tokens;
             self.sends.pop_front();
         }
         self.assert_sends();
@@ -190,7 +190,7 @@
             self.merge_oldest();
         }
         self.sends.push_back((now, tokens));
-        self.since += tokens;
+        self.unreported += tokens;
         self.outstanding += tokens;
         self.assert_sends();
         Ticket {
@@ -215,7 +215,7 @@
         if let Some(send) = self.sends.get_mut(index) {
             let taken = send.1.min(tokens);
             send.1 -= taken;
-            self.since -= taken;
+            self.unreported -= taken;
         }
         self.assert_sends();
     }
@@ -224,7 +224,7 @@
     pub(crate) fn assert_sends(&self) {
         debug_assert!(self.sends.len() <= MAX_SENDS);
         debug_assert_eq!(
-            self.since,
+            self.unreported,
             self.sends.iter().map(|send| send.1).sum::<u64>()
         );
     }
@@ -242,7 +242,7 @@
             Some(measured) => Backlog {
                 reports: 1,
                 reported: measured.load.backlog_tokens,
-                own: self.since,
+                own: self.unreported,
             },
             None => Backlog {
                 reports: 0,
@@ -263,7 +263,7 @@
         let age = now.saturating_sub(measured.at).as_secs_f64();
         let trust = (-age / config.half_life.as_secs_f64()).exp2();
         let difference = float(measured.load.backlog_tokens) - mean;
-        mean + difference * trust + float(self.since)
+        mean + difference * trust + float(self.unreported)
     }
 
     /// Returns the time that a step of the unit is believed to take, in seconds.
