--- a/crates/routing/src/candidate.rs
+++ b/crates/routing/src/candidate.rs
@@ -76,7 +76,7 @@
     /// Returns the tokens believed to be before `unit`.
     pub(crate) fn load(&self, unit: &Unit) -> f64 {
         let mean = self.shard.backlog.mean_reported();
-        unit.believed(mean, self.config, self.now)
+        unit.estimated_load(mean, self.config, self.now)
     }
 
     /// Returns the candidates, at most [`MAX_CANDIDATES`].
--- a/crates/routing/src/unit.rs
+++ b/crates/routing/src/unit.rs
@@ -256,7 +256,7 @@
     ///
     /// What a report says loses half of its difference from the pool's mean with each
     /// half-life: an old low is where all others have sent since.
-    pub(crate) fn believed(&self, mean: f64, config: &Config, now: Monotonic) -> f64 {
+    pub(crate) fn estimated_load(&self, mean: f64, config: &Config, now: Monotonic) -> f64 {
         let Some(measured) = self.measured else {
             return float(self.outstanding);
         };
