--- a/crates/routing/src/score.rs
+++ b/crates/routing/src/score.rs
@@ -46,7 +46,7 @@
         let prefill = float(self.query.prompt_tokens - cached);
         let tokens = self.config.backlog_weight * self.load(unit) + prefill;
         let steps = 1.0 + tokens / self.config.tokens_per_step;
-        let seconds = steps * unit.step(self.config);
+        let seconds = steps * unit.step_time(self.config);
         let near = unit.member.failure_domain == self.config.failure_domain;
         let crossing = if near {
             Duration::ZERO
--- a/crates/routing/src/unit.rs
+++ b/crates/routing/src/unit.rs
@@ -109,7 +109,7 @@
     marks: u8,
     measured: Option<Measurement>,
     /// Mean of reported step times over about [`Config::step_life`], in seconds.
-    step: Option<f64>,
+    mean_step_time: Option<f64>,
     sends: VecDeque<(Monotonic, u64)>,
     unreported: u64,
     outstanding: u64,
@@ -123,7 +123,7 @@
             up: false,
             marks: 0,
             measured: None,
-            step: None,
+            mean_step_time: None,
             sends: VecDeque::new(),
             unreported: 0,
             outstanding: 0,
@@ -139,7 +139,7 @@
     pub(crate) fn set_up(&mut self, up: bool) {
         if !up {
             self.measured = None;
-            self.step = None;
+            self.mean_step_time = None;
         }
         self.up = up;
     }
@@ -182,7 +182,10 @@
         let since = at.saturating_sub(last).as_secs_f64();
         let keep = (-since / life.as_secs_f64()).exp2();
         let time = time.as_secs_f64();
-        self.step = Some(self.step.map_or(time, |mean| time + (mean - time) * keep));
+        self.mean_step_time = Some(
+            self.mean_step_time
+                .map_or(time, |mean| time + (mean - time) * keep),
+        );
     }
 
     pub(crate) fn sent(&mut self, tokens: u64, now: Monotonic) -> Ticket {
@@ -267,7 +270,8 @@
     }
 
     /// Returns the time that a step of the unit is believed to take, in seconds.
-    pub(crate) fn step(&self, config: &Config) -> f64 {
-        self.step.unwrap_or(config.step_time.as_secs_f64())
+    pub(crate) fn step_time(&self, config: &Config) -> f64 {
+        self.mean_step_time
+            .unwrap_or(config.step_time.as_secs_f64())
     }
 }
