--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -93,7 +93,7 @@
     ///
     /// Hints outlive a session; if the other end is a new incarnation, [`Event::Cleared`] drops them.
     pub fn session(&mut self, group: &GroupId, up: bool) {
-        self.change(group, |unit| unit.set_up(up));
+        self.change(group, |unit| unit.set_session_up(up));
     }
 
     /// Sets or clears a mark that keeps new work from a unit.
--- a/crates/routing/src/unit.rs
+++ b/crates/routing/src/unit.rs
@@ -136,7 +136,7 @@
     }
 
     /// Sets the session's state; a new session knows nothing of the reports of an old one.
-    pub(crate) fn set_up(&mut self, up: bool) {
+    pub(crate) fn set_session_up(&mut self, up: bool) {
         if !up {
             self.measured = None;
             self.mean_step_time = None;
