--- a/crates/routing/src/unit.rs
+++ b/crates/routing/src/unit.rs
@@ -158,7 +158,7 @@
         if self.measured.is_some_and(|last| last.at > at) {
             return;
         }
-        self.smooth(report.load.step_time, at, step_life);
+        self.update_mean_step_time(report.load.step_time, at, step_life);
         self.measured = Some(Measurement {
             load: report.load,
             at,
@@ -174,7 +174,7 @@
     }
 
     /// Takes a step time into the mean, with the weight of the time since the last one.
-    fn smooth(&mut self, time: Duration, at: Monotonic, life: Duration) {
+    fn update_mean_step_time(&mut self, time: Duration, at: Monotonic, life: Duration) {
         if time.is_zero() {
             return;
         }
