--- a/crates/routing/src/candidate.rs
+++ b/crates/routing/src/candidate.rs
@@ -131,7 +131,7 @@
         let Some((_, key)) = self.query.prefix.keys().find(|&(_, key)| !self.seen(key)) else {
             return;
         };
-        let mut walk = self.shard.ring.from(key).take(MAX_WALK);
+        let mut walk = self.shard.ring.successors(key).take(MAX_WALK);
         let Some(unit) = walk.find(|&unit| self.eligible(unit).is_some()) else {
             return;
         };
@@ -185,7 +185,7 @@
     fn spill(&self, proposals: &mut Vec<Proposal>, rng: &mut impl Rng) {
         let deepest = self.query.prefix.keys().next_back();
         let key = deepest.map_or_else(|| rng.random(), |(_, key)| key);
-        let walk = || self.shard.ring.from(key).take(MAX_WALK);
+        let walk = || self.shard.ring.successors(key).take(MAX_WALK);
         let bounded = walk().find(|&index| {
             self.eligible(index)
                 .is_some_and(|unit| self.within_bound(unit))
@@ -193,7 +193,7 @@
         let any = || {
             self.shard
                 .ring
-                .from(key)
+                .successors(key)
                 .find(|&unit| self.eligible(unit).is_some())
         };
         let found = bounded.or_else(|| if proposals.is_empty() { any() } else { None });
--- a/crates/routing/src/ring.rs
+++ b/crates/routing/src/ring.rs
@@ -13,7 +13,7 @@
 /// A point and the index of its unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Point {
-    at: u64,
+    hash: u64,
     unit: u32,
 }
 
@@ -29,16 +29,16 @@
         let mut points = Vec::new();
         for (unit, name) in units {
             let seed = stable(SEED, name.as_bytes());
-            let ats = (0..POINTS).map(|number| stable(seed, &number.to_le_bytes()));
-            points.extend(ats.map(|at| Point { at, unit }));
+            let hashes = (0..POINTS).map(|number| stable(seed, &number.to_le_bytes()));
+            points.extend(hashes.map(|hash| Point { hash, unit }));
         }
         points.sort_unstable();
         Ring { points }
     }
 
     /// Returns the units from the one that owns `key` onwards; a unit may come more than once.
-    pub(crate) fn from(&self, key: u64) -> impl Iterator<Item = u32> {
-        let start = self.points.partition_point(|point| point.at < key);
+    pub(crate) fn successors(&self, key: u64) -> impl Iterator<Item = u32> {
+        let start = self.points.partition_point(|point| point.hash < key);
         let (before, after) = self.points.split_at(start);
         after.iter().chain(before).map(|point| point.unit)
     }
