--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -59,7 +59,7 @@
     /// marks of a known unit stay, also when its model changes.
     pub fn insert(&mut self, group: GroupId, member: Member) -> bool {
         if let Some(&index) = self.index.get(&group) {
-            self.change_member(index, &member);
+            self.update_member(index, &member);
             return true;
         }
         let Some(index) = self.free_place() else {
@@ -93,20 +93,20 @@
     ///
     /// Hints outlive a session; if the other end is a new incarnation, [`Event::Cleared`] drops them.
     pub fn session(&mut self, group: &GroupId, up: bool) {
-        self.change(group, |unit| unit.set_session_up(up));
+        self.update_state(group, |unit| unit.set_session_up(up));
     }
 
     /// Sets or clears a mark that keeps new work from a unit.
     ///
     /// Whether a mark may be cleared is for the caller to know; the router undoes none by itself.
     pub fn mark(&mut self, group: &GroupId, mark: Mark, on: bool) {
-        self.change(group, |unit| unit.set_mark(mark, on));
+        self.update_state(group, |unit| unit.set_mark(mark, on));
     }
 
     /// Takes a load report, unless one measured later is known.
     pub fn report(&mut self, group: &GroupId, report: Report, now: Monotonic) {
         let life = self.config.step_life;
-        self.count(group, |unit| unit.report(report, life, now));
+        self.update_load(group, |unit| unit.report(report, life, now));
     }
 
     /// Takes that a request was sent to a unit; the ticket goes to [`Router::finished`].
@@ -117,13 +117,13 @@
         for (_, key) in query.prefix.keys() {
             self.hints.store(key, index, now);
         }
-        self.count(group, |unit| unit.sent(query.tokens(), now))
+        self.update_load(group, |unit| unit.sent(query.tokens(), now))
     }
 
     /// Takes that a request has ended at its unit, however it ended.
     pub fn finished(&mut self, ticket: Ticket) {
         let Ticket { group, tokens, at } = ticket;
-        self.count(&group, |unit| unit.finished(tokens, at));
+        self.update_load(&group, |unit| unit.finished(tokens, at));
     }
 
     /// Takes what a unit's cache did `age` ago.
@@ -192,7 +192,7 @@
         u32::try_from(place).ok()
     }
 
-    fn change_member(&mut self, index: u32, member: &Member) {
+    fn update_member(&mut self, index: u32, member: &Member) {
         let Some(unit) = self.units[index as usize].as_mut() else {
             return;
         };
@@ -221,7 +221,7 @@
     }
 
     /// Applies a change that may alter whether the unit admits.
-    fn change(&mut self, group: &GroupId, apply: impl FnOnce(&mut Unit)) {
+    fn update_state(&mut self, group: &GroupId, apply: impl FnOnce(&mut Unit)) {
         let Some(&index) = self.index.get(group) else {
             return;
         };
@@ -235,7 +235,7 @@
     }
 
     /// Applies a change of the unit's load and keeps its shard's sum.
-    fn count<T>(&mut self, group: &GroupId, apply: impl FnOnce(&mut Unit) -> T) -> Option<T> {
+    fn update_load<T>(&mut self, group: &GroupId, apply: impl FnOnce(&mut Unit) -> T) -> Option<T> {
         let index = *self.index.get(group)?;
         let unit = self.units[index as usize].as_mut()?;
         let before = unit.load();
