--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -62,7 +62,7 @@
             self.update_member(index, &member);
             return true;
         }
-        let Some(index) = self.free_place() else {
+        let Some(index) = self.free_index() else {
             return false;
         };
         let shard = self.shards.entry(shard_key(&member)).or_default();
@@ -180,16 +180,16 @@
         }));
     }
 
-    fn free_place(&mut self) -> Option<u32> {
+    fn free_index(&mut self) -> Option<u32> {
         let free = self.units.iter().position(Option::is_none);
-        let place = free.unwrap_or(self.units.len());
-        if place >= MAX_GROUPS {
+        let index = free.unwrap_or(self.units.len());
+        if index >= MAX_GROUPS {
             return None;
         }
-        if place == self.units.len() {
+        if index == self.units.len() {
             self.units.push(None);
         }
-        u32::try_from(place).ok()
+        u32::try_from(index).ok()
     }
 
     fn update_member(&mut self, index: u32, member: &Member) {
