--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -146,7 +146,7 @@
     pub fn route(&mut self, query: &Query, now: Monotonic, rng: &mut impl Rng) -> Decision {
         let key = (query.pool.clone(), query.model.clone());
         let Some(shard) = self.shards.get_mut(&key) else {
-            return refused(query, unknown(query));
+            return refused(query, unknown_kind(query));
         };
         shard.refresh(&self.units);
         if query.deadline.is_zero() {
@@ -256,7 +256,7 @@
     (member.pool.clone(), member.model.clone())
 }
 
-fn unknown(query: &Query) -> Kind {
+fn unknown_kind(query: &Query) -> Kind {
     if query.model.is_some() {
         Kind::UnknownModel
     } else {
