--- a/crates/routing/src/candidate.rs
+++ b/crates/routing/src/candidate.rs
@@ -23,13 +23,13 @@
 /// Most candidates that come from hints.
 const MAX_CACHED: usize = 4;
 /// Units known to cache a prefix from which on any is taken to.
-const COMMON: usize = WAYS;
+const COMMON_HOLDERS: usize = WAYS;
 /// Candidates that the ring names.
 const MAX_RING: usize = 1;
 /// Draws that may be lost to excluded or repeated units.
-const MAX_MISSES: usize = 4;
+const MAX_REDRAWS: usize = 4;
 /// Most points of the ring that a walk visits.
-const MAX_WALK: usize = 256;
+const MAX_RING_STEPS: usize = 256;
 /// Most candidates of a decision: hints, ring, draws and one spill.
 pub(crate) const MAX_CANDIDATES: usize = MAX_CACHED + MAX_RING + MAX_DRAWN + 1;
 
@@ -82,26 +82,26 @@
     /// Returns the candidates, at most [`MAX_CANDIDATES`].
     pub(crate) fn gather(&self, rng: &mut impl Rng) -> Vec<Proposal> {
         let mut proposals = Vec::with_capacity(MAX_CANDIDATES);
-        self.cached(&mut proposals);
-        self.ring(&mut proposals);
-        self.draw(&mut proposals, rng);
+        self.add_cached(&mut proposals);
+        self.add_ring_owner(&mut proposals);
+        self.add_drawn(&mut proposals, rng);
         let bounded = |proposal: &Proposal| {
             self.eligible(proposal.unit)
                 .is_some_and(|unit| self.within_bound(unit))
         };
-        let common = self.common();
+        let common = self.common_tokens();
         for proposal in &mut proposals {
             proposal.cached = proposal.cached.max(common);
         }
         if !proposals.iter().any(bounded) {
-            self.spill(&mut proposals, rng);
+            self.add_spill(&mut proposals, rng);
         }
         debug_assert!(proposals.len() <= MAX_CANDIDATES);
         proposals
     }
 
     /// Adds the units that hints name, those of the deepest prefix first.
-    fn cached(&self, proposals: &mut Vec<Proposal>) {
+    fn add_cached(&self, proposals: &mut Vec<Proposal>) {
         for (depth, key) in self.query.prefix.keys().rev() {
             for (unit, age) in self.hints.holders(key, self.now) {
                 let known = proposals.iter().any(|proposal| proposal.unit == unit);
@@ -124,14 +124,19 @@
     /// Prefixes that many prompts share are known to every entry, so this one is the first that
     /// holds the case's own text. Each entry that meets the case for the first time names the same
     /// unit for it, which then caches what the case's earlier requests left there.
-    fn ring(&self, proposals: &mut Vec<Proposal>) {
+    fn add_ring_owner(&self, proposals: &mut Vec<Proposal>) {
         let Some((deepest, _)) = self.query.prefix.keys().next_back() else {
             return;
         };
-        let Some((_, key)) = self.query.prefix.keys().find(|&(_, key)| !self.seen(key)) else {
+        let Some((_, key)) = self
+            .query
+            .prefix
+            .keys()
+            .find(|&(_, key)| !self.has_fresh_hint(key))
+        else {
             return;
         };
-        let mut walk = self.shard.ring.successors(key).take(MAX_WALK);
+        let mut walk = self.shard.ring.successors(key).take(MAX_RING_STEPS);
         let Some(unit) = walk.find(|&unit| self.eligible(unit).is_some()) else {
             return;
         };
@@ -148,44 +153,44 @@
     }
 
     /// Returns the tokens of the deepest prefix that many units cache, and so probably any.
-    fn common(&self) -> u64 {
+    fn common_tokens(&self) -> u64 {
         let mut keys = self.query.prefix.keys().rev();
         let fresh = |&(_, age): &(u32, Duration)| age <= self.config.hint_life;
         let common = keys.find(|&(_, key)| {
             let holders = self.hints.holders(key, self.now);
-            holders.filter(fresh).count() >= COMMON
+            holders.filter(fresh).count() >= COMMON_HOLDERS
         });
         common.map_or(0, |(depth, _)| u64::from(depth) * BLOCK_TOKENS)
     }
 
     /// Whether a fresh hint names `key`.
-    fn seen(&self, key: u64) -> bool {
+    fn has_fresh_hint(&self, key: u64) -> bool {
         let mut holders = self.hints.holders(key, self.now);
         holders.any(|(_, age)| age <= self.config.hint_life)
     }
 
     /// Adds units drawn at random.
-    fn draw(&self, proposals: &mut Vec<Proposal>, rng: &mut impl Rng) {
+    fn add_drawn(&self, proposals: &mut Vec<Proposal>, rng: &mut impl Rng) {
         let count = self.shard.admitting.len();
         let mut drawn = 0;
-        for _ in 0..self.config.choices + MAX_MISSES {
+        for _ in 0..self.config.choices + MAX_REDRAWS {
             if drawn == self.config.choices || count == 0 {
                 break;
             }
             let unit = self.shard.admitting[rng.random_range(0..count)];
             let known = proposals.iter().any(|proposal| proposal.unit == unit);
             if !known && self.eligible(unit).is_some() {
-                proposals.push(plain(unit, Reason::Drawn));
+                proposals.push(uncached(unit, Reason::Drawn));
                 drawn += 1;
             }
         }
     }
 
     /// Adds the next unit under the bound on the ring, or failing that the next of all.
-    fn spill(&self, proposals: &mut Vec<Proposal>, rng: &mut impl Rng) {
+    fn add_spill(&self, proposals: &mut Vec<Proposal>, rng: &mut impl Rng) {
         let deepest = self.query.prefix.keys().next_back();
         let key = deepest.map_or_else(|| rng.random(), |(_, key)| key);
-        let walk = || self.shard.ring.successors(key).take(MAX_WALK);
+        let walk = || self.shard.ring.successors(key).take(MAX_RING_STEPS);
         let bounded = walk().find(|&index| {
             self.eligible(index)
                 .is_some_and(|unit| self.within_bound(unit))
@@ -197,11 +202,11 @@
                 .find(|&unit| self.eligible(unit).is_some())
         };
         let found = bounded.or_else(|| if proposals.is_empty() { any() } else { None });
-        proposals.extend(found.map(|unit| plain(unit, Reason::Spill)));
+        proposals.extend(found.map(|unit| uncached(unit, Reason::Spill)));
     }
 }
 
-fn plain(unit: u32, reason: Reason) -> Proposal {
+fn uncached(unit: u32, reason: Reason) -> Proposal {
     Proposal {
         unit,
         reason,
