--- a/crates/routing/src/candidate.rs
+++ b/crates/routing/src/candidate.rs
@@ -105,7 +105,7 @@
         for (depth, key) in self.query.prefix.keys().rev() {
             for (unit, age) in self.hints.holders(key, self.now) {
                 let known = proposals.iter().any(|proposal| proposal.unit == unit);
-                let fresh = age <= self.config.hint_life;
+                let fresh = age <= self.config.max_hint_age;
                 if proposals.len() < MAX_CACHED && !known && fresh && self.eligible(unit).is_some()
                 {
                     proposals.push(Proposal {
@@ -155,7 +155,7 @@
     /// Returns the tokens of the deepest prefix that many units cache, and so probably any.
     fn common_tokens(&self) -> u64 {
         let mut keys = self.query.prefix.keys().rev();
-        let fresh = |&(_, age): &(u32, Duration)| age <= self.config.hint_life;
+        let fresh = |&(_, age): &(u32, Duration)| age <= self.config.max_hint_age;
         let common = keys.find(|&(_, key)| {
             let holders = self.hints.holders(key, self.now);
             holders.filter(fresh).count() >= COMMON_HOLDERS
@@ -166,7 +166,7 @@
     /// Whether a fresh hint names `key`.
     fn has_fresh_hint(&self, key: u64) -> bool {
         let mut holders = self.hints.holders(key, self.now);
-        holders.any(|(_, age)| age <= self.config.hint_life)
+        holders.any(|(_, age)| age <= self.config.max_hint_age)
     }
 
     /// Adds units drawn at random.
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -15,10 +15,10 @@
     pub(crate) ring_trust: u64,
     pub(crate) crossing: Duration,
     pub(crate) step_time: Duration,
-    pub(crate) half_life: Duration,
-    pub(crate) step_life: Duration,
-    pub(crate) report_life: Duration,
-    pub(crate) hint_life: Duration,
+    pub(crate) report_half_life: Duration,
+    pub(crate) step_time_half_life: Duration,
+    pub(crate) max_report_age: Duration,
+    pub(crate) max_hint_age: Duration,
 }
 
 impl Config {
@@ -34,10 +34,10 @@
             ring_trust: 50,
             crossing: Duration::from_millis(2),
             step_time: Duration::from_millis(20),
-            half_life: Duration::from_millis(100),
-            step_life: Duration::from_secs(10),
-            report_life: Duration::from_secs(10),
-            hint_life: Duration::from_mins(1),
+            report_half_life: Duration::from_millis(100),
+            step_time_half_life: Duration::from_secs(10),
+            max_report_age: Duration::from_secs(10),
+            max_hint_age: Duration::from_mins(1),
         })
     }
 }
@@ -100,29 +100,29 @@
 
     /// Sets the age at which half of a report's difference from the mean is believed.
     #[must_use]
-    pub fn half_life(mut self, age: Duration) -> Self {
-        self.0.half_life = age.max(Duration::from_millis(1));
+    pub fn report_half_life(mut self, age: Duration) -> Self {
+        self.0.report_half_life = age.max(Duration::from_millis(1));
         self
     }
 
     /// Sets the half-life of a reported step time in the mean.
     #[must_use]
-    pub fn step_life(mut self, age: Duration) -> Self {
-        self.0.step_life = age.max(Duration::from_millis(1));
+    pub fn step_time_half_life(mut self, age: Duration) -> Self {
+        self.0.step_time_half_life = age.max(Duration::from_millis(1));
         self
     }
 
     /// Sets the age past which a report is not used.
     #[must_use]
-    pub fn report_life(mut self, life: Duration) -> Self {
-        self.0.report_life = life;
+    pub fn max_report_age(mut self, life: Duration) -> Self {
+        self.0.max_report_age = life;
         self
     }
 
     /// Sets the age past which a hint of a cached prefix is not used.
     #[must_use]
-    pub fn hint_life(mut self, life: Duration) -> Self {
-        self.0.hint_life = life;
+    pub fn max_hint_age(mut self, life: Duration) -> Self {
+        self.0.max_hint_age = life;
         self
     }
 
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -105,7 +105,7 @@
 
     /// Takes a load report, unless one measured later is known.
     pub fn report(&mut self, group: &GroupId, report: Report, now: Monotonic) {
-        let life = self.config.step_life;
+        let life = self.config.step_time_half_life;
         self.update_load(group, |unit| unit.report(report, life, now));
     }
 
--- a/crates/routing/src/unit.rs
+++ b/crates/routing/src/unit.rs
@@ -108,7 +108,7 @@
     up: bool,
     marks: u8,
     measured: Option<Measurement>,
-    /// Mean of reported step times over about [`Config::step_life`], in seconds.
+    /// Mean of reported step times over about [`Config::step_time_half_life`], in seconds.
     mean_step_time: Option<f64>,
     sends: VecDeque<(Monotonic, u64)>,
     unreported: u64,
@@ -153,12 +153,12 @@
     }
 
     /// Takes a report unless a later measurement is known.
-    pub(crate) fn report(&mut self, report: Report, step_life: Duration, now: Monotonic) {
+    pub(crate) fn report(&mut self, report: Report, step_time_half_life: Duration, now: Monotonic) {
         let at = now.saturating_sub(report.age);
         if self.measured.is_some_and(|last| last.at > at) {
             return;
         }
-        self.update_mean_step_time(report.load.step_time, at, step_life);
+        self.update_mean_step_time(report.load.step_time, at, step_time_half_life);
         self.measured = Some(Measurement {
             load: report.load,
             at,
@@ -236,7 +236,7 @@
     pub(crate) fn report_age(&self, config: &Config, now: Monotonic) -> Option<Duration> {
         self.measured
             .map(|measured| now.saturating_sub(measured.at))
-            .filter(|&age| age <= config.report_life)
+            .filter(|&age| age <= config.max_report_age)
     }
 
     /// Returns what is known of the tokens before the unit.
@@ -264,7 +264,7 @@
             return float(self.outstanding);
         };
         let age = now.saturating_sub(measured.at).as_secs_f64();
-        let trust = (-age / config.half_life.as_secs_f64()).exp2();
+        let trust = (-age / config.report_half_life.as_secs_f64()).exp2();
         let difference = float(measured.load.backlog_tokens) - mean;
         mean + difference * trust + float(self.unreported)
     }
