--- a/crates/routing/examples/table/ours.rs
+++ b/crates/routing/examples/table/ours.rs
@@ -53,9 +53,9 @@
         let builder = Config::builder(domain(entry));
         let builder = match part {
             Part::Whole => builder,
-            Part::NoRing => builder.ring_trust(0),
+            Part::NoRing => builder.ring_hit_percent(0),
             Part::NoBound => builder.load_bound(1e9),
-            Part::OneDraw => builder.choices(1),
+            Part::OneDraw => builder.random_choices(1),
         };
         let mut router = Router::new(builder.build());
         for number in 0..groups {
--- a/crates/routing/src/candidate.rs
+++ b/crates/routing/src/candidate.rs
@@ -140,7 +140,7 @@
         let Some(unit) = walk.find(|&unit| self.eligible(unit).is_some()) else {
             return;
         };
-        let cached = self.config.ring_trust * u64::from(deepest) * BLOCK_TOKENS / 100;
+        let cached = self.config.ring_hit_percent * u64::from(deepest) * BLOCK_TOKENS / 100;
         match proposals.iter_mut().find(|proposal| proposal.unit == unit) {
             Some(proposal) => proposal.cached = proposal.cached.max(cached),
             None => proposals.push(Proposal {
@@ -173,8 +173,8 @@
     fn add_drawn(&self, proposals: &mut Vec<Proposal>, rng: &mut impl Rng) {
         let count = self.shard.admitting.len();
         let mut drawn = 0;
-        for _ in 0..self.config.choices + MAX_REDRAWS {
-            if drawn == self.config.choices || count == 0 {
+        for _ in 0..self.config.random_choices + MAX_REDRAWS {
+            if drawn == self.config.random_choices || count == 0 {
                 break;
             }
             let unit = self.shard.admitting[rng.random_range(0..count)];
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -9,11 +9,11 @@
 pub struct Config {
     pub(crate) failure_domain: FailureDomainId,
     pub(crate) load_bound: f64,
-    pub(crate) choices: usize,
+    pub(crate) random_choices: usize,
     pub(crate) tokens_per_step: f64,
     pub(crate) backlog_weight: f64,
-    pub(crate) ring_trust: u64,
-    pub(crate) crossing: Duration,
+    pub(crate) ring_hit_percent: u64,
+    pub(crate) cross_domain_latency: Duration,
     pub(crate) step_time: Duration,
     pub(crate) report_half_life: Duration,
     pub(crate) step_time_half_life: Duration,
@@ -28,11 +28,11 @@
         Builder(Config {
             failure_domain,
             load_bound: 2.0,
-            choices: 2,
+            random_choices: 2,
             tokens_per_step: 2048.0,
             backlog_weight: 0.05,
-            ring_trust: 50,
-            crossing: Duration::from_millis(2),
+            ring_hit_percent: 50,
+            cross_domain_latency: Duration::from_millis(2),
             step_time: Duration::from_millis(20),
             report_half_life: Duration::from_millis(100),
             step_time_half_life: Duration::from_secs(10),
@@ -58,8 +58,8 @@
 
     /// Sets how many units are drawn at random for each decision, at least one.
     #[must_use]
-    pub fn choices(mut self, count: usize) -> Self {
-        self.0.choices = count.clamp(1, crate::candidate::MAX_DRAWN);
+    pub fn random_choices(mut self, count: usize) -> Self {
+        self.0.random_choices = count.clamp(1, crate::candidate::MAX_DRAWN);
         self
     }
 
@@ -79,15 +79,15 @@
 
     /// Sets the share of a prefix that the unit which the ring names is taken to cache.
     #[must_use]
-    pub fn ring_trust(mut self, percent: u64) -> Self {
-        self.0.ring_trust = percent.min(100);
+    pub fn ring_hit_percent(mut self, percent: u64) -> Self {
+        self.0.ring_hit_percent = percent.min(100);
         self
     }
 
     /// Sets the cost of leaving the failure domain, there and back.
     #[must_use]
-    pub fn crossing(mut self, cost: Duration) -> Self {
-        self.0.crossing = cost;
+    pub fn cross_domain_latency(mut self, cost: Duration) -> Self {
+        self.0.cross_domain_latency = cost;
         self
     }
 
--- a/crates/routing/src/score.rs
+++ b/crates/routing/src/score.rs
@@ -48,15 +48,16 @@
         let steps = 1.0 + tokens / self.config.tokens_per_step;
         let seconds = steps * unit.step_time(self.config);
         let near = unit.member.failure_domain == self.config.failure_domain;
-        let crossing = if near {
+        let cross_domain_latency = if near {
             Duration::ZERO
         } else {
-            self.config.crossing
+            self.config.cross_domain_latency
         };
         Some(Candidate {
             group: unit.group.clone(),
             reason: proposal.reason,
-            cost: Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX) + crossing,
+            cost: Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
+                + cross_domain_latency,
             load: unit.load().total(),
             cached_tokens: cached,
             within_bound: self.within_bound(unit),
