--- a/crates/routing/examples/table/ours.rs
+++ b/crates/routing/examples/table/ours.rs
@@ -1,4 +1,4 @@
-//! The router of this crate as a policy, whole or with a part switched off.
+//! The router of this crate as a policy, whole or with a variant switched off.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -20,20 +20,20 @@
 
 /// Which parts are on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Part {
-    Whole,
+pub(crate) enum Variant {
+    Full,
     NoRing,
     NoBound,
     OneDraw,
 }
 
-impl Part {
+impl Variant {
     pub(crate) const fn name(self) -> &'static str {
         match self {
-            Part::Whole => "ours",
-            Part::NoRing => "ours-no-ring",
-            Part::NoBound => "ours-no-bound",
-            Part::OneDraw => "ours-1-draw",
+            Variant::Full => "ours",
+            Variant::NoRing => "ours-no-ring",
+            Variant::NoBound => "ours-no-bound",
+            Variant::OneDraw => "ours-1-draw",
         }
     }
 }
@@ -49,13 +49,13 @@
 }
 
 impl Ours {
-    pub(crate) fn new(part: Part, groups: usize, entry: usize) -> Self {
+    pub(crate) fn new(variant: Variant, groups: usize, entry: usize) -> Self {
         let builder = Config::builder(domain(entry));
-        let builder = match part {
-            Part::Whole => builder,
-            Part::NoRing => builder.ring_hit_percent(0),
-            Part::NoBound => builder.load_bound(1e9),
-            Part::OneDraw => builder.random_choices(1),
+        let builder = match variant {
+            Variant::Full => builder,
+            Variant::NoRing => builder.ring_hit_percent(0),
+            Variant::NoBound => builder.load_bound(1e9),
+            Variant::OneDraw => builder.random_choices(1),
         };
         let mut router = Router::new(builder.build());
         for number in 0..groups {
--- a/crates/routing/examples/table/policy.rs
+++ b/crates/routing/examples/table/policy.rs
@@ -14,7 +14,7 @@
 use crate::baseline::Random;
 use crate::baseline::Turn;
 use crate::ours::Ours;
-use crate::ours::Part;
+use crate::ours::Variant;
 
 /// A way to choose a group, with the state that one entry keeps for it.
 pub(crate) trait Policy {
@@ -43,7 +43,7 @@
     Turn,
     Least,
     Affinity,
-    Ours(Part),
+    Ours(Variant),
 }
 
 impl Choice {
@@ -52,13 +52,13 @@
         Choice::Turn,
         Choice::Least,
         Choice::Affinity,
-        Choice::Ours(Part::Whole),
+        Choice::Ours(Variant::Full),
     ];
     pub(crate) const ABLATION: [Choice; 4] = [
-        Choice::Ours(Part::Whole),
-        Choice::Ours(Part::NoRing),
-        Choice::Ours(Part::NoBound),
-        Choice::Ours(Part::OneDraw),
+        Choice::Ours(Variant::Full),
+        Choice::Ours(Variant::NoRing),
+        Choice::Ours(Variant::NoBound),
+        Choice::Ours(Variant::OneDraw),
     ];
 
     pub(crate) const fn name(self) -> &'static str {
@@ -67,7 +67,7 @@
             Choice::Turn => "round-robin",
             Choice::Least => "least-loaded",
             Choice::Affinity => "affinity",
-            Choice::Ours(part) => part.name(),
+            Choice::Ours(variant) => variant.name(),
         }
     }
 
@@ -78,7 +78,7 @@
             Choice::Turn => Box::new(Turn::new(groups, entry)),
             Choice::Least => Box::new(Least::new(groups)),
             Choice::Affinity => Box::new(Affinity::new(groups)),
-            Choice::Ours(part) => Box::new(Ours::new(part, groups, entry)),
+            Choice::Ours(variant) => Box::new(Ours::new(variant, groups, entry)),
         }
     }
 }
