--- a/crates/routing/examples/table/baseline.rs
+++ b/crates/routing/examples/table/baseline.rs
@@ -37,21 +37,21 @@
 }
 
 /// Groups in turn.
-pub(crate) struct Turn {
+pub(crate) struct RoundRobin {
     live: Vec<usize>,
     next: usize,
 }
 
-impl Turn {
+impl RoundRobin {
     pub(crate) fn new(groups: usize, entry: usize) -> Self {
-        Turn {
+        RoundRobin {
             live: all(groups),
             next: entry,
         }
     }
 }
 
-impl Policy for Turn {
+impl Policy for RoundRobin {
     fn choose(&mut self, _: usize, _: &Query, _: Monotonic, _: &mut ChaCha8Rng) -> usize {
         self.next += 1;
         self.live[self.next % self.live.len()]
@@ -63,21 +63,21 @@
 }
 
 /// The group with the least backlog by the last reports, ties at random.
-pub(crate) struct Least {
+pub(crate) struct LeastLoaded {
     live: Vec<usize>,
     backlog: Vec<u64>,
 }
 
-impl Least {
+impl LeastLoaded {
     pub(crate) fn new(groups: usize) -> Self {
-        Least {
+        LeastLoaded {
             live: all(groups),
             backlog: vec![0; groups],
         }
     }
 }
 
-impl Policy for Least {
+impl Policy for LeastLoaded {
     fn choose(&mut self, _: usize, _: &Query, _: Monotonic, rng: &mut ChaCha8Rng) -> usize {
         let least = self.live.iter().map(|&group| self.backlog[group]).min();
         let even = |&&group: &&usize| Some(self.backlog[group]) == least;
--- a/crates/routing/examples/table/policy.rs
+++ b/crates/routing/examples/table/policy.rs
@@ -10,9 +10,9 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::baseline::Affinity;
-use crate::baseline::Least;
+use crate::baseline::LeastLoaded;
 use crate::baseline::Random;
-use crate::baseline::Turn;
+use crate::baseline::RoundRobin;
 use crate::ours::Ours;
 use crate::ours::Variant;
 
@@ -40,8 +40,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Choice {
     Random,
-    Turn,
-    Least,
+    RoundRobin,
+    LeastLoaded,
     Affinity,
     Ours(Variant),
 }
@@ -49,8 +49,8 @@
 impl Choice {
     pub(crate) const ALL: [Choice; 5] = [
         Choice::Random,
-        Choice::Turn,
-        Choice::Least,
+        Choice::RoundRobin,
+        Choice::LeastLoaded,
         Choice::Affinity,
         Choice::Ours(Variant::Full),
     ];
@@ -64,8 +64,8 @@
     pub(crate) const fn name(self) -> &'static str {
         match self {
             Choice::Random => "random",
-            Choice::Turn => "round-robin",
-            Choice::Least => "least-loaded",
+            Choice::RoundRobin => "round-robin",
+            Choice::LeastLoaded => "least-loaded",
             Choice::Affinity => "affinity",
             Choice::Ours(variant) => variant.name(),
         }
@@ -75,8 +75,8 @@
     pub(crate) fn build(self, groups: usize, entry: usize) -> Box<dyn Policy> {
         match self {
             Choice::Random => Box::new(Random::new(groups)),
-            Choice::Turn => Box::new(Turn::new(groups, entry)),
-            Choice::Least => Box::new(Least::new(groups)),
+            Choice::RoundRobin => Box::new(RoundRobin::new(groups, entry)),
+            Choice::LeastLoaded => Box::new(LeastLoaded::new(groups)),
             Choice::Affinity => Box::new(Affinity::new(groups)),
             Choice::Ours(variant) => Box::new(Ours::new(variant, groups, entry)),
         }
