--- a/crates/routing/examples/table/trace.rs
+++ b/crates/routing/examples/table/trace.rs
@@ -15,11 +15,11 @@
 pub(crate) type Micros = u64;
 
 /// Turns of a case, on average.
-const TURNS: f64 = 6.0;
+const MEAN_TURNS: f64 = 6.0;
 /// Mean time between turns.
-const THINK: f64 = 8_000_000.0;
+const MEAN_THINK_TIME: f64 = 8_000_000.0;
 /// Share of turns that come through another entry than the case's own.
-const STRAY: f64 = 0.2;
+const STRAY_SHARE: f64 = 0.2;
 /// Most tokens that a request asks for.
 pub(crate) const MAX_TOKENS: u64 = 300;
 
@@ -91,7 +91,7 @@
     let mut at = 0;
     let mut case = 1_000_000;
     while at < scenario.length {
-        at += exponential(1e6 * TURNS / scenario.rate, &mut rng);
+        at += exponential(1e6 * MEAN_TURNS / scenario.rate, &mut rng);
         case += 1;
         draw_case(scenario, at, case, &mut rng, &mut arrivals);
     }
@@ -113,7 +113,7 @@
     let mut own = rng.random_range(3..12);
     let mut at = start;
     loop {
-        let stray = rng.random_bool(STRAY);
+        let stray = rng.random_bool(STRAY_SHARE);
         let entry = if stray {
             rng.random_range(0..scenario.entries)
         } else {
@@ -128,10 +128,10 @@
             output: rng.random_range(20..MAX_TOKENS),
             priority: priority(rng),
         });
-        if rng.random_bool(1.0 / TURNS) {
+        if rng.random_bool(1.0 / MEAN_TURNS) {
             return;
         }
-        at += exponential(THINK, rng);
+        at += exponential(MEAN_THINK_TIME, rng);
         own += rng.random_range(1..4);
     }
 }
