--- a/crates/routing/examples/table/main.rs
+++ b/crates/routing/examples/table/main.rs
@@ -109,12 +109,12 @@
     println!("{scenario:<10}{lag:>6}  {policy:<14}{}", cells.join(""));
 }
 
-fn head(csv: bool) {
+fn print_header(csv: bool) {
     if csv {
-        println!("scenario,lag_ms,policy,{}", score::HEAD.join(","));
+        println!("scenario,lag_ms,policy,{}", score::HEADER.join(","));
         return;
     }
-    let names: Vec<String> = score::HEAD
+    let names: Vec<String> = score::HEADER
         .iter()
         .map(|name| format!("{name:>8}"))
         .collect();
@@ -129,7 +129,7 @@
 
 fn main() {
     let options = options();
-    head(options.csv);
+    print_header(options.csv);
     let choices = if options.ablation {
         Choice::ABLATION.to_vec()
     } else {
--- a/crates/routing/examples/table/score.rs
+++ b/crates/routing/examples/table/score.rs
@@ -5,17 +5,17 @@
 use crate::trace::Micros;
 
 /// Names of the cells.
-pub(crate) const HEAD: [&str; 11] = [
+pub(crate) const HEADER: [&str; 11] = [
     "ttft50", "ttft95", "ttft99", "tbt50", "tbt95", "tbt99", "in1300%", "hit%", "imbal", "cut",
     "done",
 ];
 /// First token in time for the target, in microseconds.
-const IN_TIME: Micros = 1_300_000;
+const TTFT_TARGET: Micros = 1_300_000;
 
 /// Latencies and counts of one or more runs.
 pub(crate) struct Score {
-    pub(crate) first: Histogram<u64>,
-    pub(crate) between: Histogram<u64>,
+    pub(crate) ttft: Histogram<u64>,
+    pub(crate) tbt: Histogram<u64>,
     pub(crate) prompt_tokens: u64,
     pub(crate) hit_tokens: u64,
     /// Sum and count of samples of the largest over mean backlog.
@@ -39,8 +39,8 @@
 impl Score {
     pub(crate) fn new() -> Self {
         Score {
-            first: histogram(),
-            between: histogram(),
+            ttft: histogram(),
+            tbt: histogram(),
             prompt_tokens: 0,
             hit_tokens: 0,
             imbalance: (0.0, 0),
@@ -49,8 +49,8 @@
     }
 
     pub(crate) fn add(&mut self, other: &Score) {
-        self.first += &other.first;
-        self.between += &other.between;
+        self.ttft += &other.ttft;
+        self.tbt += &other.tbt;
         self.prompt_tokens += other.prompt_tokens;
         self.hit_tokens += other.hit_tokens;
         self.imbalance.0 += other.imbalance.0;
@@ -69,19 +69,19 @@
         }
     }
 
-    /// Returns the cells in the order of [`HEAD`]; times in milliseconds.
+    /// Returns the cells in the order of [`HEADER`]; times in milliseconds.
     pub(crate) fn cells(&self) -> Vec<String> {
         let mut cells = Vec::new();
-        for times in [&self.first, &self.between] {
+        for times in [&self.ttft, &self.tbt] {
             for quantile in [0.5, 0.95, 0.99] {
                 let micros = times.value_at_quantile(quantile);
                 cells.push(format!("{:.1}", float(micros) / 1000.0));
             }
         }
-        let in_time = self.first.count_between(0, IN_TIME);
+        let in_time = self.ttft.count_between(0, TTFT_TARGET);
         cells.push(format!(
             "{:.1}",
-            100.0 * float(in_time) / float(self.first.len())
+            100.0 * float(in_time) / float(self.ttft.len())
         ));
         cells.push(format!(
             "{:.1}",
@@ -90,7 +90,7 @@
         let samples = f64::from(self.imbalance.1.max(1));
         cells.push(format!("{:.2}", self.imbalance.0 / samples));
         cells.push(self.cut.to_string());
-        cells.push(self.first.len().to_string());
+        cells.push(self.ttft.len().to_string());
         cells
     }
 }
--- a/crates/routing/examples/table/world.rs
+++ b/crates/routing/examples/table/world.rs
@@ -140,7 +140,7 @@
             pairs.filter(|&(arrival, &answered)| !answered && arrival.at >= self.scenario.warm)
         {
             let time = self.now.saturating_sub(arrival.at);
-            self.score.first.record(time).expect("a time in range");
+            self.score.ttft.record(time).expect("a time in range");
         }
     }
 
@@ -212,7 +212,7 @@
         if counted && outcome.decoded > 0 {
             let time = self.engines[group].step_time;
             self.score
-                .between
+                .tbt
                 .record_n(time, outcome.decoded)
                 .expect("a time in range");
         }
@@ -221,7 +221,7 @@
             let arrival = &self.arrivals[number];
             if arrival.at >= self.scenario.warm {
                 let time = self.now + NETWORK - arrival.at;
-                self.score.first.record(time).expect("a time in range");
+                self.score.ttft.record(time).expect("a time in range");
             }
             if self.rng.random_bool(CACHE_KEPT) {
                 self.at(self.now + CACHE_LAG, Event::Cached(number, group));
