--- a/crates/routing/examples/table/engine.rs
+++ b/crates/routing/examples/table/engine.rs
@@ -59,7 +59,7 @@
     plan: Vec<u64>,
     pub(crate) percent: u64,
     pub(crate) stepping: bool,
-    pub(crate) dead: bool,
+    pub(crate) failed: bool,
     pub(crate) step_time: Micros,
     /// Running mean of step times.
     mean_step: Micros,
@@ -85,7 +85,7 @@
             plan: Vec::new(),
             percent: 100,
             stepping: false,
-            dead: false,
+            failed: false,
             step_time: STEP_BASE,
             mean_step: STEP_BASE,
             prompt_tokens: 0,
@@ -106,8 +106,8 @@
     }
 
     /// Drops all work, as a group that dies does, and returns its requests.
-    pub(crate) fn die(&mut self) -> Vec<usize> {
-        self.dead = true;
+    pub(crate) fn fail(&mut self) -> Vec<usize> {
+        self.failed = true;
         self.plan.clear();
         let waiting = self.waiting.drain(..).map(|job| job.number);
         let running = self.running.drain(..).map(|job| job.number);
--- a/crates/routing/examples/table/world.rs
+++ b/crates/routing/examples/table/world.rs
@@ -44,7 +44,7 @@
 /// What happens at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A request reaches its entry, or comes back to it from a dead group.
+    /// A request reaches its entry, or comes back to it from a failed group.
     Arrive(usize),
     /// A request reaches a group.
     Reach(usize, usize),
@@ -176,7 +176,7 @@
     }
 
     fn reach(&mut self, number: usize, group: usize) {
-        if self.engines[group].dead {
+        if self.engines[group].failed {
             let known = self.scenario.change + DETECTION;
             self.policies[self.arrivals[number].entry].finished(number);
             self.at(known.max(self.now) + NETWORK, Event::Arrive(number));
@@ -204,7 +204,7 @@
     }
 
     fn step(&mut self, group: usize) {
-        if self.engines[group].dead {
+        if self.engines[group].failed {
             return;
         }
         let outcome = self.engines[group].end();
@@ -237,7 +237,7 @@
         let loads = self.engines.iter().map(Engine::load).collect();
         self.measured.push(loads);
         if self.now >= self.scenario.warm && self.now < self.scenario.length {
-            let live = self.engines.iter().filter(|engine| !engine.dead);
+            let live = self.engines.iter().filter(|engine| !engine.failed);
             let backlogs: Vec<u64> = live.map(Engine::backlog).collect();
             self.score.sample(&backlogs);
         }
@@ -268,7 +268,7 @@
             return;
         }
         for group in self.lost() {
-            for number in self.engines[group].die() {
+            for number in self.engines[group].fail() {
                 self.policies[self.arrivals[number].entry].finished(number);
                 self.answered[number] = true;
                 self.score.cut += 1;
