--- a/crates/routing/examples/table/engine.rs
+++ b/crates/routing/examples/table/engine.rs
@@ -13,9 +13,9 @@
 use crate::trace::Micros;
 
 /// Requests that run at once.
-const BATCH: usize = 256;
+const MAX_BATCH: usize = 256;
 /// Tokens prefilled in a step at most.
-const CHUNK: u64 = 1024;
+const CHUNK_TOKENS: u64 = 1024;
 /// Time of a step that does nothing.
 const STEP_BASE: Micros = 10_000;
 /// Time that each running request adds to a step.
@@ -57,7 +57,7 @@
     running: Vec<Job>,
     /// Tokens that the current step prefills, by place in `running`.
     plan: Vec<u64>,
-    pub(crate) percent: u64,
+    pub(crate) step_percent: u64,
     pub(crate) stepping: bool,
     pub(crate) failed: bool,
     pub(crate) step_time: Micros,
@@ -83,7 +83,7 @@
             waiting: VecDeque::new(),
             running: Vec::new(),
             plan: Vec::new(),
-            percent: 100,
+            step_percent: 100,
             stepping: false,
             failed: false,
             step_time: STEP_BASE,
@@ -117,7 +117,7 @@
     /// Begins a step and returns its time; `counted` adds to the share of hits.
     pub(crate) fn begin(&mut self, counted: bool) -> Micros {
         self.admit(counted);
-        let mut budget = CHUNK;
+        let mut budget = CHUNK_TOKENS;
         self.plan.clear();
         for job in &self.running {
             let tokens = job.prefill.min(budget);
@@ -125,15 +125,15 @@
             self.plan.push(tokens);
         }
         let requests = self.running.len() as u64;
-        let time = STEP_BASE + STEP_REQUEST * requests + STEP_TOKEN * (CHUNK - budget);
-        self.step_time = time * self.percent / 100;
+        let time = STEP_BASE + STEP_REQUEST * requests + STEP_TOKEN * (CHUNK_TOKENS - budget);
+        self.step_time = time * self.step_percent / 100;
         self.mean_step = (self.mean_step * (MEAN_STEPS - 1) + self.step_time) / MEAN_STEPS;
         self.stepping = true;
         self.step_time
     }
 
     fn admit(&mut self, counted: bool) {
-        while self.running.len() < BATCH {
+        while self.running.len() < MAX_BATCH {
             let Some(mut job) = self.waiting.pop_front() else {
                 break;
             };
@@ -186,7 +186,7 @@
             running: u32::try_from(self.running.len()).unwrap_or(u32::MAX),
             backlog_tokens: self.backlog(),
             step_time: Duration::from_micros(self.mean_step),
-            skew: if self.percent > 100 { 2.0 } else { 1.05 },
+            skew: if self.step_percent > 100 { 2.0 } else { 1.05 },
         }
     }
 }
--- a/crates/routing/examples/table/world.rs
+++ b/crates/routing/examples/table/world.rs
@@ -263,7 +263,7 @@
     }
 
     fn change(&mut self) {
-        self.engines[0].percent = self.scenario.slow_percent;
+        self.engines[0].step_percent = self.scenario.slow_percent;
         if !self.scenario.domain_lost {
             return;
         }
