--- a/crates/routing/examples/table/world.rs
+++ b/crates/routing/examples/table/world.rs
@@ -100,25 +100,25 @@
         score: Score::new(),
     };
     for (number, arrival) in arrivals.iter().enumerate() {
-        world.at(arrival.at, Event::Arrive(number));
+        world.schedule(arrival.at, Event::Arrive(number));
     }
-    world.at(0, Event::Measure);
-    world.at(scenario.change, Event::Change);
-    world.play();
+    world.schedule(0, Event::Measure);
+    world.schedule(scenario.change, Event::Change);
+    world.run_events();
     world.score
 }
 
 impl World<'_> {
-    fn at(&mut self, time: Micros, event: Event) {
+    fn schedule(&mut self, time: Micros, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((time, self.sequence, event)));
     }
 
-    fn clock(&self) -> Monotonic {
+    fn monotonic_now(&self) -> Monotonic {
         Duration::from_micros(self.now)
     }
 
-    fn play(&mut self) {
+    fn run_events(&mut self) {
         while let Some(Reverse((time, _, event))) = self.events.pop() {
             self.now = time;
             // Work that is left long after the last arrival counts with the time it has waited.
@@ -169,17 +169,17 @@
             deadline: Duration::from_secs(30),
             excluded: Vec::new(),
         };
-        let now = self.clock();
+        let now = self.monotonic_now();
         let policy = &mut self.policies[arrival.entry];
         let group = policy.choose(number, &query, now, &mut self.rng);
-        self.at(self.now + NETWORK, Event::Reach(number, group));
+        self.schedule(self.now + NETWORK, Event::Reach(number, group));
     }
 
     fn reach(&mut self, number: usize, group: usize) {
         if self.engines[group].failed {
             let known = self.scenario.change + DETECTION;
             self.policies[self.arrivals[number].entry].finished(number);
-            self.at(known.max(self.now) + NETWORK, Event::Arrive(number));
+            self.schedule(known.max(self.now) + NETWORK, Event::Arrive(number));
             return;
         }
         let arrival = &self.arrivals[number];
@@ -199,7 +199,7 @@
         let engine = &mut self.engines[group];
         if !engine.stepping && !engine.is_idle() {
             let time = engine.begin(counted);
-            self.at(self.now + time, Event::Step(group));
+            self.schedule(self.now + time, Event::Step(group));
         }
     }
 
@@ -224,7 +224,7 @@
                 self.score.ttft.record(time).expect("a time in range");
             }
             if self.rng.random_bool(CACHE_KEPT) {
-                self.at(self.now + CACHE_LAG, Event::Cached(number, group));
+                self.schedule(self.now + CACHE_LAG, Event::Cached(number, group));
             }
         }
         for &number in &outcome.done {
@@ -242,15 +242,15 @@
             self.score.sample(&backlogs);
         }
         let lag = Micros::try_from(self.scenario.lag.as_micros()).unwrap_or(0);
-        self.at(self.now + lag, Event::Deliver(self.measured.len() - 1));
+        self.schedule(self.now + lag, Event::Deliver(self.measured.len() - 1));
         if self.now < self.scenario.length {
-            self.at(self.now + REPORT_EVERY, Event::Measure);
+            self.schedule(self.now + REPORT_EVERY, Event::Measure);
         }
     }
 
     fn deliver(&mut self, number: usize) {
         let loads = std::mem::take(&mut self.measured[number]);
-        let now = self.clock();
+        let now = self.monotonic_now();
         for (group, load) in loads.into_iter().enumerate() {
             let report = Report {
                 load,
@@ -274,7 +274,7 @@
                 self.score.cut += 1;
             }
         }
-        self.at(self.now + DETECTION, Event::Detect);
+        self.schedule(self.now + DETECTION, Event::Detect);
     }
 
     fn lost(&self) -> impl Iterator<Item = usize> + use<> {
@@ -290,7 +290,7 @@
     }
 
     fn cached(&mut self, number: usize, group: usize) {
-        let now = self.clock();
+        let now = self.monotonic_now();
         let age = Duration::from_micros(CACHE_LAG);
         let policy = &mut self.policies[self.arrivals[number].entry];
         for (_, key) in self.prefixes[number].keys() {
