--- a/crates/routing/src/hint.rs
+++ b/crates/routing/src/hint.rs
@@ -59,27 +59,27 @@
             let ages = row.iter().map(|hint| hint.map(|hint| hint.at));
             ages.enumerate().min_by_key(|&(_, at)| at)
         };
-        let place = same.or_else(|| oldest().map(|(place, _)| place));
-        if let Some(place) = place {
-            let known = same.and_then(|place| row[place]).map(|hint| hint.at);
+        let way = same.or_else(|| oldest().map(|(way, _)| way));
+        if let Some(way) = way {
+            let known = same.and_then(|way| row[way]).map(|hint| hint.at);
             let at = known.map_or(at, |known| known.max(at));
-            row[place] = Some(Hint { key, unit, at });
+            row[way] = Some(Hint { key, unit, at });
         }
     }
 
     pub(crate) fn evict(&mut self, key: u64, unit: u32) {
-        for place in &mut self.rows[Self::row(key)] {
-            if place.is_some_and(|hint| hint.key == key && hint.unit == unit) {
-                *place = None;
+        for way in &mut self.rows[Self::row(key)] {
+            if way.is_some_and(|hint| hint.key == key && hint.unit == unit) {
+                *way = None;
             }
         }
     }
 
     /// Forgets all hints of `unit`.
     pub(crate) fn clear(&mut self, unit: u32) {
-        for place in self.rows.iter_mut().flatten() {
-            if place.is_some_and(|hint| hint.unit == unit) {
-                *place = None;
+        for way in self.rows.iter_mut().flatten() {
+            if way.is_some_and(|hint| hint.unit == unit) {
+                *way = None;
             }
         }
     }
