--- a/crates/routing/tests/random.rs
+++ b/crates/routing/tests/random.rs
@@ -30,7 +30,7 @@
 /// Tickets held at most before the oldest is given back.
 const MAX_TICKETS: usize = 500;
 
-fn setting(name: &str, default: u64) -> u64 {
+fn env_or(name: &str, default: u64) -> u64 {
     let value = env::var(name).ok();
     value
         .and_then(|value| value.parse().ok())
@@ -227,8 +227,8 @@
 
 #[gtest]
 fn only_allowed_units_are_scored_and_the_state_stays_bounded() {
-    let first = setting("AUBURNLINE_SEED", 1);
-    let events = setting("AUBURNLINE_EVENTS", EVENTS);
+    let first = env_or("AUBURNLINE_SEED", 1);
+    let events = env_or("AUBURNLINE_EVENTS", EVENTS);
     for seed in first..first + SEEDS {
         println!("seed {seed}, {events} events");
         let log = run(seed, events);
