--- a/crates/routing/src/candidate.rs
+++ b/crates/routing/src/candidate.rs
@@ -1,7 +1,7 @@
-//! Gathering of the few units that a decision scores.
+//! Selection of the candidates that a decision scores.
 //!
-//! The number of candidates is fixed, so a decision costs the same in a small pool and in a large
-//! one but for the logarithm of a search on the ring.
+//! The number of candidates is bounded, so the cost of a decision does not depend on the size of
+//! the pool, except for the binary search on the ring.
 
 use std::time::Duration;
 
@@ -18,32 +18,32 @@
 use crate::shard::Shard;
 use crate::unit::Unit;
 
-/// Most units drawn at random.
+/// Maximum number of units drawn at random.
 pub(crate) const MAX_DRAWN: usize = 4;
-/// Most candidates that come from hints.
+/// Maximum number of candidates that come from hints.
 const MAX_CACHED: usize = 4;
-/// Units known to cache a prefix from which on any is taken to.
+/// Units with a fresh hint for a prefix from which on every unit is assumed to cache it.
 const COMMON_HOLDERS: usize = WAYS;
-/// Candidates that the ring names.
+/// Maximum number of candidates that come from the ring.
 const MAX_RING: usize = 1;
-/// Draws that may be lost to excluded or repeated units.
+/// Additional draws to make up for those that hit an ineligible or repeated unit.
 const MAX_REDRAWS: usize = 4;
-/// Most points of the ring that a walk visits.
+/// Maximum number of ring points visited in one search.
 const MAX_RING_STEPS: usize = 256;
-/// Most candidates of a decision: hints, ring, draws and one spill.
+/// Maximum number of candidates of a decision: from hints, the ring, draws and one spill.
 pub(crate) const MAX_CANDIDATES: usize = MAX_CACHED + MAX_RING + MAX_DRAWN + 1;
 
-/// A unit to be scored.
+/// A unit selected for scoring.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Proposal {
     pub(crate) unit: u32,
     pub(crate) reason: Reason,
-    /// Tokens of the prompt that it is expected to cache.
+    /// Prompt tokens that the unit is expected to have cached.
     pub(crate) cached: u64,
     pub(crate) hint_age: Option<Duration>,
 }
 
-/// All that gathering reads.
+/// Read-only inputs of one decision.
 pub(crate) struct View<'a> {
     pub(crate) config: &'a Config,
     pub(crate) units: &'a [Option<Unit>],
@@ -54,7 +54,7 @@
 }
 
 impl View<'_> {
-    /// Returns the unit at `index` if it admits and this query may be sent to it.
+    /// Returns the unit at `index` if it admits work, serves the query and is not excluded.
     pub(crate) fn eligible(&self, index: u32) -> Option<&Unit> {
         let unit = self.units.get(index as usize)?.as_ref()?;
         let serves = unit.member.pool == self.query.pool && unit.member.model == self.query.model;
@@ -62,10 +62,10 @@
         (unit.admits() && serves && !excluded).then_some(unit)
     }
 
-    /// Whether `unit` may be chosen under the load bound.
+    /// Whether the load of `unit` is within the load bound.
     ///
-    /// With loads of one age, a unit at or below the mean passes. With mixed ages it can be that
-    /// none does; then the least loaded candidate is taken.
+    /// If all reports have the same age, every unit at or below the mean load is within the bound.
+    /// If ages differ, there may be no such unit; the least loaded candidate is chosen then.
     pub(crate) fn within_bound(&self, unit: &Unit) -> bool {
         let own = self.shard.backlog.own.saturating_add(self.query.tokens());
         let count = self.shard.admitting.len().max(1) as u64;
@@ -73,7 +73,7 @@
         self.load(unit) <= self.config.load_bound * mean
     }
 
-    /// Returns the tokens believed to be before `unit`.
+    /// Returns the estimated tokens queued at `unit`.
     pub(crate) fn load(&self, unit: &Unit) -> f64 {
         let mean = self.shard.backlog.mean_reported();
         unit.estimated_load(mean, self.config, self.now)
@@ -100,7 +100,7 @@
         proposals
     }
 
-    /// Adds the units that hints name, those of the deepest prefix first.
+    /// Adds units with a fresh hint for a prefix of the prompt, deepest prefix first.
     fn add_cached(&self, proposals: &mut Vec<Proposal>) {
         for (depth, key) in self.query.prefix.keys().rev() {
             for (unit, age) in self.hints.holders(key, self.now) {
@@ -119,11 +119,12 @@
         }
     }
 
-    /// Adds the owner, on the ring, of the shallowest prefix that this process has not seen.
+    /// Adds the owner on the ring of the shallowest prefix without a fresh hint.
     ///
-    /// Prefixes that many prompts share are known to every entry, so this one is the first that
-    /// holds the case's own text. Each entry that meets the case for the first time names the same
-    /// unit for it, which then caches what the case's earlier requests left there.
+    /// Prefixes shared by many prompts have hints at every entry, so the shallowest one without a
+    /// hint is the first to contain text of the case itself, that is, of a series of requests with
+    /// a growing prompt. Every entry that sees the case for the first time therefore selects the
+    /// same unit, which then has the case's earlier requests in its cache.
     fn add_ring_owner(&self, proposals: &mut Vec<Proposal>) {
         let Some((deepest, _)) = self.query.prefix.keys().next_back() else {
             return;
@@ -152,7 +153,9 @@
         }
     }
 
-    /// Returns the tokens of the deepest prefix that many units cache, and so probably any.
+    /// Returns the tokens of the deepest prefix with at least [`COMMON_HOLDERS`] fresh hints.
+    ///
+    /// So many units cache it that any unit probably does.
     fn common_tokens(&self) -> u64 {
         let mut keys = self.query.prefix.keys().rev();
         let fresh = |&(_, age): &(u32, Duration)| age <= self.config.max_hint_age;
@@ -163,13 +166,13 @@
         common.map_or(0, |(depth, _)| u64::from(depth) * BLOCK_TOKENS)
     }
 
-    /// Whether a fresh hint names `key`.
+    /// Whether any unit has a fresh hint for `key`.
     fn has_fresh_hint(&self, key: u64) -> bool {
         let mut holders = self.hints.holders(key, self.now);
         holders.any(|(_, age)| age <= self.config.max_hint_age)
     }
 
-    /// Adds units drawn at random.
+    /// Adds up to [`Config::random_choices`] eligible units drawn uniformly at random.
     fn add_drawn(&self, proposals: &mut Vec<Proposal>, rng: &mut impl Rng) {
         let count = self.shard.admitting.len();
         let mut drawn = 0;
@@ -186,7 +189,10 @@
         }
     }
 
-    /// Adds the next unit under the bound on the ring, or failing that the next of all.
+    /// Adds the next eligible unit on the ring that is within the load bound.
+    ///
+    /// If none is found and there are no other candidates, adds the next eligible unit at any
+    /// load.
     fn add_spill(&self, proposals: &mut Vec<Proposal>, rng: &mut impl Rng) {
         let deepest = self.query.prefix.keys().next_back();
         let key = deepest.map_or_else(|| rng.random(), |(_, key)| key);
