--- a/crates/routing/src/decision.rs
+++ b/crates/routing/src/decision.rs
@@ -1,4 +1,4 @@
-//! A decision with all that its log line needs.
+//! The result of a decision, with the data for its log line.
 
 use std::fmt::Display;
 use std::fmt::Formatter;
@@ -9,16 +9,16 @@
 use auburnline_core::id::ModelId;
 use auburnline_core::id::PoolId;
 
-/// Why a unit was a candidate.
+/// How a unit became a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// It probably caches a prefix of the prompt.
+    /// A hint says that it caches a prefix of the prompt.
     Cached,
-    /// The ring names it for a prefix of the prompt.
+    /// It owns a prefix of the prompt on the consistent-hash ring.
     Ring,
     /// It was drawn at random.
     Drawn,
-    /// It was the next on the ring under the load bound.
+    /// It was the next unit on the ring as no other candidate was within the load bound.
     Spill,
 }
 
@@ -35,52 +35,52 @@
     }
 }
 
-/// A unit that was scored.
+/// A scored unit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// The unit.
+    /// Group that names the unit.
     pub group: GroupId,
-    /// Why it was a candidate.
+    /// How the unit became a candidate.
     pub reason: Reason,
-    /// Predicted time until the first token; the lowest wins.
+    /// Predicted time to the first token; the lowest within the load bound is chosen.
     pub cost: Duration,
-    /// Tokens believed to be before the request.
+    /// Last reported backlog and own sends since its measurement, in tokens.
     pub load: u64,
-    /// Tokens of the prompt believed to be cached.
+    /// Prompt tokens that the unit is expected to have cached.
     pub cached_tokens: u64,
-    /// Whether the load is within the bound over the pool's mean.
+    /// Whether the estimated load is within the load bound relative to the mean.
     pub within_bound: bool,
-    /// Age of the load report, if one is usable.
+    /// Age of the load report; `None` without a report or past the maximum age.
     pub report_age: Option<Duration>,
-    /// Age of the hint of a cached prefix, if one was used.
+    /// Age of the hint that made the unit a candidate; `None` for any other reason.
     pub hint_age: Option<Duration>,
 }
 
-/// The choice for one request.
+/// The result of routing one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
-    /// Pool that was asked for.
+    /// Pool that the query requested.
     pub pool: PoolId,
-    /// Model that was asked for.
+    /// Model that the query requested; `None` for a plain service.
     pub model: Option<ModelId>,
-    /// The chosen unit, or why there is none.
+    /// The chosen unit, or the kind of error if there is none.
     pub chosen: Result<Candidate, Kind>,
-    /// The other candidates, cheapest first.
+    /// The other candidates: those within the load bound by cost, then the rest by load.
     pub runners_up: Vec<Candidate>,
-    /// Units that admit work for this query.
+    /// Admitting units of the pool and model, including excluded ones; 0 without a chosen unit.
     pub admitting: usize,
-    /// Mean load of those units in tokens.
+    /// Mean load of the admitting units in tokens.
     pub mean_load: u64,
-    /// Whether the first token is predicted after the deadline.
+    /// Whether the predicted time to the first token exceeds the deadline.
     pub late: bool,
 }
 
 impl Decision {
-    /// Returns the chosen unit.
+    /// Returns the group of the chosen unit.
     ///
     /// # Errors
     ///
-    /// Returns the kind of the answer if no unit may be given the request.
+    /// Returns the kind of error to answer with if no unit was chosen.
     pub fn group(&self) -> Result<&GroupId, Kind> {
         match &self.chosen {
             Ok(candidate) => Ok(&candidate.group),
@@ -89,7 +89,7 @@
     }
 }
 
-/// An age in milliseconds, or a dash.
+/// Formats an age in milliseconds, or `-` without one.
 struct Age(Option<Duration>);
 
 impl Display for Age {
