--- a/crates/routing/src/hint.rs
+++ b/crates/routing/src/hint.rs
@@ -1,30 +1,29 @@
-//! Table of which units probably cache which prefixes.
+//! Hints about which units cache which prefixes.
 //!
-//! Hints come from this process's own sends and from cache events, which are late, sampled and
-//! gappy; a wrong hint costs time only. The hints is a table of fixed size, four places to a row:
-//! a new hint replaces the oldest of its row.
+//! Hints come from this process's own sends and from cache events, which are delayed, sampled and
+//! may be missing; a wrong hint only costs time. They are kept in a set-associative table of fixed
+//! size with four ways: a new hint replaces the oldest one in its row.
 
 use std::time::Duration;
 
 use auburnline_core::time::Monotonic;
 
-/// Places in a row, and so the most units remembered for a prefix.
+/// Hints in a row, and so the maximum number of units with a hint for one prefix.
 pub(crate) const WAYS: usize = 4;
-/// Rows of the table.
 const ROWS: usize = 4096;
 
-/// What a unit's cache did.
+/// A change in the prefix cache of a unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The prefix with this key is cached.
+    /// The prefix with this key was stored.
     Stored(u64),
-    /// The prefix with this key is cached no longer.
+    /// The prefix with this key was evicted.
     Evicted(u64),
-    /// Nothing is cached any longer.
+    /// All prefixes were dropped.
     Cleared,
 }
 
-/// One remembered prefix.
+/// A unit that probably caches a prefix, as of `at`.
 #[derive(Clone, Copy, Debug)]
 struct Hint {
     key: u64,
@@ -32,7 +31,7 @@
     at: Monotonic,
 }
 
-/// Table of hints.
+/// Set-associative table of hints.
 #[derive(Debug)]
 pub(crate) struct Table {
     rows: Vec<[Option<Hint>; WAYS]>,
@@ -45,7 +44,7 @@
         }
     }
 
-    /// Returns the row of `key`; the table's size fits any index.
+    /// Returns the row of `key`; the conversion cannot fail, as [`ROWS`] fits any `usize`.
     fn row(key: u64) -> usize {
         usize::try_from(key % ROWS as u64).unwrap_or_default()
     }
@@ -75,7 +74,7 @@
         }
     }
 
-    /// Forgets all hints of `unit`.
+    /// Removes all hints for `unit`.
     pub(crate) fn clear(&mut self, unit: u32) {
         for way in self.rows.iter_mut().flatten() {
             if way.is_some_and(|hint| hint.unit == unit) {
@@ -84,7 +83,7 @@
         }
     }
 
-    /// Returns the units that probably cache `key`, with the hints' ages.
+    /// Returns the units that probably cache the prefix `key`, with the ages of their hints.
     pub(crate) fn holders(
         &self,
         key: u64,
