--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,14 +1,15 @@
 //! Choice of an upstream for a request.
 //!
-//! A [`Router`] knows the units of routing that one process may send to (groups of ranks, or
-//! plain-service instances) and chooses one for each [`Query`]. It scores a small, fixed number of
-//! candidates in predicted seconds: the units that probably cache the prompt's prefix, the units
-//! that a consistent-hash ring names for that prefix, and two drawn at random. Load reports are
-//! old when they arrive, so the process's own sends since the measurement are added to them.
+//! A [`Router`] keeps the state of the units that one process may send to (groups of ranks, or
+//! instances of plain services) and chooses one for each [`Query`]. It predicts the time to the
+//! first token for a small, bounded number of candidates: the units that probably cache a prefix of
+//! the prompt, the owner of that prefix on a consistent-hash ring, and two drawn at random. Load
+//! reports are already old when they arrive, so the tokens that the process itself has sent since
+//! the measurement are added to them.
 //!
-//! The crate holds decisions only. It does not send, does not read a clock, and keeps no state
-//! that grows with requests; what it does not know (incarnations, retries, limits) belongs to the
-//! crates of those names. Every [`Decision`] formats itself as one line for the log.
+//! The crate only makes decisions. It does no I/O, does not read a clock, and keeps no state that
+//! grows with the number of requests. Incarnations, retries and limits are handled by other crates.
+//! The `Display` output of a [`Decision`] is its log line.
 
 mod candidate;
 mod config;
