--- a/crates/routing/src/query.rs
+++ b/crates/routing/src/query.rs
@@ -1,4 +1,4 @@
-//! What a decision needs to know of a request.
+//! The properties of a request that a decision depends on.
 
 use std::time::Duration;
 
@@ -11,34 +11,34 @@
 
 use crate::prefix::Prefix;
 
-/// Bytes of text taken for a token.
+/// Estimated bytes of text per token.
 const BYTES_PER_TOKEN: usize = 4;
-/// Tokens taken for a call of a plain service.
+/// Tokens counted for a call of a plain service.
 const CALL_TOKENS: u64 = 1;
 
-/// A request as the router sees it.
+/// A request to be routed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Query {
-    /// Pool that serves the request.
+    /// Pool whose units serve the request.
     pub pool: PoolId,
-    /// Model that drafts; `None` for a call of a plain service.
+    /// Model that generates the draft; `None` for a call of a plain service.
     pub model: Option<ModelId>,
-    /// Prefixes of the prompt.
+    /// Keys of the prompt's prefixes; empty for a call.
     pub prefix: Prefix,
-    /// Tokens of the prompt.
+    /// Estimated tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate; 0 for a call.
     pub max_tokens: u64,
-    /// Order among waiting requests.
+    /// Order among waiting requests; the choice of a unit does not depend on it.
     pub priority: Priority,
-    /// Time left until the answer is worthless.
+    /// Time left until the answer is of no use; a query with none left is refused.
     pub deadline: Duration,
-    /// Units that must not be chosen, for example those that earlier attempts were given.
+    /// Units that must not be chosen, for example those of earlier attempts.
     pub excluded: Vec<GroupId>,
 }
 
 impl Query {
-    /// Returns the query of `request`, which `pool` serves.
+    /// Returns the query for `request`, served by `pool`.
     #[must_use]
     pub fn new(request: &Request, pool: PoolId) -> Self {
         let (model, prefix, prompt_tokens, max_tokens) = match &request.work {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns the tokens that the request may cost a unit.
+    /// Returns the maximum number of tokens that the request adds to a unit's load.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         self.prompt_tokens.saturating_add(self.max_tokens)
