--- a/crates/routing/src/ring.rs
+++ b/crates/routing/src/ring.rs
@@ -1,13 +1,13 @@
 //! Consistent-hash ring over the units that admit work.
 //!
-//! Every process that sees the same units builds the same ring, so entries agree on the units for
-//! a prefix without a message. When a unit goes, its arcs fall to many others.
+//! Processes that see the same units build the same ring, so entries agree on the owner of a prefix
+//! without communication. When a unit is removed, its keys are spread over many others.
 
 use auburnline_core::hash::stable;
 
-/// Points of each unit on the ring.
+/// Points (virtual nodes) per unit.
 const POINTS: u64 = 32;
-/// Seed of a unit's points.
+/// Seed of the hash of a unit's name.
 const SEED: u64 = 0x6175_6275_726e_0003;
 
 /// A point and the index of its unit.
@@ -17,7 +17,7 @@
     unit: u32,
 }
 
-/// Ring of units.
+/// Points of all units, sorted by hash.
 #[derive(Debug, Default)]
 pub(crate) struct Ring {
     points: Vec<Point>,
@@ -36,7 +36,7 @@
         Ring { points }
     }
 
-    /// Returns the units from the one that owns `key` onwards; a unit may come more than once.
+    /// Returns the owner of `key` and the units after it; a unit may occur more than once.
     pub(crate) fn successors(&self, key: u64) -> impl Iterator<Item = u32> {
         let start = self.points.partition_point(|point| point.hash < key);
         let (before, after) = self.points.split_at(start);
