--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router: state of all units, and the choice among them.
+//! The router: the state of all units and the choice among them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,13 +24,13 @@
 use crate::unit::Ticket;
 use crate::unit::Unit;
 
-/// Most units that a router keeps.
+/// Maximum number of units that a router keeps.
 pub const MAX_GROUPS: usize = 1024;
 
 /// Pool and model that a shard serves.
 type ShardKey = (PoolId, Option<ModelId>);
 
-/// Choice of a unit for each request of one process.
+/// Chooses a unit for each request of one process.
 #[derive(Debug)]
 pub struct Router {
     config: Config,
@@ -41,7 +41,7 @@
 }
 
 impl Router {
-    /// Returns a router that knows no unit.
+    /// Returns a router without units.
     #[must_use]
     pub fn new(config: Config) -> Self {
         Router {
@@ -53,10 +53,10 @@
         }
     }
 
-    /// Adds a unit, with its session down, or takes what is newly published of a known one.
+    /// Adds a unit with its session down, or updates the published data of a known unit.
     ///
-    /// Returns whether it is kept; a unit past [`MAX_GROUPS`] is not. The session's state and the
-    /// marks of a known unit stay, also when its model changes.
+    /// Returns `false` if the unit is new and there are [`MAX_GROUPS`] already. The session state
+    /// and the marks of a known unit are kept, even if its model changes.
     pub fn insert(&mut self, group: GroupId, member: Member) -> bool {
         if let Some(&index) = self.index.get(&group) {
             self.update_member(index, &member);
@@ -73,7 +73,7 @@
         true
     }
 
-    /// Forgets a unit that is no longer published.
+    /// Removes a unit that is no longer published, with its hints.
     pub fn remove(&mut self, group: &GroupId) {
         let Some(index) = self.index.remove(group) else {
             return;
@@ -84,32 +84,33 @@
         self.hints.clear(index);
     }
 
-    /// Returns the units that are known, in the order of their names.
+    /// Returns the groups of all known units, sorted by name.
     pub fn groups(&self) -> impl Iterator<Item = &GroupId> {
         self.index.keys()
     }
 
-    /// Takes that the session to a unit is up or down.
+    /// Records that the session to a unit is up or down.
     ///
-    /// Hints outlive a session; if the other end is a new incarnation, [`Event::Cleared`] drops them.
+    /// Hints are kept when a session ends. If the unit comes back as a new incarnation, the caller
+    /// removes them with [`Event::Cleared`].
     pub fn session(&mut self, group: &GroupId, up: bool) {
         self.update_state(group, |unit| unit.set_session_up(up));
     }
 
     /// Sets or clears a mark that keeps new work from a unit.
     ///
-    /// Whether a mark may be cleared is for the caller to know; the router undoes none by itself.
+    /// The router never clears a mark by itself; the caller decides when to.
     pub fn mark(&mut self, group: &GroupId, mark: Mark, on: bool) {
         self.update_state(group, |unit| unit.set_mark(mark, on));
     }
 
-    /// Takes a load report, unless one measured later is known.
+    /// Records a load report, unless a later measurement has been recorded.
     pub fn report(&mut self, group: &GroupId, report: Report, now: Monotonic) {
-        let life = self.config.step_time_half_life;
-        self.update_load(group, |unit| unit.report(report, life, now));
+        let half_life = self.config.step_time_half_life;
+        self.update_load(group, |unit| unit.report(report, half_life, now));
     }
 
-    /// Takes that a request was sent to a unit; the ticket goes to [`Router::finished`].
+    /// Records that a request was sent to a unit; pass the ticket to [`Router::finished`].
     ///
     /// Returns `None` if the unit is not known.
     pub fn sent(&mut self, group: &GroupId, query: &Query, now: Monotonic) -> Option<Ticket> {
@@ -120,13 +121,13 @@
         self.update_load(group, |unit| unit.sent(query.tokens(), now))
     }
 
-    /// Takes that a request has ended at its unit, however it ended.
+    /// Records that a request has ended at its unit, whatever its outcome.
     pub fn finished(&mut self, ticket: Ticket) {
         let Ticket { group, tokens, at } = ticket;
         self.update_load(&group, |unit| unit.finished(tokens, at));
     }
 
-    /// Takes what a unit's cache did `age` ago.
+    /// Records a change in a unit's cache that happened `age` ago.
     pub fn cache_event(&mut self, group: &GroupId, event: Event, age: Duration, now: Monotonic) {
         let Some(&index) = self.index.get(group) else {
             return;
@@ -140,7 +141,8 @@
 
     /// Chooses a unit for `query`.
     ///
-    /// The choice counts for the next ones only when the caller says that it was [`sent`].
+    /// Later decisions take the request into account only after the caller has reported it as
+    /// [`sent`].
     ///
     /// [`sent`]: Router::sent
     pub fn route(&mut self, query: &Query, now: Monotonic, rng: &mut impl Rng) -> Decision {
@@ -166,7 +168,7 @@
         decision
     }
 
-    /// Asserts the promise that only an admitting unit of the right kind is chosen.
+    /// Asserts that the chosen unit admits work, serves the query and is not excluded.
     fn assert_eligible(&self, query: &Query, decision: &Decision) {
         debug_assert!(decision.group().map_or(true, |group| {
             let index = self.index.get(group);
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Applies a change that may alter whether the unit admits.
+    /// Applies a change that may affect whether the unit admits work.
     fn update_state(&mut self, group: &GroupId, apply: impl FnOnce(&mut Unit)) {
         let Some(&index) = self.index.get(group) else {
             return;
@@ -234,7 +236,7 @@
         }
     }
 
-    /// Applies a change of the unit's load and keeps its shard's sum.
+    /// Applies a change to the unit's load and updates the sum of its shard.
     fn update_load<T>(&mut self, group: &GroupId, apply: impl FnOnce(&mut Unit) -> T) -> Option<T> {
         let index = *self.index.get(group)?;
         let unit = self.units[index as usize].as_mut()?;
