--- a/crates/routing/src/score.rs
+++ b/crates/routing/src/score.rs
@@ -1,4 +1,4 @@
-//! Scores of the candidates in predicted seconds, and the choice among them.
+//! Predicted time to the first token of each candidate, and the choice among them.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::query::Query;
 
 impl View<'_> {
-    /// Chooses the cheapest candidate under the bound, or the least loaded if none is.
+    /// Chooses the cheapest candidate within the load bound, or the least loaded if none is.
     pub(crate) fn decide(&self, proposals: &[Proposal]) -> Decision {
         let mut scored: Vec<Candidate> = proposals
             .iter()
@@ -67,7 +67,7 @@
     }
 }
 
-/// Returns a decision that names no unit.
+/// Returns a decision without a chosen unit.
 pub(crate) fn refused(query: &Query, kind: Kind) -> Decision {
     Decision {
         pool: query.pool.clone(),
