--- a/crates/routing/src/shard.rs
+++ b/crates/routing/src/shard.rs
@@ -1,26 +1,26 @@
-//! Units that serve the same pool and model.
+//! The units of one pool that serve the same model.
 
 use crate::ring::Ring;
 use crate::unit::Backlog;
 use crate::unit::Unit;
 
-/// The admitting units of one pool and model.
+/// The units of one pool and model.
 #[derive(Debug, Default)]
 pub(crate) struct Shard {
     /// Indexes of all units, admitting or not.
     pub(crate) all: Vec<u32>,
-    /// Indexes of the units that admit work, in the order of their names.
+    /// Indexes of the units that admit work, sorted by name.
     pub(crate) admitting: Vec<u32>,
     /// Ring over the admitting units.
     pub(crate) ring: Ring,
     /// Sum of the admitting units' loads.
     pub(crate) backlog: Backlog,
-    /// Whether the fields above must be rebuilt before use.
+    /// Whether `admitting`, `ring` and `backlog` must be rebuilt before use.
     pub(crate) dirty: bool,
 }
 
 impl Shard {
-    /// Rebuilds the derived fields after a change of membership, session or marks.
+    /// Rebuilds the derived fields if units, sessions or marks have changed.
     pub(crate) fn refresh(&mut self, units: &[Option<Unit>]) {
         if !self.dirty {
             return;
@@ -43,7 +43,7 @@
         self.dirty = false;
     }
 
-    /// Returns the mean load of the admitting units.
+    /// Returns the mean load of the admitting units in tokens; 0 without any.
     pub(crate) fn mean(&self) -> u64 {
         self.backlog
             .total()
