--- a/crates/routing/src/unit.rs
+++ b/crates/routing/src/unit.rs
@@ -1,8 +1,8 @@
-//! One unit of routing as this process sees it.
+//! State of one unit (a group of ranks or a plain-service instance) as seen by this process.
 //!
-//! The load of a unit is its last report plus what this process sent after the moment of
-//! measurement. A send that has finished is taken out again if the report did not include it.
-//! Without a usable report, the load is what this process has outstanding there.
+//! The load of a unit is its last reported backlog plus the tokens that this process has sent since
+//! the measurement. A request that finishes is subtracted again if the report did not include it.
+//! Without a report in the current session, the load is what this process has outstanding there.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -18,35 +18,35 @@
 use crate::config::Config;
 use crate::number::float;
 
-/// Most sends that are kept apart between two reports; older ones are merged.
+/// Maximum number of separate sends kept between two reports; the oldest ones are merged.
 const MAX_SENDS: usize = 64;
 
-/// What is published of a unit.
+/// Published data of a unit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Pool that the unit belongs to.
     pub pool: PoolId,
-    /// Model that the unit holds; `None` for a plain service.
+    /// Model that the unit serves; `None` for a plain service.
     pub model: Option<ModelId>,
     /// Failure domain of the unit's first instance.
     pub failure_domain: FailureDomainId,
 }
 
-/// Reason why a unit takes no new work although its session is up.
+/// Reason why a unit is given no new work although its session is up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mark {
     /// An instance of the unit is leaving the fleet or draining.
     Leaving = 1,
-    /// The unit's slot has been fenced off.
+    /// The published configuration keeps new work from the unit.
     Fenced = 2,
-    /// The unit is ejected for its failures.
+    /// The unit was ejected because of failures.
     Ejected = 4,
 }
 
-/// Record of one send; given back when the request ends there.
+/// Record of one request sent, to be returned to the router when the request ends.
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "a ticket that is dropped leaves the unit looking busy"]
+#[must_use = "the request counts as outstanding until its ticket is passed to `Router::finished`"]
 pub struct Ticket {
     pub(crate) group: GroupId,
     pub(crate) tokens: u64,
@@ -54,43 +54,43 @@
 }
 
 impl Ticket {
-    /// Returns the unit that the request was sent to.
+    /// Returns the group of the unit that the request was sent to.
     #[must_use]
     pub fn group(&self) -> &GroupId {
         &self.group
     }
 }
 
-/// A report and the moment of its measurement on this process's clock.
+/// A reported load and the time of its measurement on this process's clock.
 #[derive(Clone, Copy, Debug)]
 struct Measurement {
     load: Load,
     at: Monotonic,
 }
 
-/// Tokens before a unit, or a sum over units, by who knows of them.
+/// Tokens queued at a unit, or a sum over units, by source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Backlog {
-    /// Units that have reported.
+    /// Number of units with a report.
     pub(crate) reports: u64,
-    /// Tokens that the last report names.
+    /// Tokens in the last report.
     pub(crate) reported: u64,
-    /// Tokens that this process sent and the report does not cover.
+    /// Tokens sent by this process that the report does not include.
     pub(crate) own: u64,
 }
 
 impl Backlog {
-    /// Returns all tokens.
+    /// Returns the reported and own tokens.
     pub(crate) fn total(self) -> u64 {
         self.reported.saturating_add(self.own)
     }
 
-    /// Returns the mean of what the units that have reported say.
+    /// Returns the mean reported tokens of the units with a report; 0 without any.
     pub(crate) fn mean_reported(self) -> f64 {
         float(self.reported) / float(self.reports.max(1))
     }
 
-    /// Returns the sum with one unit's part replaced.
+    /// Returns the sum with the contribution `before` of one unit replaced by `after`.
     pub(crate) fn replace(self, before: Backlog, after: Backlog) -> Backlog {
         Backlog {
             reports: self.reports - before.reports + after.reports,
@@ -108,10 +108,13 @@
     up: bool,
     marks: u8,
     measured: Option<Measurement>,
-    /// Mean of reported step times over about [`Config::step_time_half_life`], in seconds.
+    /// Exponentially weighted mean of reported step times, in seconds.
     mean_step_time: Option<f64>,
+    /// Times and tokens of the sends since the last measurement, oldest first.
     sends: VecDeque<(Monotonic, u64)>,
+    /// Sum of the tokens in `sends`.
     unreported: u64,
+    /// Tokens of all sends that have not finished, reported or not.
     outstanding: u64,
 }
 
@@ -135,7 +138,7 @@
         self.up && self.marks == 0
     }
 
-    /// Sets the session's state; a new session knows nothing of the reports of an old one.
+    /// Sets the state of the session; reports are dropped when it goes down.
     pub(crate) fn set_session_up(&mut self, up: bool) {
         if !up {
             self.measured = None;
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Takes a report unless a later measurement is known.
+    /// Records a report, unless a later measurement has been recorded.
     pub(crate) fn report(&mut self, report: Report, step_time_half_life: Duration, now: Monotonic) {
         let at = now.saturating_sub(report.age);
         if self.measured.is_some_and(|last| last.at > at) {
@@ -173,14 +176,14 @@
         self.assert_sends();
     }
 
-    /// Takes a step time into the mean, with the weight of the time since the last one.
-    fn update_mean_step_time(&mut self, time: Duration, at: Monotonic, life: Duration) {
+    /// Adds a step time to the mean, weighted by the time since the last measurement.
+    fn update_mean_step_time(&mut self, time: Duration, at: Monotonic, half_life: Duration) {
         if time.is_zero() {
             return;
         }
         let last = self.measured.map_or(at, |measured| measured.at);
         let since = at.saturating_sub(last).as_secs_f64();
-        let keep = (-since / life.as_secs_f64()).exp2();
+        let keep = (-since / half_life.as_secs_f64()).exp2();
         let time = time.as_secs_f64();
         self.mean_step_time = Some(
             self.mean_step_time
@@ -203,7 +206,8 @@
         }
     }
 
-    /// Merges the two oldest sends at the later one's time, so that neither is forgotten early.
+    /// Merges the two oldest sends with the time of the later one, so that neither is dropped
+    /// before a report includes it.
     fn merge_oldest(&mut self) {
         if let Some((_, tokens)) = self.sends.pop_front()
             && let Some(next) = self.sends.front_mut()
@@ -223,7 +227,7 @@
         self.assert_sends();
     }
 
-    /// Asserts that the sends kept are bounded and sum up.
+    /// Asserts that the number of sends is bounded and that `unreported` is their sum.
     pub(crate) fn assert_sends(&self) {
         debug_assert!(self.sends.len() <= MAX_SENDS);
         debug_assert_eq!(
@@ -232,14 +236,14 @@
         );
     }
 
-    /// Returns the age of the last usable report.
+    /// Returns the age of the last report, unless it exceeds [`Config::max_report_age`].
     pub(crate) fn report_age(&self, config: &Config, now: Monotonic) -> Option<Duration> {
         self.measured
             .map(|measured| now.saturating_sub(measured.at))
             .filter(|&age| age <= config.max_report_age)
     }
 
-    /// Returns what is known of the tokens before the unit.
+    /// Returns the tokens queued at the unit by source, whatever the age of the report.
     pub(crate) fn load(&self) -> Backlog {
         match self.measured {
             Some(measured) => Backlog {
@@ -255,21 +259,21 @@
         }
     }
 
-    /// Returns the tokens that the unit is believed to have before it.
+    /// Returns the estimated tokens queued at the unit.
     ///
-    /// What a report says loses half of its difference from the pool's mean with each
-    /// half-life: an old low is where all others have sent since.
+    /// The difference of a report from the `mean` is halved with each half-life of its age, as
+    /// the other entries have since sent their requests to units that reported a low load.
     pub(crate) fn estimated_load(&self, mean: f64, config: &Config, now: Monotonic) -> f64 {
         let Some(measured) = self.measured else {
             return float(self.outstanding);
         };
         let age = now.saturating_sub(measured.at).as_secs_f64();
-        let trust = (-age / config.report_half_life.as_secs_f64()).exp2();
+        let weight = (-age / config.report_half_life.as_secs_f64()).exp2();
         let difference = float(measured.load.backlog_tokens) - mean;
-        mean + difference * trust + float(self.unreported)
+        mean + difference * weight + float(self.unreported)
     }
 
-    /// Returns the time that a step of the unit is believed to take, in seconds.
+    /// Returns the estimated duration of a step, in seconds; the default without a report.
     pub(crate) fn step_time(&self, config: &Config) -> f64 {
         self.mean_step_time
             .unwrap_or(config.step_time.as_secs_f64())
