--- a/crates/routing/examples/cost.rs
+++ b/crates/routing/examples/cost.rs
@@ -1,8 +1,8 @@
-//! Time of one routing decision by number of groups.
+//! Benchmark of the time of one routing decision by number of groups.
 //!
-//! `cargo run --release -p auburnline-routing --example cost [-- --csv]`. One decision is a key of
-//! the prompt's prefixes, a choice, a note of the send and one of the end. Reports come between
-//! decisions as often as the fleet would send them, and are timed on their own.
+//! `cargo run --release -p auburnline-routing --example cost [-- --csv]`. Timed separately are the
+//! keys of the prompt's prefixes, the choice, the records of the send and of its end, a load
+//! report, and a choice after a session has changed. All reports are recorded before the decisions.
 
 use std::env;
 use std::hint::black_box;
@@ -25,16 +25,16 @@
 const GROUPS: [usize; 5] = [4, 12, 32, 90, 256];
 const SEED: u64 = 1;
 const DECISIONS: usize = 20_000;
-/// Runs of each size; the quickest counts, as the machine is shared.
+/// Runs of each size; the fastest counts, as other load on the machine slows some down.
 const RUNS: usize = 7;
-/// Bytes of a prompt of about 1,600 tokens.
+/// Bytes of a prompt, about 1,600 tokens.
 const PROMPT_BYTES: usize = 6_400;
-/// Prompts that are cycled through.
+/// Number of distinct prompts, used in turn.
 const PROMPTS: usize = 64;
-/// Time between two decisions.
+/// Simulated time between two decisions.
 const GAP: Duration = Duration::from_millis(5);
 
-/// Nanoseconds of each operation.
+/// Nanoseconds per operation.
 struct Times {
     prefix: u128,
     route: u128,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Prompts of which a third is shared by all.
+/// Returns random prompts of which the first third is the same.
 fn prompts(rng: &mut ChaCha8Rng) -> Vec<Vec<u8>> {
     let shared: Vec<u8> = (0..PROMPT_BYTES / 3).map(|_| rng.random()).collect();
     let own = PROMPT_BYTES - shared.len();
@@ -98,7 +98,7 @@
     (0..PROMPTS).map(draw).collect()
 }
 
-/// Returns the time of one of `count` operations.
+/// Returns the nanoseconds per operation for `count` operations since `start`.
 fn each(start: Instant, count: usize) -> u128 {
     start.elapsed().as_nanos() / count.max(1) as u128
 }
@@ -165,7 +165,7 @@
 
 fn main() {
     let csv = env::args().any(|word| word == "--csv");
-    let heads = [
+    let header = [
         "groups",
         "prefix_ns",
         "route_ns",
@@ -173,7 +173,7 @@
         "report_ns",
         "rebuild_ns",
     ];
-    print(csv, heads.map(str::to_owned));
+    print(csv, header.map(str::to_owned));
     for groups in GROUPS {
         let runs: Vec<Times> = (0..RUNS).map(|_| run(groups)).collect();
         let least = |field: fn(&Times) -> u128| {
