--- a/crates/routing/examples/table/main.rs
+++ b/crates/routing/examples/table/main.rs
@@ -1,11 +1,12 @@
-//! Table of routing policies over scenarios, from a seeded discrete-event model.
+//! Comparison of routing policies over scenarios in a seeded discrete-event simulation.
 //!
 //! `cargo run --release -p auburnline-routing --example table [-- OPTIONS]`
 //!
 //! Options: `--csv` prints comma-separated values; `--lag` sweeps the lag of load reports; `--rate`
-//! sweeps the requests a second of a group, printed after the scenario's name;
-//! `--ablation` compares ours with parts of it switched off; `--only NAME` keeps one scenario;
-//! `--groups N` sets the number of groups. Seeds are 1, 2 and 3, or the one of `AUBURNLINE_SEED`.
+//! sweeps the requests per second and group, printed after the scenario's name; `--ablation`
+//! compares this crate's router with variants that have a part switched off; `--only NAME` runs one
+//! scenario; `--groups N` sets the number of groups. The seeds are 1, 2 and 3, or the one in
+//! `AUBURNLINE_SEED`.
 
 mod baseline;
 mod cache;
@@ -25,15 +26,15 @@
 use crate::scenario::Scenario;
 use crate::score::Score;
 
-/// Seeds of a table.
+/// Seeds whose runs are summed up in a row of the table.
 const SEEDS: [u64; 3] = [1, 2, 3];
 /// Lags of load reports in the sweep, in milliseconds.
 const LAGS: [u64; 6] = [20, 100, 300, 1000, 3000, 8000];
 
-/// Requests a second of each group in the sweep.
+/// Requests per second and group in the sweep.
 const RATES: [u32; 6] = [42, 50, 60, 70, 80, 90];
 
-/// What varies besides the scenario and the policy.
+/// Parameter that is swept.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Sweep {
     None,
@@ -41,7 +42,7 @@
     Rate,
 }
 
-/// What was asked for on the command line.
+/// Command-line options.
 struct Options {
     csv: bool,
     sweep: Sweep,
@@ -79,7 +80,7 @@
     }
 }
 
-/// Runs one cell of the table, all seeds at once.
+/// Runs one policy over one scenario, with all seeds in parallel.
 fn run(scenario: &Scenario, choice: Choice, seeds: &[u64]) -> Score {
     let mut total = Score::new();
     thread::scope(|scope| {
@@ -88,7 +89,7 @@
             .map(|&seed| scope.spawn(move || world::run(scenario, choice, seed)))
             .collect();
         for run in runs {
-            total.add(&run.join().expect("a run that ends"));
+            total.add(&run.join().expect("the run does not panic"));
         }
     });
     total
