--- a/crates/routing/examples/table/world.rs
+++ b/crates/routing/examples/table/world.rs
@@ -1,4 +1,4 @@
-//! The run itself: entries, groups and the messages between them, in order of time.
+//! The simulation: entries, groups and the messages between them, in order of time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -28,35 +28,35 @@
 use crate::trace::Arrival;
 use crate::trace::Micros;
 
-/// Time of a message one way.
+/// One-way network latency.
 const NETWORK: Micros = 1_000;
-/// Time between two reports of a group.
+/// Time between two load reports of a group.
 const REPORT_EVERY: Micros = 100_000;
-/// Time until entries know that a group is lost.
+/// Time until entries detect that a group is lost.
 const DETECTION: Micros = 300_000;
-/// Time by which cache events are late.
+/// Delay of cache events.
 const CACHE_LAG: Micros = 1_000_000;
-/// Share of answers whose cache events reach the entry that sent the request.
+/// Fraction of first tokens whose cache events reach the entry that sent the request.
 const CACHE_KEPT: f64 = 0.3;
-/// Seed mixed in for the choices, so that they differ from the draws of the trace.
+/// Mixed into the seed for the policies, so that their draws differ from those of the trace.
 const CHOICE_SEED: u64 = 0x5eed;
 
-/// What happens at a moment.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A request reaches its entry, or comes back to it from a failed group.
+    /// A request reaches its entry, or is returned to it from a failed group.
     Arrive(usize),
     /// A request reaches a group.
     Reach(usize, usize),
-    /// A group ends a step.
+    /// A group finishes a step.
     Step(usize),
     /// Groups measure their loads.
     Measure,
-    /// The measurement of this number reaches the entries.
+    /// The measurement with this index reaches the entries.
     Deliver(usize),
-    /// The last failure domain dies, or the first group slows down.
+    /// The last failure domain is lost, or the first group slows down.
     Change,
-    /// Entries learn of the loss.
+    /// Entries detect the loss.
     Detect,
     /// Cache events of a request reach its entry.
     Cached(usize, usize),
@@ -73,7 +73,7 @@
     sequence: u64,
     now: Micros,
     rng: ChaCha8Rng,
-    /// Whether a request has its first token or was cut.
+    /// Whether a request has had its first token or was cut off by a failure.
     answered: Vec<bool>,
     score: Score,
 }
@@ -121,7 +121,8 @@
     fn run_events(&mut self) {
         while let Some(Reverse((time, _, event))) = self.events.pop() {
             self.now = time;
-            // Work that is left long after the last arrival counts with the time it has waited.
+            // Stops 60 s after the end of arrivals; the time that the remaining requests have
+            // waited counts as their time to the first token.
             if time > self.scenario.length + 60 * SECOND {
                 break;
             }
