--- a/crates/routing/examples/table/ours.rs
+++ b/crates/routing/examples/table/ours.rs
@@ -1,4 +1,4 @@
-//! The router of this crate as a policy, whole or with a variant switched off.
+//! The router of this crate as a policy, complete or with a part switched off.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use crate::policy::group_id;
 use crate::scenario::DOMAINS;
 
-/// Which parts are on.
+/// Variant of the router for the ablation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Variant {
     Full,
@@ -38,7 +38,7 @@
     }
 }
 
-/// The router of one entry.
+/// The router of one entry, with the tickets of its requests.
 pub(crate) struct Ours {
     router: Router,
     tickets: HashMap<usize, Ticket>,
@@ -83,7 +83,7 @@
         rng: &mut ChaCha8Rng,
     ) -> usize {
         let decision = self.router.route(query, now, rng);
-        let group = decision.group().expect("a group is live");
+        let group = decision.group().expect("some group is live");
         if let Some(ticket) = self.router.sent(group, query, now) {
             self.tickets.insert(number, ticket);
         }
