--- a/crates/routing/examples/table/baseline.rs
+++ b/crates/routing/examples/table/baseline.rs
@@ -1,4 +1,4 @@
-//! The policies that ours is compared with.
+//! The policies that the router of this crate is compared with.
 
 use auburnline_core::hash::rendezvous;
 use auburnline_core::load::Report;
@@ -10,14 +10,14 @@
 use crate::policy::Policy;
 use crate::policy::group_id;
 
-/// Deepest prefix, in blocks, that affinity alone goes by.
+/// Maximum depth, in blocks, of the prefix that [`Affinity`] hashes.
 const AFFINITY_DEPTH: u16 = 8;
 
 fn all(groups: usize) -> Vec<usize> {
     (0..groups).collect()
 }
 
-/// A group at random.
+/// Chooses a group uniformly at random.
 pub(crate) struct Random(Vec<usize>);
 
 impl Random {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Groups in turn.
+/// Chooses the groups in turn.
 pub(crate) struct RoundRobin {
     live: Vec<usize>,
     next: usize,
@@ -62,7 +62,7 @@
     }
 }
 
-/// The group with the least backlog by the last reports, ties at random.
+/// Chooses the group with the least backlog in the last reports, ties at random.
 pub(crate) struct LeastLoaded {
     live: Vec<usize>,
     backlog: Vec<u64>,
@@ -94,7 +94,7 @@
     }
 }
 
-/// The first group in the rendezvous order of the prompt's prefix, whatever its load.
+/// Chooses by rendezvous hashing of the prompt's prefix, whatever the load.
 pub(crate) struct Affinity(Vec<usize>);
 
 impl Affinity {
