--- a/crates/routing/examples/table/trace.rs
+++ b/crates/routing/examples/table/trace.rs
@@ -1,7 +1,7 @@
-//! Arrivals, drawn before the run so that all policies meet the same ones.
+//! Request arrivals, generated before the run so that all policies get the same ones.
 //!
-//! A workspace has a prompt head that all its cases share; a case adds its own text and grows with
-//! each turn. Turns of a case mostly come through one entry.
+//! All cases of a workspace share the beginning of their prompts. A case adds text of its own,
+//! which grows with each turn (request). Most turns of a case arrive at the same entry.
 
 use auburnline_core::hash::stable;
 use auburnline_core::request::Priority;
@@ -14,13 +14,13 @@
 /// Microseconds since the start of a run.
 pub(crate) type Micros = u64;
 
-/// Turns of a case, on average.
+/// Mean number of turns in a case.
 const MEAN_TURNS: f64 = 6.0;
-/// Mean time between turns.
+/// Mean time between turns, in microseconds.
 const MEAN_THINK_TIME: f64 = 8_000_000.0;
-/// Share of turns that come through another entry than the case's own.
+/// Fraction of turns that arrive at a random entry instead of the case's own.
 const STRAY_SHARE: f64 = 0.2;
-/// Most tokens that a request asks for.
+/// Maximum number of tokens that a request asks for.
 pub(crate) const MAX_TOKENS: u64 = 300;
 
 /// One request.
@@ -30,7 +30,7 @@
     pub(crate) entry: usize,
     /// Hashes of the prompt's blocks, not chained.
     pub(crate) blocks: Vec<u64>,
-    /// Tokens that will be generated.
+    /// Number of tokens that will be generated.
     pub(crate) output: u64,
     pub(crate) priority: Priority,
 }
@@ -39,7 +39,7 @@
     stable(owner, &index.to_le_bytes())
 }
 
-/// Returns an exponential time with `mean`, in microseconds.
+/// Returns an exponentially distributed time with `mean`, in microseconds.
 fn exponential(mean: f64, rng: &mut ChaCha8Rng) -> Micros {
     let uniform: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
     micros(-uniform.ln() * mean)
@@ -52,7 +52,7 @@
         .unwrap_or(Micros::MAX)
 }
 
-/// Draws a workspace, the first most often (Zipf with exponent 1), or the large one by its share.
+/// Draws a workspace: the large one by its share, otherwise by Zipf's law with exponent 1.
 fn workspace(scenario: &Scenario, rng: &mut ChaCha8Rng) -> u64 {
     if rng.random_bool(scenario.large_share) {
         return 0;
@@ -84,7 +84,7 @@
     }
 }
 
-/// Returns the arrivals of one run in order of time.
+/// Returns the arrivals of one run, sorted by time.
 pub(crate) fn draw(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
