--- a/crates/routing/examples/table/engine.rs
+++ b/crates/routing/examples/table/engine.rs
@@ -1,4 +1,4 @@
-//! One modelled group: continuous batching with chunked prefill and a limited prefix cache.
+//! Model of a group: continuous batching with chunked prefill and a bounded prefix cache.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,19 +12,19 @@
 use crate::trace::MAX_TOKENS;
 use crate::trace::Micros;
 
-/// Requests that run at once.
+/// Maximum number of running requests.
 const MAX_BATCH: usize = 256;
-/// Tokens prefilled in a step at most.
+/// Maximum number of tokens prefilled in a step.
 const CHUNK_TOKENS: u64 = 1024;
-/// Time of a step that does nothing.
+/// Time of an empty step.
 const STEP_BASE: Micros = 10_000;
 /// Time that each running request adds to a step.
 const STEP_REQUEST: Micros = 40;
 /// Time that each prefilled token adds to a step.
 const STEP_TOKEN: Micros = 6;
-/// Steps over which the reported step time is a mean.
+/// Steps over which the reported step time is smoothed.
 const MEAN_STEPS: u64 = 32;
-/// Blocks that the cache holds.
+/// Capacity of the prefix cache in blocks.
 const CACHE_BLOCKS: usize = 4_000;
 
 /// A request at a group.
@@ -38,14 +38,14 @@
     pub(crate) generated: u64,
 }
 
-/// What a step brought.
+/// Requests that made progress in a step.
 #[derive(Debug, Default)]
 pub(crate) struct Outcome {
-    /// Requests that got their first token.
+    /// Requests whose first token was generated.
     pub(crate) first: Vec<usize>,
-    /// Requests that ended.
+    /// Finished requests.
     pub(crate) done: Vec<usize>,
-    /// Requests that got a further token.
+    /// Number of requests with a further token.
     pub(crate) decoded: u64,
 }
 
@@ -55,13 +55,13 @@
     cache: Cache,
     waiting: VecDeque<Job>,
     running: Vec<Job>,
-    /// Tokens that the current step prefills, by place in `running`.
+    /// Tokens that the current step prefills, by index in `running`.
     plan: Vec<u64>,
     pub(crate) step_percent: u64,
     pub(crate) stepping: bool,
     pub(crate) failed: bool,
     pub(crate) step_time: Micros,
-    /// Running mean of step times.
+    /// Exponential moving average of step times.
     mean_step: Micros,
     pub(crate) prompt_tokens: u64,
     pub(crate) hit_tokens: u64,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes a request behind those of its priority.
+    /// Queues a request behind those of the same or a higher priority.
     pub(crate) fn push(&mut self, job: Job) {
         let place = self
             .waiting
@@ -105,7 +105,7 @@
         self.waiting.is_empty() && self.running.is_empty()
     }
 
-    /// Drops all work, as a group that dies does, and returns its requests.
+    /// Fails the group: drops all requests and returns their numbers.
     pub(crate) fn fail(&mut self) -> Vec<usize> {
         self.failed = true;
         self.plan.clear();
@@ -114,7 +114,7 @@
         waiting.chain(running).collect()
     }
 
-    /// Begins a step and returns its time; `counted` adds to the share of hits.
+    /// Starts a step and returns its duration; `counted` adds its prompts to the hit rate.
     pub(crate) fn begin(&mut self, counted: bool) -> Micros {
         self.admit(counted);
         let mut budget = CHUNK_TOKENS;
@@ -142,13 +142,13 @@
                 self.prompt_tokens += job.prefill;
                 self.hit_tokens += hit;
             }
-            // The last token is always computed.
+            // The last prompt token is always computed.
             job.prefill = job.prefill.saturating_sub(hit).max(1);
             self.running.push(job);
         }
     }
 
-    /// Ends the step.
+    /// Finishes the current step.
     pub(crate) fn end(&mut self) -> Outcome {
         self.stepping = false;
         let mut outcome = Outcome::default();
@@ -173,7 +173,7 @@
         outcome
     }
 
-    /// Returns the tokens before this group as it can know them.
+    /// Returns the queued tokens as the group can tell them: the length of answers is not known.
     pub(crate) fn backlog(&self) -> u64 {
         let all = self.waiting.iter().chain(&self.running);
         all.map(|job| job.prefill + MAX_TOKENS - job.generated)
