--- a/crates/routing/examples/table/cache.rs
+++ b/crates/routing/examples/table/cache.rs
@@ -1,9 +1,9 @@
-//! Prefix cache of one modelled group: blocks, least recently used out first.
+//! LRU prefix cache of a modelled group.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-/// Cache of prefix blocks, named by the hash of the chain up to them.
+/// LRU cache of prefix blocks, keyed by the chained hash of the prompt up to the block.
 #[derive(Debug)]
 pub(crate) struct Cache {
     capacity: usize,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Returns how many blocks from the start are cached, and uses them.
+    /// Returns how many leading blocks are cached, and marks them as used.
     pub(crate) fn hit(&mut self, chain: &[u64]) -> usize {
         let found = chain
             .iter()
@@ -34,9 +34,9 @@
         found
     }
 
-    /// Caches `chain`; the blocks not used for longest go.
+    /// Caches `chain`, evicting the least recently used blocks over capacity.
     pub(crate) fn store(&mut self, chain: &[u64]) {
-        // Deep blocks first, so that a chain loses its end before its start.
+        // Deep blocks first, so that the end of a chain is evicted before its start.
         for &key in chain.iter().rev() {
             self.touch(key);
         }
