--- a/crates/routing/examples/table/scenario.rs
+++ b/crates/routing/examples/table/scenario.rs
@@ -4,37 +4,36 @@
 
 use crate::trace::Micros;
 
-/// Groups of a run.
+/// Default number of groups.
 pub(crate) const GROUPS: usize = 24;
-/// Failure domains, over which groups and entries are spread in turn.
+/// Number of failure domains; groups and entries are assigned to them in turn.
 pub(crate) const DOMAINS: usize = 3;
-/// Microseconds in a second.
 pub(crate) const SECOND: Micros = 1_000_000;
-/// Requests a second of one group on an ordinary day.
+/// Requests per second and group under normal load.
 const STEADY: f64 = 25.0;
-/// Requests a second of one group at peak.
+/// Requests per second and group at peak load.
 const PEAK: f64 = 42.0;
 
-/// One scenario.
+/// Load, failures and duration of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
     pub(crate) name: &'static str,
     pub(crate) groups: usize,
     pub(crate) entries: usize,
     pub(crate) workspaces: u32,
-    /// Requests a second over all entries.
+    /// Requests per second over all entries.
     pub(crate) rate: f64,
-    /// Share of cases that belong to the large workspace.
+    /// Fraction of cases that belong to the large workspace.
     pub(crate) large_share: f64,
     /// Blocks that all prompts of the large workspace share.
     pub(crate) large_head: u64,
-    /// Step time of the first group in percent of the others'.
+    /// Step time of the first group after the change, in percent of the others'.
     pub(crate) slow_percent: u64,
     /// Whether the last failure domain is lost at [`Scenario::change`].
     pub(crate) domain_lost: bool,
-    /// Time from which groups change.
+    /// Time of the slowdown or the loss.
     pub(crate) change: Micros,
-    /// Time from which requests count.
+    /// End of the warm-up, before which nothing is counted.
     pub(crate) warm: Micros,
     /// End of arrivals.
     pub(crate) length: Micros,
@@ -61,7 +60,7 @@
         }
     }
 
-    /// Returns all scenarios in the order of the table.
+    /// Returns all scenarios in the order of the table's rows.
     pub(crate) fn all(groups: usize) -> Vec<Scenario> {
         let steady = Scenario::steady(groups);
         let peak = Scenario {
@@ -93,7 +92,7 @@
         vec![steady, peak, large, slow, lost, both]
     }
 
-    /// Returns the steady scenario at `rate` requests a second for each group.
+    /// Returns the steady scenario at `each` requests per second and group.
     pub(crate) fn at_rate(groups: usize, each: u32) -> Self {
         Scenario {
             name: "rate",
@@ -102,7 +101,7 @@
         }
     }
 
-    /// Returns the name, with the rate of a group where that is what varies.
+    /// Returns the name, followed by the rate per group in the sweep of rates.
     pub(crate) fn label(&self) -> String {
         if self.name != "rate" {
             return self.name.to_owned();
