--- a/crates/routing/examples/table/score.rs
+++ b/crates/routing/examples/table/score.rs
@@ -1,15 +1,15 @@
-//! Figures of a run.
+//! Metrics of a run.
 
 use hdrhistogram::Histogram;
 
 use crate::trace::Micros;
 
-/// Names of the cells.
+/// Column names.
 pub(crate) const HEADER: [&str; 11] = [
     "ttft50", "ttft95", "ttft99", "tbt50", "tbt95", "tbt99", "in1300%", "hit%", "imbal", "cut",
     "done",
 ];
-/// First token in time for the target, in microseconds.
+/// Target for the time to the first token, in microseconds.
 const TTFT_TARGET: Micros = 1_300_000;
 
 /// Latencies and counts of one or more runs.
@@ -18,7 +18,7 @@
     pub(crate) tbt: Histogram<u64>,
     pub(crate) prompt_tokens: u64,
     pub(crate) hit_tokens: u64,
-    /// Sum and count of samples of the largest over mean backlog.
+    /// Sum and count of samples of the ratio of largest to mean backlog.
     pub(crate) imbalance: (f64, u32),
     pub(crate) cut: u64,
 }
@@ -32,7 +32,7 @@
 }
 
 fn percent(part: u64, whole: u64) -> f64 {
-    // Thousands keep both within the range that `float` takes.
+    // Division by 1000 keeps both values within the range of `float`.
     100.0 * float(part / 1000) / float(whole / 1000).max(1.0)
 }
 
@@ -58,7 +58,7 @@
         self.cut += other.cut;
     }
 
-    /// Takes one sample of all live groups' backlogs.
+    /// Adds a sample of the backlogs of all live groups.
     pub(crate) fn sample(&mut self, backlogs: &[u64]) {
         let total: u64 = backlogs.iter().sum();
         let count = backlogs.len() as u64;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns the cells in the order of [`HEADER`]; times in milliseconds.
+    /// Returns the cells in the order of [`HEADER`], with times in milliseconds.
     pub(crate) fn cells(&self) -> Vec<String> {
         let mut cells = Vec::new();
         for times in [&self.ttft, &self.tbt] {
