--- a/crates/routing/examples/table/policy.rs
+++ b/crates/routing/examples/table/policy.rs
@@ -1,4 +1,4 @@
-//! What a policy of one entry sees and does.
+//! The interface of routing policies.
 
 use std::time::Duration;
 
@@ -16,9 +16,9 @@
 use crate::ours::Ours;
 use crate::ours::Variant;
 
-/// A way to choose a group, with the state that one entry keeps for it.
+/// A routing policy with the state of one entry.
 pub(crate) trait Policy {
-    /// Chooses a group and counts the request as sent to it.
+    /// Chooses a group and records the request as sent to it.
     fn choose(
         &mut self,
         number: usize,
@@ -26,17 +26,15 @@
         now: Monotonic,
         rng: &mut ChaCha8Rng,
     ) -> usize;
-    /// Takes a load report.
     fn report(&mut self, _group: usize, _report: Report, _now: Monotonic) {}
-    /// Takes that a request has ended.
+    /// Records that a request has ended.
     fn finished(&mut self, _number: usize) {}
-    /// Takes a cache event.
     fn cache_event(&mut self, _group: usize, _event: Event, _age: Duration, _now: Monotonic) {}
-    /// Takes that a group is lost.
+    /// Removes a lost group.
     fn lost(&mut self, group: usize);
 }
 
-/// Name of a policy.
+/// Selects a policy of the comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Choice {
     Random,
@@ -71,7 +69,7 @@
         }
     }
 
-    /// Returns the policy of one entry.
+    /// Builds the policy for one entry.
     pub(crate) fn build(self, groups: usize, entry: usize) -> Box<dyn Policy> {
         match self {
             Choice::Random => Box::new(Random::new(groups)),
@@ -83,7 +81,6 @@
     }
 }
 
-/// Returns the name of a group.
 pub(crate) fn group_id(number: usize) -> GroupId {
     format!("group-{number}").into()
 }
