--- a/crates/routing/tests/route.rs
+++ b/crates/routing/tests/route.rs
@@ -1,4 +1,4 @@
-//! What one decision may and may not choose.
+//! Single decisions of the router.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use rand_chacha::ChaCha8Rng;
 
 const DOMAINS: [&str; 3] = ["nord", "centre", "sud"];
-/// Bound of the default settings.
+/// Load bound of the default configuration.
 const DEFAULT_BOUND: f64 = 2.0;
 const NOW: Duration = Duration::from_secs(100);
 
@@ -207,7 +207,7 @@
     }
 }
 
-/// Returns the most requests of 2,000 that one of 20 units gets after 10 others were lost.
+/// Returns the largest number of 2,000 requests on one of 20 units after the loss of 10 others.
 fn worst_after_a_loss(bound: f64) -> u64 {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let mut router = bounded_fleet(30, bound);
@@ -231,12 +231,12 @@
     expect_that!(
         worst_after_a_loss(1.25),
         le(126),
-        "1.25 times the mean of 100, and one"
+        "the bound of 1.25 times the mean of 100, plus one request"
     );
     expect_that!(
         worst_after_a_loss(DEFAULT_BOUND),
         le(126),
-        "the default spreads as well without need of its bound"
+        "requests spread as evenly under the default bound, which is not reached"
     );
 }
 
@@ -272,10 +272,14 @@
         let cost = |decision: Decision| decision.chosen.expect("a unit").cost;
         cost(high).saturating_sub(cost(low))
     };
-    expect_that!(gap(0), eq(Duration::ZERO), "a new low is believed");
+    expect_that!(
+        gap(0),
+        eq(Duration::ZERO),
+        "a new report of a low load counts fully"
+    );
     expect_that!(
         gap(1000),
         gt(Duration::from_millis(10)),
-        "an old low is not"
+        "an old report of a low load does not"
     );
 }
