--- a/crates/routing/tests/random.rs
+++ b/crates/routing/tests/random.rs
@@ -1,6 +1,6 @@
-//! Random events against what each decision may choose.
+//! Randomized tests of the router: after random events, only allowed units are candidates.
 //!
-//! `AUBURNLINE_SEED` and `AUBURNLINE_EVENTS` set the first seed and the events of each run.
+//! `AUBURNLINE_SEED` and `AUBURNLINE_EVENTS` set the first seed and the number of events in a run.
 
 use std::collections::BTreeMap;
 use std::env;
@@ -27,7 +27,7 @@
 const SEEDS: u64 = 8;
 const EVENTS: u64 = 4_000;
 const MARKS: [Mark; 3] = [Mark::Leaving, Mark::Fenced, Mark::Ejected];
-/// Tickets held at most before the oldest is given back.
+/// Maximum number of outstanding requests; past it, the first in the list is finished.
 const MAX_TICKETS: usize = 500;
 
 fn env_or(name: &str, default: u64) -> u64 {
@@ -37,7 +37,7 @@
         .unwrap_or(default)
 }
 
-/// What the run itself knows of a unit.
+/// Expected state of a unit.
 #[derive(Clone)]
 struct Shadow {
     member: Member,
@@ -196,7 +196,7 @@
         };
         let Ok(group) = decision.group().cloned() else {
             let missed = self.shadows.iter().find(allowed).map(|(group, _)| group);
-            assert_eq!(missed, None, "a unit was there");
+            assert_eq!(missed, None, "a unit was allowed but none was chosen");
             return;
         };
         let scored = decision.chosen.iter().chain(&decision.runners_up);
@@ -233,7 +233,11 @@
         println!("seed {seed}, {events} events");
         let log = run(seed, events);
         let chosen = log.iter().filter(|line| !line.contains(" error="));
-        expect_that!(chosen.count(), gt(log.len() / 4), "most runs must choose");
+        expect_that!(
+            chosen.count(),
+            gt(log.len() / 4),
+            "over a quarter of the decisions must choose a unit"
+        );
     }
 }
 
