--- a/crates/routing/examples/table/scenario.rs
+++ b/crates/routing/examples/table/scenario.rs
@@ -26,7 +26,7 @@
     /// Fraction of cases that belong to the large workspace.
     pub(crate) large_share: f64,
     /// Blocks that all prompts of the large workspace share.
-    pub(crate) large_head: u64,
+    pub(crate) large_shared_blocks: u64,
     /// Step time of the first group after the change, in percent of the others'.
     pub(crate) slow_percent: u64,
     /// Whether the last failure domain is lost at [`Scenario::change`].
@@ -50,7 +50,7 @@
             workspaces: 20,
             rate: rate(groups, STEADY),
             large_share: 0.0,
-            large_head: 0,
+            large_shared_blocks: 0,
             slow_percent: 100,
             domain_lost: false,
             change: 25 * SECOND,
@@ -71,7 +71,7 @@
         let large = Scenario {
             name: "large",
             large_share: 0.6,
-            large_head: 24,
+            large_shared_blocks: 24,
             ..steady.clone()
         };
         let slow = Scenario {
--- a/crates/routing/examples/table/trace.rs
+++ b/crates/routing/examples/table/trace.rs
@@ -68,9 +68,9 @@
     u64::from(scenario.workspaces)
 }
 
-fn head_blocks(scenario: &Scenario, workspace: u64) -> u64 {
+fn shared_blocks(scenario: &Scenario, workspace: u64) -> u64 {
     if workspace == 0 {
-        scenario.large_head
+        scenario.large_shared_blocks
     } else {
         3 + workspace % 6
     }
@@ -109,7 +109,7 @@
 ) {
     let workspace = workspace(scenario, rng);
     let home = rng.random_range(0..scenario.entries);
-    let head = head_blocks(scenario, workspace);
+    let shared_count = shared_blocks(scenario, workspace);
     let mut own = rng.random_range(3..12);
     let mut at = start;
     loop {
@@ -119,7 +119,7 @@
         } else {
             home
         };
-        let shared = (0..head).map(|index| block(workspace, index));
+        let shared = (0..shared_count).map(|index| block(workspace, index));
         let blocks = shared.chain((0..own).map(|index| block(case, index)));
         arrivals.push(Arrival {
             at,
