--- a/crates/routing/examples/table/scenario.rs
+++ b/crates/routing/examples/table/scenario.rs
@@ -34,7 +34,7 @@
     /// Time of the slowdown or the loss.
     pub(crate) change: Micros,
     /// End of the warm-up, before which nothing is counted.
-    pub(crate) warm: Micros,
+    pub(crate) warm_up: Micros,
     /// End of arrivals.
     pub(crate) length: Micros,
     /// Age of a load report when it arrives.
@@ -54,7 +54,7 @@
             slow_percent: 100,
             domain_lost: false,
             change: 25 * SECOND,
-            warm: 20 * SECOND,
+            warm_up: 20 * SECOND,
             length: 60 * SECOND,
             lag: Duration::from_millis(300),
         }
--- a/crates/routing/examples/table/world.rs
+++ b/crates/routing/examples/table/world.rs
@@ -138,7 +138,7 @@
     fn count_unanswered(&mut self) {
         let pairs = self.arrivals.iter().zip(&self.answered);
         for (arrival, _) in
-            pairs.filter(|&(arrival, &answered)| !answered && arrival.at >= self.scenario.warm)
+            pairs.filter(|&(arrival, &answered)| !answered && arrival.at >= self.scenario.warm_up)
         {
             let time = self.now.saturating_sub(arrival.at);
             self.score.ttft.record(time).expect("a time in range");
@@ -196,7 +196,7 @@
     }
 
     fn start(&mut self, group: usize) {
-        let counted = self.now >= self.scenario.warm;
+        let counted = self.now >= self.scenario.warm_up;
         let engine = &mut self.engines[group];
         if !engine.stepping && !engine.is_idle() {
             let time = engine.begin(counted);
@@ -209,7 +209,7 @@
             return;
         }
         let outcome = self.engines[group].end();
-        let counted = self.now >= self.scenario.warm;
+        let counted = self.now >= self.scenario.warm_up;
         if counted && outcome.decoded > 0 {
             let time = self.engines[group].step_time;
             self.score
@@ -220,7 +220,7 @@
         for &number in &outcome.first {
             self.answered[number] = true;
             let arrival = &self.arrivals[number];
-            if arrival.at >= self.scenario.warm {
+            if arrival.at >= self.scenario.warm_up {
                 let time = self.now + NETWORK - arrival.at;
                 self.score.ttft.record(time).expect("a time in range");
             }
@@ -237,7 +237,7 @@
     fn measure(&mut self) {
         let loads = self.engines.iter().map(Engine::load).collect();
         self.measured.push(loads);
-        if self.now >= self.scenario.warm && self.now < self.scenario.length {
+        if self.now >= self.scenario.warm_up && self.now < self.scenario.length {
             let live = self.engines.iter().filter(|engine| !engine.failed);
             let backlogs: Vec<u64> = live.map(Engine::backlog).collect();
             self.score.sample(&backlogs);
