--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -92,7 +92,7 @@
     /// Records that the session to a unit is up or down.
     ///
     /// Hints are kept when a session ends. If the unit comes back as a new incarnation, the caller
-    /// removes them with [`Event::Cleared`].
+    /// has to remove them with [`Event::Cleared`].
     pub fn session(&mut self, group: &GroupId, up: bool) {
         self.update_state(group, |unit| unit.set_session_up(up));
     }
