--- a/crates/routing/src/unit.rs
+++ b/crates/routing/src/unit.rs
@@ -273,7 +273,7 @@
         mean + difference * weight + float(self.unreported)
     }
 
-    /// Returns the estimated duration of a step, in seconds; the default without a report.
+    /// Returns the estimated duration of a step, in seconds; the default until one is reported.
     pub(crate) fn step_time(&self, config: &Config) -> f64 {
         self.mean_step_time
             .unwrap_or(config.step_time.as_secs_f64())
