--- a/crates/routing/examples/table/ours.rs
+++ b/crates/routing/examples/table/ours.rs
@@ -1,4 +1,4 @@
-//! The router of this crate as a policy, whole or with a part switched off.
+//! The router of this crate as a policy, complete or with a part switched off.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,27 +18,27 @@
 use crate::policy::group_id;
 use crate::scenario::DOMAINS;
 
-/// Which parts are on.
+/// Variant of the router for the ablation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Part {
-    Whole,
+pub(crate) enum Variant {
+    Full,
     NoRing,
     NoBound,
     OneDraw,
 }
 
-impl Part {
+impl Variant {
     pub(crate) const fn name(self) -> &'static str {
         match self {
-            Part::Whole => "ours",
-            Part::NoRing => "ours-no-ring",
-            Part::NoBound => "ours-no-bound",
-            Part::OneDraw => "ours-1-draw",
+            Variant::Full => "ours",
+            Variant::NoRing => "ours-no-ring",
+            Variant::NoBound => "ours-no-bound",
+            Variant::OneDraw => "ours-1-draw",
         }
     }
 }
 
-/// The router of one entry.
+/// The router of one entry, with the tickets of its requests.
 pub(crate) struct Ours {
     router: Router,
     tickets: HashMap<usize, Ticket>,
@@ -49,13 +49,13 @@
 }
 
 impl Ours {
-    pub(crate) fn new(part: Part, groups: usize, entry: usize) -> Self {
+    pub(crate) fn new(variant: Variant, groups: usize, entry: usize) -> Self {
         let builder = Config::builder(domain(entry));
-        let builder = match part {
-            Part::Whole => builder,
-            Part::NoRing => builder.ring_trust(0),
-            Part::NoBound => builder.load_bound(1e9),
-            Part::OneDraw => builder.choices(1),
+        let builder = match variant {
+            Variant::Full => builder,
+            Variant::NoRing => builder.ring_hit_percent(0),
+            Variant::NoBound => builder.load_bound(1e9),
+            Variant::OneDraw => builder.random_choices(1),
         };
         let mut router = Router::new(builder.build());
         for number in 0..groups {
@@ -83,7 +83,7 @@
         rng: &mut ChaCha8Rng,
     ) -> usize {
         let decision = self.router.route(query, now, rng);
-        let group = decision.group().expect("a group is live");
+        let group = decision.group().expect("some group is live");
         if let Some(ticket) = self.router.sent(group, query, now) {
             self.tickets.insert(number, ticket);
         }
--- a/crates/routing/examples/table/policy.rs
+++ b/crates/routing/examples/table/policy.rs
@@ -1,4 +1,4 @@
-//! What a policy of one entry sees and does.
+//! The interface of routing policies.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::baseline::Affinity;
-use crate::baseline::Least;
+use crate::baseline::LeastLoaded;
 use crate::baseline::Random;
-use crate::baseline::Turn;
+use crate::baseline::RoundRobin;
 use crate::ours::Ours;
-use crate::ours::Part;
+use crate::ours::Variant;
 
-/// A way to choose a group, with the state that one entry keeps for it.
+/// A routing policy with the state of one entry.
 pub(crate) trait Policy {
-    /// Chooses a group and counts the request as sent to it.
+    /// Chooses a group and records the request as sent to it.
     fn choose(
         &mut self,
         number: usize,
@@ -26,64 +26,61 @@
         now: Monotonic,
         rng: &mut ChaCha8Rng,
     ) -> usize;
-    /// Takes a load report.
     fn report(&mut self, _group: usize, _report: Report, _now: Monotonic) {}
-    /// Takes that a request has ended.
+    /// Records that a request has ended.
     fn finished(&mut self, _number: usize) {}
-    /// Takes a cache event.
     fn cache_event(&mut self, _group: usize, _event: Event, _age: Duration, _now: Monotonic) {}
-    /// Takes that a group is lost.
+    /// Removes a lost group.
     fn lost(&mut self, group: usize);
 }
 
-/// Name of a policy.
+/// Selects a policy of the comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Choice {
     Random,
-    Turn,
-    Least,
+    RoundRobin,
+    LeastLoaded,
     Affinity,
-    Ours(Part),
+    Ours(Variant),
 }
 
 impl Choice {
     pub(crate) const ALL: [Choice; 5] = [
         Choice::Random,
-        Choice::Turn,
-        Choice::Least,
+        Choice::RoundRobin,
+        Choice::LeastLoaded,
         Choice::Affinity,
-        Choice::Ours(Part::Whole),
+        Choice::Ours(Variant::Full),
     ];
     pub(crate) const ABLATION: [Choice; 4] = [
-        Choice::Ours(Part::Whole),
-        Choice::Ours(Part::NoRing),
-        Choice::Ours(Part::NoBound),
-        Choice::Ours(Part::OneDraw),
+        Choice::Ours(Variant::Full),
+        Choice::Ours(Variant::NoRing),
+        Choice::Ours(Variant::NoBound),
+        Choice::Ours(Variant::OneDraw),
     ];
 
     pub(crate) const fn name(self) -> &'static str {
         match self {
             Choice::Random => "random",
-            Choice::Turn => "round-robin",
-            Choice::Least => "least-loaded",
+            Choice::RoundRobin => "round-robin",
+            Choice::LeastLoaded => "least-loaded",
             Choice::Affinity => "affinity",
-            Choice::Ours(part) => part.name(),
+            Choice::Ours(variant) => variant.name(),
         }
     }
 
-    /// Returns the policy of one entry.
+    /// Builds the policy for one entry.
     pub(crate) fn build(self, groups: usize, entry: usize) -> Box<dyn Policy> {
         match self {
             Choice::Random => Box::new(Random::new(groups)),
-            Choice::Turn => Box::new(Turn::new(groups, entry)),
-            Choice::Least => Box::new(Least::new(groups)),
+            Choice::RoundRobin => Box::new(RoundRobin::new(groups, entry)),
+            Choice::LeastLoaded => Box::new(LeastLoaded::new(groups)),
             Choice::Affinity => Box::new(Affinity::new(groups)),
-            Choice::Ours(part) => Box::new(Ours::new(part, groups, entry)),
+            Choice::Ours(variant) => Box::new(Ours::new(variant, groups, entry)),
         }
     }
 }
 
-/// Returns the name of a group.
 pub(crate) fn group_id(number: usize) -> GroupId {
     format!("group-{number}").into()
 }
--- a/crates/routing/examples/table/world.rs
+++ b/crates/routing/examples/table/world.rs
@@ -1,4 +1,4 @@
-//! The run itself: entries, groups and the messages between them, in order of time.
+//! The simulation: entries, groups and the messages between them, in order of time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -28,35 +28,35 @@
 use crate::trace::Arrival;
 use crate::trace::Micros;
 
-/// Time of a message one way.
+/// One-way network latency.
 const NETWORK: Micros = 1_000;
-/// Time between two reports of a group.
+/// Time between two load reports of a group.
 const REPORT_EVERY: Micros = 100_000;
-/// Time until entries know that a group is lost.
+/// Time until entries detect that a group is lost.
 const DETECTION: Micros = 300_000;
-/// Time by which cache events are late.
+/// Delay of cache events.
 const CACHE_LAG: Micros = 1_000_000;
-/// Share of answers whose cache events reach the entry that sent the request.
+/// Fraction of first tokens whose cache events reach the entry that sent the request.
 const CACHE_KEPT: f64 = 0.3;
-/// Seed mixed in for the choices, so that they differ from the draws of the trace.
+/// Mixed into the seed for the policies, so that their draws differ from those of the trace.
 const CHOICE_SEED: u64 = 0x5eed;
 
-/// What happens at a moment.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A request reaches its entry, or comes back to it from a dead group.
+    /// A request reaches its entry, or is returned to it from a failed group.
     Arrive(usize),
     /// A request reaches a group.
     Reach(usize, usize),
-    /// A group ends a step.
+    /// A group finishes a step.
     Step(usize),
     /// Groups measure their loads.
     Measure,
-    /// The measurement of this number reaches the entries.
+    /// The measurement with this index reaches the entries.
     Deliver(usize),
-    /// The last failure domain dies, or the first group slows down.
+    /// The last failure domain is lost, or the first group slows down.
     Change,
-    /// Entries learn of the loss.
+    /// Entries detect the loss.
     Detect,
     /// Cache events of a request reach its entry.
     Cached(usize, usize),
@@ -73,7 +73,7 @@
     sequence: u64,
     now: Micros,
     rng: ChaCha8Rng,
-    /// Whether a request has its first token or was cut.
+    /// Whether a request has had its first token or was cut off by a failure.
     answered: Vec<bool>,
     score: Score,
 }
@@ -100,28 +100,29 @@
         score: Score::new(),
     };
     for (number, arrival) in arrivals.iter().enumerate() {
-        world.at(arrival.at, Event::Arrive(number));
+        world.schedule(arrival.at, Event::Arrive(number));
     }
-    world.at(0, Event::Measure);
-    world.at(scenario.change, Event::Change);
-    world.play();
+    world.schedule(0, Event::Measure);
+    world.schedule(scenario.change, Event::Change);
+    world.run_events();
     world.score
 }
 
 impl World<'_> {
-    fn at(&mut self, time: Micros, event: Event) {
+    fn schedule(&mut self, time: Micros, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((time, self.sequence, event)));
     }
 
-    fn clock(&self) -> Monotonic {
+    fn monotonic_now(&self) -> Monotonic {
         Duration::from_micros(self.now)
     }
 
-    fn play(&mut self) {
+    fn run_events(&mut self) {
         while let Some(Reverse((time, _, event))) = self.events.pop() {
             self.now = time;
-            // Work that is left long after the last arrival counts with the time it has waited.
+            // Stops 60 s after the end of arrivals; the time that the remaining requests have
+            // waited counts as their time to the first token.
             if time > self.scenario.length + 60 * SECOND {
                 break;
             }
@@ -137,10 +138,10 @@
     fn count_unanswered(&mut self) {
         let pairs = self.arrivals.iter().zip(&self.answered);
         for (arrival, _) in
-            pairs.filter(|&(arrival, &answered)| !answered && arrival.at >= self.scenario.warm)
+            pairs.filter(|&(arrival, &answered)| !answered && arrival.at >= self.scenario.warm_up)
         {
             let time = self.now.saturating_sub(arrival.at);
-            self.score.first.record(time).expect("a time in range");
+            self.score.ttft.record(time).expect("a time in range");
         }
     }
 
@@ -169,17 +170,17 @@
             deadline: Duration::from_secs(30),
             excluded: Vec::new(),
         };
-        let now = self.clock();
+        let now = self.monotonic_now();
         let policy = &mut self.policies[arrival.entry];
         let group = policy.choose(number, &query, now, &mut self.rng);
-        self.at(self.now + NETWORK, Event::Reach(number, group));
+        self.schedule(self.now + NETWORK, Event::Reach(number, group));
     }
 
     fn reach(&mut self, number: usize, group: usize) {
-        if self.engines[group].dead {
+        if self.engines[group].failed {
             let known = self.scenario.change + DETECTION;
             self.policies[self.arrivals[number].entry].finished(number);
-            self.at(known.max(self.now) + NETWORK, Event::Arrive(number));
+            self.schedule(known.max(self.now) + NETWORK, Event::Arrive(number));
             return;
         }
         let arrival = &self.arrivals[number];
@@ -195,36 +196,36 @@
     }
 
     fn start(&mut self, group: usize) {
-        let counted = self.now >= self.scenario.warm;
+        let counted = self.now >= self.scenario.warm_up;
         let engine = &mut self.engines[group];
         if !engine.stepping && !engine.is_idle() {
             let time = engine.begin(counted);
-            self.at(self.now + time, Event::Step(group));
+            self.schedule(self.now + time, Event::Step(group));
         }
     }
 
     fn step(&mut self, group: usize) {
-        if self.engines[group].dead {
+        if self.engines[group].failed {
             return;
         }
         let outcome = self.engines[group].end();
-        let counted = self.now >= self.scenario.warm;
+        let counted = self.now >= self.scenario.warm_up;
         if counted && outcome.decoded > 0 {
             let time = self.engines[group].step_time;
             self.score
-                .between
+                .tbt
                 .record_n(time, outcome.decoded)
                 .expect("a time in range");
         }
         for &number in &outcome.first {
             self.answered[number] = true;
             let arrival = &self.arrivals[number];
-            if arrival.at >= self.scenario.warm {
+            if arrival.at >= self.scenario.warm_up {
                 let time = self.now + NETWORK - arrival.at;
-                self.score.first.record(time).expect("a time in range");
+                self.score.ttft.record(time).expect("a time in range");
             }
             if self.rng.random_bool(CACHE_KEPT) {
-                self.at(self.now + CACHE_LAG, Event::Cached(number, group));
+                self.schedule(self.now + CACHE_LAG, Event::Cached(number, group));
             }
         }
         for &number in &outcome.done {
@@ -236,21 +237,21 @@
     fn measure(&mut self) {
         let loads = self.engines.iter().map(Engine::load).collect();
         self.measured.push(loads);
-        if self.now >= self.scenario.warm && self.now < self.scenario.length {
-            let live = self.engines.iter().filter(|engine| !engine.dead);
+        if self.now >= self.scenario.warm_up && self.now < self.scenario.length {
+            let live = self.engines.iter().filter(|engine| !engine.failed);
             let backlogs: Vec<u64> = live.map(Engine::backlog).collect();
             self.score.sample(&backlogs);
         }
         let lag = Micros::try_from(self.scenario.lag.as_micros()).unwrap_or(0);
-        self.at(self.now + lag, Event::Deliver(self.measured.len() - 1));
+        self.schedule(self.now + lag, Event::Deliver(self.measured.len() - 1));
         if self.now < self.scenario.length {
-            self.at(self.now + REPORT_EVERY, Event::Measure);
+            self.schedule(self.now + REPORT_EVERY, Event::Measure);
         }
     }
 
     fn deliver(&mut self, number: usize) {
         let loads = std::mem::take(&mut self.measured[number]);
-        let now = self.clock();
+        let now = self.monotonic_now();
         for (group, load) in loads.into_iter().enumerate() {
             let report = Report {
                 load,
@@ -263,18 +264,18 @@
     }
 
     fn change(&mut self) {
-        self.engines[0].percent = self.scenario.slow_percent;
+        self.engines[0].step_percent = self.scenario.slow_percent;
         if !self.scenario.domain_lost {
             return;
         }
         for group in self.lost() {
-            for number in self.engines[group].die() {
+            for number in self.engines[group].fail() {
                 self.policies[self.arrivals[number].entry].finished(number);
                 self.answered[number] = true;
                 self.score.cut += 1;
             }
         }
-        self.at(self.now + DETECTION, Event::Detect);
+        self.schedule(self.now + DETECTION, Event::Detect);
     }
 
     fn lost(&self) -> impl Iterator<Item = usize> + use<> {
@@ -290,7 +291,7 @@
     }
 
     fn cached(&mut self, number: usize, group: usize) {
-        let now = self.clock();
+        let now = self.monotonic_now();
         let age = Duration::from_micros(CACHE_LAG);
         let policy = &mut self.policies[self.arrivals[number].entry];
         for (_, key) in self.prefixes[number].keys() {
--- a/crates/routing/src/candidate.rs
+++ b/crates/routing/src/candidate.rs
@@ -1,7 +1,7 @@
-//! Gathering of the few units that a decision scores.
+//! Selection of the candidates that a decision scores.
 //!
-//! The number of candidates is fixed, so a decision costs the same in a small pool and in a large
-//! one but for the logarithm of a search on the ring.
+//! The number of candidates is bounded, so the cost of a decision does not depend on the size of
+//! the pool, except for the binary search on the ring.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use crate::config::Config;
 use crate::decision::Reason;
-use crate::hint::Memory;
+use crate::hint::Table;
 use crate::hint::WAYS;
 use crate::number::float;
 use crate::prefix::BLOCK_TOKENS;
@@ -18,43 +18,43 @@
 use crate::shard::Shard;
 use crate::unit::Unit;
 
-/// Most units drawn at random.
+/// Maximum number of units drawn at random.
 pub(crate) const MAX_DRAWN: usize = 4;
-/// Most candidates that come from hints.
+/// Maximum number of candidates that come from hints.
 const MAX_CACHED: usize = 4;
-/// Units known to cache a prefix from which on any is taken to.
-const COMMON: usize = WAYS;
-/// Candidates that the ring names.
+/// Units with a fresh hint for a prefix from which on every unit is assumed to cache it.
+const COMMON_HOLDERS: usize = WAYS;
+/// Maximum number of candidates that come from the ring.
 const MAX_RING: usize = 1;
-/// Draws that may be lost to excluded or repeated units.
-const MAX_MISSES: usize = 4;
-/// Most points of the ring that a walk visits.
-const MAX_WALK: usize = 256;
-/// Most candidates of a decision: hints, ring, draws and one spill.
+/// Additional draws to make up for those that hit an ineligible or repeated unit.
+const MAX_REDRAWS: usize = 4;
+/// Maximum number of ring points visited in one search.
+const MAX_RING_STEPS: usize = 256;
+/// Maximum number of candidates of a decision: from hints, the ring, draws and one spill.
 pub(crate) const MAX_CANDIDATES: usize = MAX_CACHED + MAX_RING + MAX_DRAWN + 1;
 
-/// A unit to be scored.
+/// A unit selected for scoring.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Draft {
+pub(crate) struct Proposal {
     pub(crate) unit: u32,
     pub(crate) reason: Reason,
-    /// Tokens of the prompt that it is expected to cache.
+    /// Prompt tokens that the unit is expected to have cached.
     pub(crate) cached: u64,
     pub(crate) hint_age: Option<Duration>,
 }
 
-/// All that gathering reads.
+/// Read-only inputs of one decision.
 pub(crate) struct View<'a> {
     pub(crate) config: &'a Config,
     pub(crate) units: &'a [Option<Unit>],
-    pub(crate) memory: &'a Memory,
+    pub(crate) hints: &'a Table,
     pub(crate) shard: &'a Shard,
     pub(crate) query: &'a Query,
     pub(crate) now: Monotonic,
 }
 
 impl View<'_> {
-    /// Returns the unit at `index` if it admits and this query may be sent to it.
+    /// Returns the unit at `index` if it admits work, serves the query and is not excluded.
     pub(crate) fn eligible(&self, index: u32) -> Option<&Unit> {
         let unit = self.units.get(index as usize)?.as_ref()?;
         let serves = unit.member.pool == self.query.pool && unit.member.model == self.query.model;
@@ -62,52 +62,53 @@
         (unit.admits() && serves && !excluded).then_some(unit)
     }
 
-    /// Whether `unit` may be chosen under the load bound.
+    /// Whether the load of `unit` is within the load bound.
     ///
-    /// With loads of one age, a unit at or below the mean passes. With mixed ages it can be that
-    /// none does; then the least loaded candidate is taken.
+    /// If all reports have the same age, every unit at or below the mean load is within the bound.
+    /// If ages differ, there may be no such unit; the least loaded candidate is chosen then.
     pub(crate) fn within_bound(&self, unit: &Unit) -> bool {
-        let own = self.shard.known.own.saturating_add(self.query.tokens());
+        let own = self.shard.backlog.own.saturating_add(self.query.tokens());
         let count = self.shard.admitting.len().max(1) as u64;
-        let mean = self.shard.known.mean_reported() + float(own) / float(count);
+        let mean = self.shard.backlog.mean_reported() + float(own) / float(count);
         self.load(unit) <= self.config.load_bound * mean
     }
 
-    /// Returns the tokens believed to be before `unit`.
+    /// Returns the estimated tokens queued at `unit`.
     pub(crate) fn load(&self, unit: &Unit) -> f64 {
-        let mean = self.shard.known.mean_reported();
-        unit.believed(mean, self.config, self.now)
+        let mean = self.shard.backlog.mean_reported();
+        unit.estimated_load(mean, self.config, self.now)
     }
 
     /// Returns the candidates, at most [`MAX_CANDIDATES`].
-    pub(crate) fn gather(&self, rng: &mut impl Rng) -> Vec<Draft> {
-        let mut drafts = Vec::with_capacity(MAX_CANDIDATES);
-        self.cached(&mut drafts);
-        self.ring(&mut drafts);
-        self.draw(&mut drafts, rng);
-        let bounded = |draft: &Draft| {
-            self.eligible(draft.unit)
+    pub(crate) fn gather(&self, rng: &mut impl Rng) -> Vec<Proposal> {
+        let mut proposals = Vec::with_capacity(MAX_CANDIDATES);
+        self.add_cached(&mut proposals);
+        self.add_ring_owner(&mut proposals);
+        self.add_drawn(&mut proposals, rng);
+        let bounded = |proposal: &Proposal| {
+            self.eligible(proposal.unit)
                 .is_some_and(|unit| self.within_bound(unit))
         };
-        let common = self.common();
-        for draft in &mut drafts {
-            draft.cached = draft.cached.max(common);
+        let common = self.common_tokens();
+        for proposal in &mut proposals {
+            proposal.cached = proposal.cached.max(common);
         }
-        if !drafts.iter().any(bounded) {
-            self.spill(&mut drafts, rng);
+        if !proposals.iter().any(bounded) {
+            self.add_spill(&mut proposals, rng);
         }
-        debug_assert!(drafts.len() <= MAX_CANDIDATES);
-        drafts
+        debug_assert!(proposals.len() <= MAX_CANDIDATES);
+        proposals
     }
 
-    /// Adds the units that hints name, those of the deepest prefix first.
-    fn cached(&self, drafts: &mut Vec<Draft>) {
+    /// Adds units with a fresh hint for a prefix of the prompt, deepest prefix first.
+    fn add_cached(&self, proposals: &mut Vec<Proposal>) {
         for (depth, key) in self.query.prefix.keys().rev() {
-            for (unit, age) in self.memory.holders(key, self.now) {
-                let known = drafts.iter().any(|draft| draft.unit == unit);
-                let fresh = age <= self.config.hint_life;
-                if drafts.len() < MAX_CACHED && !known && fresh && self.eligible(unit).is_some() {
-                    drafts.push(Draft {
+            for (unit, age) in self.hints.holders(key, self.now) {
+                let known = proposals.iter().any(|proposal| proposal.unit == unit);
+                let fresh = age <= self.config.max_hint_age;
+                if proposals.len() < MAX_CACHED && !known && fresh && self.eligible(unit).is_some()
+                {
+                    proposals.push(Proposal {
                         unit,
                         reason: Reason::Cached,
                         cached: u64::from(depth) * BLOCK_TOKENS,
@@ -118,26 +119,32 @@
         }
     }
 
-    /// Adds the owner, on the ring, of the shallowest prefix that this process has not seen.
+    /// Adds the owner on the ring of the shallowest prefix without a fresh hint.
     ///
-    /// Prefixes that many prompts share are known to every entry, so this one is the first that
-    /// holds the case's own text. Each entry that meets the case for the first time names the same
-    /// unit for it, which then caches what the case's earlier requests left there.
-    fn ring(&self, drafts: &mut Vec<Draft>) {
+    /// Prefixes shared by many prompts have hints at every entry, so the shallowest one without a
+    /// hint is the first to contain text of the case itself, that is, of a series of requests with
+    /// a growing prompt. Every entry that sees the case for the first time therefore selects the
+    /// same unit, which then has the case's earlier requests in its cache.
+    fn add_ring_owner(&self, proposals: &mut Vec<Proposal>) {
         let Some((deepest, _)) = self.query.prefix.keys().next_back() else {
             return;
         };
-        let Some((_, key)) = self.query.prefix.keys().find(|&(_, key)| !self.seen(key)) else {
+        let Some((_, key)) = self
+            .query
+            .prefix
+            .keys()
+            .find(|&(_, key)| !self.has_fresh_hint(key))
+        else {
             return;
         };
-        let mut walk = self.shard.ring.from(key).take(MAX_WALK);
+        let mut walk = self.shard.ring.successors(key).take(MAX_RING_STEPS);
         let Some(unit) = walk.find(|&unit| self.eligible(unit).is_some()) else {
             return;
         };
-        let cached = self.config.ring_trust * u64::from(deepest) * BLOCK_TOKENS / 100;
-        match drafts.iter_mut().find(|draft| draft.unit == unit) {
-            Some(draft) => draft.cached = draft.cached.max(cached),
-            None => drafts.push(Draft {
+        let cached = self.config.ring_hit_percent * u64::from(deepest) * BLOCK_TOKENS / 100;
+        match proposals.iter_mut().find(|proposal| proposal.unit == unit) {
+            Some(proposal) => proposal.cached = proposal.cached.max(cached),
+            None => proposals.push(Proposal {
                 unit,
                 reason: Reason::Ring,
                 cached,
@@ -146,45 +153,50 @@
         }
     }
 
-    /// Returns the tokens of the deepest prefix that many units cache, and so probably any.
-    fn common(&self) -> u64 {
+    /// Returns the tokens of the deepest prefix with at least [`COMMON_HOLDERS`] fresh hints.
+    ///
+    /// So many units cache it that any unit probably does.
+    fn common_tokens(&self) -> u64 {
         let mut keys = self.query.prefix.keys().rev();
-        let fresh = |&(_, age): &(u32, Duration)| age <= self.config.hint_life;
+        let fresh = |&(_, age): &(u32, Duration)| age <= self.config.max_hint_age;
         let common = keys.find(|&(_, key)| {
-            let holders = self.memory.holders(key, self.now);
-            holders.filter(fresh).count() >= COMMON
+            let holders = self.hints.holders(key, self.now);
+            holders.filter(fresh).count() >= COMMON_HOLDERS
         });
         common.map_or(0, |(depth, _)| u64::from(depth) * BLOCK_TOKENS)
     }
 
-    /// Whether a fresh hint names `key`.
-    fn seen(&self, key: u64) -> bool {
-        let mut holders = self.memory.holders(key, self.now);
-        holders.any(|(_, age)| age <= self.config.hint_life)
+    /// Whether any unit has a fresh hint for `key`.
+    fn has_fresh_hint(&self, key: u64) -> bool {
+        let mut holders = self.hints.holders(key, self.now);
+        holders.any(|(_, age)| age <= self.config.max_hint_age)
     }
 
-    /// Adds units drawn at random.
-    fn draw(&self, drafts: &mut Vec<Draft>, rng: &mut impl Rng) {
+    /// Adds up to [`Config::random_choices`] eligible units drawn uniformly at random.
+    fn add_drawn(&self, proposals: &mut Vec<Proposal>, rng: &mut impl Rng) {
         let count = self.shard.admitting.len();
         let mut drawn = 0;
-        for _ in 0..self.config.choices + MAX_MISSES {
-            if drawn == self.config.choices || count == 0 {
+        for _ in 0..self.config.random_choices + MAX_REDRAWS {
+            if drawn == self.config.random_choices || count == 0 {
                 break;
             }
             let unit = self.shard.admitting[rng.random_range(0..count)];
-            let known = drafts.iter().any(|draft| draft.unit == unit);
+            let known = proposals.iter().any(|proposal| proposal.unit == unit);
             if !known && self.eligible(unit).is_some() {
-                drafts.push(plain(unit, Reason::Drawn));
+                proposals.push(uncached(unit, Reason::Drawn));
                 drawn += 1;
             }
         }
     }
 
-    /// Adds the next unit under the bound on the ring, or failing that the next of all.
-    fn spill(&self, drafts: &mut Vec<Draft>, rng: &mut impl Rng) {
+    /// Adds the next eligible unit on the ring that is within the load bound.
+    ///
+    /// If none is found and there are no other candidates, adds the next eligible unit at any
+    /// load.
+    fn add_spill(&self, proposals: &mut Vec<Proposal>, rng: &mut impl Rng) {
         let deepest = self.query.prefix.keys().next_back();
         let key = deepest.map_or_else(|| rng.random(), |(_, key)| key);
-        let walk = || self.shard.ring.from(key).take(MAX_WALK);
+        let walk = || self.shard.ring.successors(key).take(MAX_RING_STEPS);
         let bounded = walk().find(|&index| {
             self.eligible(index)
                 .is_some_and(|unit| self.within_bound(unit))
@@ -192,16 +204,16 @@
         let any = || {
             self.shard
                 .ring
-                .from(key)
+                .successors(key)
                 .find(|&unit| self.eligible(unit).is_some())
         };
-        let found = bounded.or_else(|| if drafts.is_empty() { any() } else { None });
-        drafts.extend(found.map(|unit| plain(unit, Reason::Spill)));
+        let found = bounded.or_else(|| if proposals.is_empty() { any() } else { None });
+        proposals.extend(found.map(|unit| uncached(unit, Reason::Spill)));
     }
 }
 
-fn plain(unit: u32, reason: Reason) -> Draft {
-    Draft {
+fn uncached(unit: u32, reason: Reason) -> Proposal {
+    Proposal {
         unit,
         reason,
         cached: 0,
--- a/crates/routing/src/hint.rs
+++ b/crates/routing/src/hint.rs
@@ -1,30 +1,29 @@
-//! Memory of which units probably cache which prefixes.
+//! Hints about which units cache which prefixes.
 //!
-//! Hints come from this process's own sends and from cache events, which are late, sampled and
-//! gappy; a wrong hint costs time only. The memory is a table of fixed size, four places to a row:
-//! a new hint replaces the oldest of its row.
+//! Hints come from this process's own sends and from cache events, which are delayed, sampled and
+//! may be missing; a wrong hint only costs time. They are kept in a set-associative table of fixed
+//! size with four ways: a new hint replaces the oldest one in its row.
 
 use std::time::Duration;
 
 use auburnline_core::time::Monotonic;
 
-/// Places in a row, and so the most units remembered for a prefix.
+/// Hints in a row, and so the maximum number of units with a hint for one prefix.
 pub(crate) const WAYS: usize = 4;
-/// Rows of the table.
 const ROWS: usize = 4096;
 
-/// What a unit's cache did.
+/// A change in the prefix cache of a unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The prefix with this key is cached.
+    /// The prefix with this key was stored.
     Stored(u64),
-    /// The prefix with this key is cached no longer.
+    /// The prefix with this key was evicted.
     Evicted(u64),
-    /// Nothing is cached any longer.
+    /// All prefixes were dropped.
     Cleared,
 }
 
-/// One remembered prefix.
+/// A unit that probably caches a prefix, as of `at`.
 #[derive(Clone, Copy, Debug)]
 struct Hint {
     key: u64,
@@ -32,20 +31,20 @@
     at: Monotonic,
 }
 
-/// Table of hints.
+/// Set-associative table of hints.
 #[derive(Debug)]
-pub(crate) struct Memory {
+pub(crate) struct Table {
     rows: Vec<[Option<Hint>; WAYS]>,
 }
 
-impl Memory {
+impl Table {
     pub(crate) fn new() -> Self {
-        Memory {
+        Table {
             rows: vec![[None; WAYS]; ROWS],
         }
     }
 
-    /// Returns the row of `key`; the table's size fits any index.
+    /// Returns the row of `key`; the conversion cannot fail, as [`ROWS`] fits any `usize`.
     fn row(key: u64) -> usize {
         usize::try_from(key % ROWS as u64).unwrap_or_default()
     }
@@ -59,32 +58,32 @@
             let ages = row.iter().map(|hint| hint.map(|hint| hint.at));
             ages.enumerate().min_by_key(|&(_, at)| at)
         };
-        let place = same.or_else(|| oldest().map(|(place, _)| place));
-        if let Some(place) = place {
-            let known = same.and_then(|place| row[place]).map(|hint| hint.at);
+        let way = same.or_else(|| oldest().map(|(way, _)| way));
+        if let Some(way) = way {
+            let known = same.and_then(|way| row[way]).map(|hint| hint.at);
             let at = known.map_or(at, |known| known.max(at));
-            row[place] = Some(Hint { key, unit, at });
+            row[way] = Some(Hint { key, unit, at });
         }
     }
 
     pub(crate) fn evict(&mut self, key: u64, unit: u32) {
-        for place in &mut self.rows[Self::row(key)] {
-            if place.is_some_and(|hint| hint.key == key && hint.unit == unit) {
-                *place = None;
+        for way in &mut self.rows[Self::row(key)] {
+            if way.is_some_and(|hint| hint.key == key && hint.unit == unit) {
+                *way = None;
             }
         }
     }
 
-    /// Forgets all hints of `unit`.
+    /// Removes all hints for `unit`.
     pub(crate) fn clear(&mut self, unit: u32) {
-        for place in self.rows.iter_mut().flatten() {
-            if place.is_some_and(|hint| hint.unit == unit) {
-                *place = None;
+        for way in self.rows.iter_mut().flatten() {
+            if way.is_some_and(|hint| hint.unit == unit) {
+                *way = None;
             }
         }
     }
 
-    /// Returns the units that probably cache `key`, with the hints' ages.
+    /// Returns the units that probably cache the prefix `key`, with the ages of their hints.
     pub(crate) fn holders(
         &self,
         key: u64,
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router: state of all units, and the choice among them.
+//! The router: the state of all units and the choice among them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::config::Config;
 use crate::decision::Decision;
 use crate::hint::Event;
-use crate::hint::Memory;
+use crate::hint::Table;
 use crate::query::Query;
 use crate::score::refused;
 use crate::shard::Shard;
@@ -24,24 +24,24 @@
 use crate::unit::Ticket;
 use crate::unit::Unit;
 
-/// Most units that a router keeps.
+/// Maximum number of units that a router keeps.
 pub const MAX_GROUPS: usize = 1024;
 
 /// Pool and model that a shard serves.
 type ShardKey = (PoolId, Option<ModelId>);
 
-/// Choice of a unit for each request of one process.
+/// Chooses a unit for each request of one process.
 #[derive(Debug)]
 pub struct Router {
     config: Config,
     pub(crate) units: Vec<Option<Unit>>,
     pub(crate) index: BTreeMap<GroupId, u32>,
     pub(crate) shards: BTreeMap<ShardKey, Shard>,
-    memory: Memory,
+    hints: Table,
 }
 
 impl Router {
-    /// Returns a router that knows no unit.
+    /// Returns a router without units.
     #[must_use]
     pub fn new(config: Config) -> Self {
         Router {
@@ -49,20 +49,20 @@
             units: Vec::new(),
             index: BTreeMap::new(),
             shards: BTreeMap::new(),
-            memory: Memory::new(),
+            hints: Table::new(),
         }
     }
 
-    /// Adds a unit, with its session down, or takes what is newly published of a known one.
+    /// Adds a unit with its session down, or updates the published data of a known unit.
     ///
-    /// Returns whether it is kept; a unit past [`MAX_GROUPS`] is not. The session's state and the
-    /// marks of a known unit stay, also when its model changes.
+    /// Returns `false` if the unit is new and there are [`MAX_GROUPS`] already. The session state
+    /// and the marks of a known unit are kept, even if its model changes.
     pub fn insert(&mut self, group: GroupId, member: Member) -> bool {
         if let Some(&index) = self.index.get(&group) {
-            self.change_member(index, &member);
+            self.update_member(index, &member);
             return true;
         }
-        let Some(index) = self.free_place() else {
+        let Some(index) = self.free_index() else {
             return false;
         };
         let shard = self.shards.entry(shard_key(&member)).or_default();
@@ -73,7 +73,7 @@
         true
     }
 
-    /// Forgets a unit that is no longer published.
+    /// Removes a unit that is no longer published, with its hints.
     pub fn remove(&mut self, group: &GroupId) {
         let Some(index) = self.index.remove(group) else {
             return;
@@ -81,72 +81,74 @@
         if let Some(unit) = self.units[index as usize].take() {
             self.leave_shard(index, &unit.member);
         }
-        self.memory.clear(index);
+        self.hints.clear(index);
     }
 
-    /// Returns the units that are known, in the order of their names.
+    /// Returns the groups of all known units, sorted by name.
     pub fn groups(&self) -> impl Iterator<Item = &GroupId> {
         self.index.keys()
     }
 
-    /// Takes that the session to a unit is up or down.
+    /// Records that the session to a unit is up or down.
     ///
-    /// Hints outlive a session; if the other end is a new incarnation, [`Event::Cleared`] drops them.
+    /// Hints are kept when a session ends. If the unit comes back as a new incarnation, the caller
+    /// has to remove them with [`Event::Cleared`].
     pub fn session(&mut self, group: &GroupId, up: bool) {
-        self.change(group, |unit| unit.set_up(up));
+        self.update_state(group, |unit| unit.set_session_up(up));
     }
 
     /// Sets or clears a mark that keeps new work from a unit.
     ///
-    /// Whether a mark may be cleared is for the caller to know; the router undoes none by itself.
+    /// The router never clears a mark by itself; the caller decides when to.
     pub fn mark(&mut self, group: &GroupId, mark: Mark, on: bool) {
-        self.change(group, |unit| unit.set_mark(mark, on));
+        self.update_state(group, |unit| unit.set_mark(mark, on));
     }
 
-    /// Takes a load report, unless one measured later is known.
+    /// Records a load report, unless a later measurement has been recorded.
     pub fn report(&mut self, group: &GroupId, report: Report, now: Monotonic) {
-        let life = self.config.step_life;
-        self.count(group, |unit| unit.report(report, life, now));
+        let half_life = self.config.step_time_half_life;
+        self.update_load(group, |unit| unit.report(report, half_life, now));
     }
 
-    /// Takes that a request was sent to a unit; the ticket goes to [`Router::finished`].
+    /// Records that a request was sent to a unit; pass the ticket to [`Router::finished`].
     ///
     /// Returns `None` if the unit is not known.
     pub fn sent(&mut self, group: &GroupId, query: &Query, now: Monotonic) -> Option<Ticket> {
         let index = *self.index.get(group)?;
         for (_, key) in query.prefix.keys() {
-            self.memory.store(key, index, now);
+            self.hints.store(key, index, now);
         }
-        self.count(group, |unit| unit.sent(query.tokens(), now))
+        self.update_load(group, |unit| unit.sent(query.tokens(), now))
     }
 
-    /// Takes that a request has ended at its unit, however it ended.
+    /// Records that a request has ended at its unit, whatever its outcome.
     pub fn finished(&mut self, ticket: Ticket) {
         let Ticket { group, tokens, at } = ticket;
-        self.count(&group, |unit| unit.finished(tokens, at));
+        self.update_load(&group, |unit| unit.finished(tokens, at));
     }
 
-    /// Takes what a unit's cache did `age` ago.
+    /// Records a change in a unit's cache that happened `age` ago.
     pub fn cache_event(&mut self, group: &GroupId, event: Event, age: Duration, now: Monotonic) {
         let Some(&index) = self.index.get(group) else {
             return;
         };
         match event {
-            Event::Stored(key) => self.memory.store(key, index, now.saturating_sub(age)),
-            Event::Evicted(key) => self.memory.evict(key, index),
-            Event::Cleared => self.memory.clear(index),
+            Event::Stored(key) => self.hints.store(key, index, now.saturating_sub(age)),
+            Event::Evicted(key) => self.hints.evict(key, index),
+            Event::Cleared => self.hints.clear(index),
         }
     }
 
     /// Chooses a unit for `query`.
     ///
-    /// The choice counts for the next ones only when the caller says that it was [`sent`].
+    /// Later decisions take the request into account only after the caller has reported it as
+    /// [`sent`].
     ///
     /// [`sent`]: Router::sent
     pub fn route(&mut self, query: &Query, now: Monotonic, rng: &mut impl Rng) -> Decision {
         let key = (query.pool.clone(), query.model.clone());
         let Some(shard) = self.shards.get_mut(&key) else {
-            return refused(query, unknown(query));
+            return refused(query, unknown_kind(query));
         };
         shard.refresh(&self.units);
         if query.deadline.is_zero() {
@@ -155,7 +157,7 @@
         let view = View {
             config: &self.config,
             units: &self.units,
-            memory: &self.memory,
+            hints: &self.hints,
             shard,
             query,
             now,
@@ -166,7 +168,7 @@
         decision
     }
 
-    /// Asserts the promise that only an admitting unit of the right kind is chosen.
+    /// Asserts that the chosen unit admits work, serves the query and is not excluded.
     fn assert_eligible(&self, query: &Query, decision: &Decision) {
         debug_assert!(decision.group().map_or(true, |group| {
             let index = self.index.get(group);
@@ -180,19 +182,19 @@
         }));
     }
 
-    fn free_place(&mut self) -> Option<u32> {
+    fn free_index(&mut self) -> Option<u32> {
         let free = self.units.iter().position(Option::is_none);
-        let place = free.unwrap_or(self.units.len());
-        if place >= MAX_GROUPS {
+        let index = free.unwrap_or(self.units.len());
+        if index >= MAX_GROUPS {
             return None;
         }
-        if place == self.units.len() {
+        if index == self.units.len() {
             self.units.push(None);
         }
-        u32::try_from(place).ok()
+        u32::try_from(index).ok()
     }
 
-    fn change_member(&mut self, index: u32, member: &Member) {
+    fn update_member(&mut self, index: u32, member: &Member) {
         let Some(unit) = self.units[index as usize].as_mut() else {
             return;
         };
@@ -205,7 +207,7 @@
         shard.all.push(index);
         shard.dirty = true;
         if old.model != member.model {
-            self.memory.clear(index);
+            self.hints.clear(index);
         }
     }
 
@@ -220,8 +222,8 @@
         }
     }
 
-    /// Applies a change that may alter whether the unit admits.
-    fn change(&mut self, group: &GroupId, apply: impl FnOnce(&mut Unit)) {
+    /// Applies a change that may affect whether the unit admits work.
+    fn update_state(&mut self, group: &GroupId, apply: impl FnOnce(&mut Unit)) {
         let Some(&index) = self.index.get(group) else {
             return;
         };
@@ -234,8 +236,8 @@
         }
     }
 
-    /// Applies a change of the unit's load and keeps its shard's sum.
-    fn count<T>(&mut self, group: &GroupId, apply: impl FnOnce(&mut Unit) -> T) -> Option<T> {
+    /// Applies a change to the unit's load and updates the sum of its shard.
+    fn update_load<T>(&mut self, group: &GroupId, apply: impl FnOnce(&mut Unit) -> T) -> Option<T> {
         let index = *self.index.get(group)?;
         let unit = self.units[index as usize].as_mut()?;
         let before = unit.load();
@@ -246,7 +248,7 @@
             && admits
             && !shard.dirty
         {
-            shard.known = shard.known.replace(before, after);
+            shard.backlog = shard.backlog.replace(before, after);
         }
         Some(value)
     }
@@ -256,7 +258,7 @@
     (member.pool.clone(), member.model.clone())
 }
 
-fn unknown(query: &Query) -> Kind {
+fn unknown_kind(query: &Query) -> Kind {
     if query.model.is_some() {
         Kind::UnknownModel
     } else {
--- a/crates/routing/src/score.rs
+++ b/crates/routing/src/score.rs
@@ -1,10 +1,10 @@
-//! Scores of the candidates in predicted seconds, and the choice among them.
+//! Predicted time to the first token of each candidate, and the choice among them.
 
 use std::time::Duration;
 
 use auburnline_core::error::Kind;
 
-use crate::candidate::Draft;
+use crate::candidate::Proposal;
 use crate::candidate::View;
 use crate::decision::Candidate;
 use crate::decision::Decision;
@@ -12,11 +12,11 @@
 use crate::query::Query;
 
 impl View<'_> {
-    /// Chooses the cheapest candidate under the bound, or the least loaded if none is.
-    pub(crate) fn decide(&self, drafts: &[Draft]) -> Decision {
-        let mut scored: Vec<Candidate> = drafts
+    /// Chooses the cheapest candidate within the load bound, or the least loaded if none is.
+    pub(crate) fn decide(&self, proposals: &[Proposal]) -> Decision {
+        let mut scored: Vec<Candidate> = proposals
             .iter()
-            .filter_map(|draft| self.score(draft))
+            .filter_map(|proposal| self.score(proposal))
             .collect();
         scored.sort_by_key(|candidate| {
             let overload = if candidate.within_bound {
@@ -40,33 +40,34 @@
         }
     }
 
-    fn score(&self, draft: &Draft) -> Option<Candidate> {
-        let unit = self.eligible(draft.unit)?;
-        let cached = draft.cached.min(self.query.prompt_tokens);
+    fn score(&self, proposal: &Proposal) -> Option<Candidate> {
+        let unit = self.eligible(proposal.unit)?;
+        let cached = proposal.cached.min(self.query.prompt_tokens);
         let prefill = float(self.query.prompt_tokens - cached);
         let tokens = self.config.backlog_weight * self.load(unit) + prefill;
         let steps = 1.0 + tokens / self.config.tokens_per_step;
-        let seconds = steps * unit.step(self.config);
+        let seconds = steps * unit.step_time(self.config);
         let near = unit.member.failure_domain == self.config.failure_domain;
-        let crossing = if near {
+        let cross_domain_latency = if near {
             Duration::ZERO
         } else {
-            self.config.crossing
+            self.config.cross_domain_latency
         };
         Some(Candidate {
             group: unit.group.clone(),
-            reason: draft.reason,
-            cost: Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX) + crossing,
+            reason: proposal.reason,
+            cost: Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
+                + cross_domain_latency,
             load: unit.load().total(),
             cached_tokens: cached,
             within_bound: self.within_bound(unit),
             report_age: unit.report_age(self.config, self.now),
-            hint_age: draft.hint_age,
+            hint_age: proposal.hint_age,
         })
     }
 }
 
-/// Returns a decision that names no unit.
+/// Returns a decision without a chosen unit.
 pub(crate) fn refused(query: &Query, kind: Kind) -> Decision {
     Decision {
         pool: query.pool.clone(),
