--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -113,7 +113,7 @@
     }
 
     /// Takes the incarnation that the instance itself gave; returns whether it replaced another.
-    pub(crate) fn met(&mut self, incarnation: Incarnation) -> bool {
+    pub(crate) fn confirm_incarnation(&mut self, incarnation: Incarnation) -> bool {
         let before = self.incarnation.replace(incarnation);
         self.retired.retain(|&retired| retired != incarnation);
         let Some(before) = before.filter(|&before| before != incarnation) else {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -264,7 +264,7 @@
             return;
         };
         let was_leaving = record.leaving().is_some();
-        let is_replaced = record.met(incarnation);
+        let is_replaced = record.confirm_incarnation(incarnation);
         record.heard(beat::IDLE_PERIOD, now);
         let leaving = record.leaving();
         let news = record.rumours(instance);
