--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -89,7 +89,7 @@
         let before = std::mem::replace(&mut self.listed, listed);
         match (before, listed) {
             (Listed::Leaving, Listed::Leaving) | (_, Listed::Absent) => false,
-            (_, Listed::Leaving) => self.list_marks(version),
+            (_, Listed::Leaving) => self.mark_by_list(version),
             (_, Listed::Live) => {
                 self.list_mark.take_if(|marked| *marked < version);
                 false
@@ -98,7 +98,7 @@
     }
 
     /// Takes a mark of the list's `version`; returns whether it is new.
-    pub(crate) fn list_marks(&mut self, version: u64) -> bool {
+    pub(crate) fn mark_by_list(&mut self, version: u64) -> bool {
         if self.list_mark.is_some_and(|marked| marked >= version) {
             return false;
         }
--- a/crates/membership/src/view/gossip.rs
+++ b/crates/membership/src/view/gossip.rs
@@ -99,7 +99,7 @@
     ) -> bool {
         let is_older = self.version.is_some_and(|held| held >= version);
         let record = self.record(instance).filter(|_| !is_older);
-        let is_news = record.is_some_and(|record| record.list_marks(version));
+        let is_news = record.is_some_and(|record| record.mark_by_list(version));
         if is_news {
             Self::stop(instance, Cause::List, actions);
         }
