--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -35,7 +35,7 @@
 pub(crate) struct Record {
     pub(crate) session: Option<Session>,
     pub(crate) listed: Listed,
-    pub(crate) tries: u32,
+    pub(crate) attempts: u32,
     pub(crate) reopen_at: Monotonic,
     incarnation: Option<Incarnation>,
     retired: VecDeque<Incarnation>,
@@ -173,7 +173,7 @@
     /// Takes a word from the instance over its session.
     pub(crate) fn heard(&mut self, next: Duration, now: Monotonic) {
         self.suspicions.clear();
-        self.tries = 0;
+        self.attempts = 0;
         self.session = Some(Session {
             heard: now,
             silent_at: beat::silent_at(now, next),
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -173,8 +173,8 @@
                 continue;
             };
             if record.session.is_none() && record.reopen_at <= now {
-                let delay = beat::reopen_delay(record.tries, self.rng.random());
-                record.tries = record.tries.saturating_add(1);
+                let delay = beat::reopen_delay(record.attempts, self.rng.random());
+                record.attempts = record.attempts.saturating_add(1);
                 record.reopen_at = now + delay + beat::GRACE;
                 actions.push(Action::Open(name.clone()));
             }
@@ -307,7 +307,7 @@
         let part = self.rng.random();
         if let Some(record) = self.records.get_mut(instance) {
             record.session = None;
-            let again = now + beat::reopen_delay(record.tries, part);
+            let again = now + beat::reopen_delay(record.attempts, part);
             record.reopen_at = again;
         }
     }
