--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -19,9 +19,9 @@
 /// Entries whose suspicion of one instance is kept in mind.
 const MAX_REPORTERS: usize = 4;
 /// Time that a suspicion counts.
-pub(crate) const SUSPICION: Duration = Duration::from_secs(10);
+pub(crate) const SUSPICION_TTL: Duration = Duration::from_secs(10);
 /// Entries whose word together outweighs the list.
-pub(crate) const QUORUM_OF_SUSPICION: usize = 2;
+pub(crate) const SUSPICION_QUORUM: usize = 2;
 
 /// Session of this process to an instance.
 #[derive(Clone, Copy, Debug)]
@@ -195,7 +195,9 @@
         if is_full && !self.suspicions.contains_key(&reporter) {
             return false;
         }
-        self.suspicions.insert(reporter, now + SUSPICION).is_none()
+        self.suspicions
+            .insert(reporter, now + SUSPICION_TTL)
+            .is_none()
     }
 
     /// Returns whether enough entries suspect the instance.
@@ -206,7 +208,7 @@
                 fresh.insert(reporter);
             }
         }
-        fresh.len() >= QUORUM_OF_SUSPICION
+        fresh.len() >= SUSPICION_QUORUM
     }
 
     /// Returns what another entry should know of this instance.
