--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -167,7 +167,7 @@
                 }));
             }
         }
-        self.pass_on(None, &news, actions);
+        self.forward(None, &news, actions);
         for name in &self.wanted {
             let Some(record) = self.records.get_mut(name) else {
                 continue;
@@ -205,7 +205,7 @@
             let version = list.version;
             news.push(Rumour::Listed { instance, version });
         }
-        self.pass_on(None, &news, actions);
+        self.forward(None, &news, actions);
     }
 
     fn fleet(
@@ -279,10 +279,10 @@
             Self::stop(instance, cause, actions);
         }
         if is_replaced || (was_leaving && leaving.is_some()) {
-            self.pass_on(Some(instance), &news, actions);
+            self.forward(Some(instance), &news, actions);
         }
         if is_neighbour {
-            self.tell_all(instance, actions);
+            self.send_all(instance, actions);
         }
     }
 
@@ -346,7 +346,7 @@
                 instance,
                 incarnation,
             };
-            self.pass_on(None, &[news], actions);
+            self.forward(None, &[news], actions);
         }
     }
 
--- a/crates/membership/src/view/gossip.rs
+++ b/crates/membership/src/view/gossip.rs
@@ -24,17 +24,17 @@
             if *rumour.instance() == self.me {
                 continue;
             }
-            if self.believe(from, &rumour, now, actions) {
+            if self.apply_rumour(from, &rumour, now, actions) {
                 news.push(rumour);
             }
         }
         // A suspicion is worth only what its first reporter saw, so it travels one link.
         news.retain(|rumour| !matches!(rumour, Rumour::Suspect { .. }));
-        self.pass_on(Some(from), &news, actions);
+        self.forward(Some(from), &news, actions);
     }
 
     /// Takes one rumour; returns whether it is news.
-    pub(super) fn believe(
+    pub(super) fn apply_rumour(
         &mut self,
         from: &InstanceId,
         rumour: &Rumour,
@@ -63,7 +63,7 @@
         }
     }
 
-    pub(super) fn pass_on(
+    pub(super) fn forward(
         &self,
         from: Option<&InstanceId>,
         news: &[Rumour],
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(super) fn tell_all(&self, neighbour: &InstanceId, actions: &mut Vec<Action>) {
+    pub(super) fn send_all(&self, neighbour: &InstanceId, actions: &mut Vec<Action>) {
         let all = self.records.iter();
         let rumours: Vec<Rumour> = all
             .flat_map(|(name, record)| record.rumours(name))
