--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -127,7 +127,7 @@
                 instances,
                 drains,
             } => self.fleet(revision, &instances, &drains, &mut actions),
-            Event::Wanted(wanted) => self.want(wanted, &mut actions),
+            Event::Wanted(wanted) => self.set_wanted(wanted, &mut actions),
             Event::Neighbours(neighbours) => self.neighbours = neighbours,
             Event::SessionUp(instance, incarnation) => {
                 self.session_up(&instance, incarnation, now, &mut actions);
@@ -201,7 +201,7 @@
         }
         let mut news = Vec::new();
         for instance in marked {
-            Self::stop(&instance, Cause::List, actions);
+            Self::stop_work(&instance, Cause::List, actions);
             let version = list.version;
             news.push(Rumour::Listed { instance, version });
         }
@@ -234,11 +234,11 @@
             }
         }
         for name in marked {
-            Self::stop(&name, cause, actions);
+            Self::stop_work(&name, cause, actions);
         }
     }
 
-    fn want(&mut self, wanted: BTreeSet<InstanceId>, actions: &mut Vec<Action>) {
+    fn set_wanted(&mut self, wanted: BTreeSet<InstanceId>, actions: &mut Vec<Action>) {
         for name in self.wanted.difference(&wanted) {
             let session = self.records.get_mut(name).map(|record| &mut record.session);
             if session.and_then(Option::take).is_some() {
@@ -276,7 +276,7 @@
             }));
         }
         if let Some(cause) = leaving.filter(|_| !was_leaving || is_replaced) {
-            Self::stop(instance, cause, actions);
+            Self::stop_work(instance, cause, actions);
         }
         if is_replaced || (was_leaving && leaving.is_some()) {
             self.forward(Some(instance), &news, actions);
@@ -330,7 +330,7 @@
             .incarnation()
             .is_none_or(|known| known == incarnation)
         {
-            Self::stop(instance, cause, actions);
+            Self::stop_work(instance, cause, actions);
         }
         true
     }
@@ -350,7 +350,7 @@
         }
     }
 
-    fn stop(instance: &InstanceId, cause: Cause, actions: &mut Vec<Action>) {
+    fn stop_work(instance: &InstanceId, cause: Cause, actions: &mut Vec<Action>) {
         let marked = instance.clone();
         actions.push(Action::Log(Note::Marked {
             instance: marked,
--- a/crates/membership/src/view/gossip.rs
+++ b/crates/membership/src/view/gossip.rs
@@ -101,7 +101,7 @@
         let record = self.record(instance).filter(|_| !is_older);
         let is_news = record.is_some_and(|record| record.mark_by_list(version));
         if is_news {
-            Self::stop(instance, Cause::List, actions);
+            Self::stop_work(instance, Cause::List, actions);
         }
         is_news
     }
