--- a/crates/membership/src/neighbour.rs
+++ b/crates/membership/src/neighbour.rs
@@ -17,9 +17,9 @@
 /// Neighbours that an entry picks in other failure domains of its region.
 pub const FAR: usize = 2;
 /// Entries of a failure domain that hold links to other regions.
-pub const GATES: usize = 3;
+pub const BRIDGES: usize = 3;
 /// Links to other regions that each of them holds.
-pub const GATE_LINKS: usize = 2;
+pub const BRIDGE_LINKS: usize = 2;
 
 /// Place of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,34 +40,34 @@
     };
     let mut near = Vec::new();
     let mut far = Vec::new();
-    let mut abroad = Vec::new();
+    let mut other_regions = Vec::new();
     for (name, other) in entries.iter().filter(|(name, _)| &***name != me) {
         if other.failure_domain == place.failure_domain {
             near.push(name.clone());
         } else if other.region == place.region {
             far.push(name.clone());
         } else {
-            abroad.push(name.clone());
+            other_regions.push(name.clone());
         }
     }
     let next = near.iter().find(|name| &***name > me).or(near.first());
     let mut picked: BTreeSet<InstanceId> = next.into_iter().cloned().collect();
-    let holds_gate = is_gate(me, place, &near);
+    let is_bridge = is_bridge(me, place, &near);
     picked.extend(best(me, near, NEAR));
     picked.extend(best(me, far, FAR));
-    if holds_gate {
-        picked.extend(best(me, abroad, GATE_LINKS));
+    if is_bridge {
+        picked.extend(best(me, other_regions, BRIDGE_LINKS));
     }
     picked
 }
 
 /// Returns whether `me` is among the few of its failure domain that hold links to other regions.
-fn is_gate(me: &str, place: &Place, near: &[InstanceId]) -> bool {
+fn is_bridge(me: &str, place: &Place, near: &[InstanceId]) -> bool {
     let mut names = near.to_vec();
     names.push(me.into());
     let key = format!("gate/{}", place.failure_domain);
     rendezvous_order(&key, &mut names);
-    names.iter().take(GATES).any(|name| &**name == me)
+    names.iter().take(BRIDGES).any(|name| &**name == me)
 }
 
 fn best(me: &str, mut names: Vec<InstanceId>, count: usize) -> Vec<InstanceId> {
--- a/crates/membership/tests/all/neighbour.rs
+++ b/crates/membership/tests/all/neighbour.rs
@@ -6,8 +6,8 @@
 
 use auburnline_core::id::InstanceId;
 use auburnline_membership::beat;
-use auburnline_membership::neighbour::GATE_LINKS;
-use auburnline_membership::neighbour::GATES;
+use auburnline_membership::neighbour::BRIDGE_LINKS;
+use auburnline_membership::neighbour::BRIDGES;
 use auburnline_membership::neighbour::Place;
 use auburnline_membership::neighbour::pick;
 use googletest::prelude::*;
@@ -40,19 +40,19 @@
     for count in [2, 6, 24, 96, 340] {
         let fleet = fleet(count);
         let mut links: BTreeMap<InstanceId, BTreeSet<InstanceId>> = BTreeMap::new();
-        let mut abroad = 0;
+        let mut other_regions = 0;
         for name in fleet.keys() {
             for other in pick(name, &fleet) {
-                abroad += usize::from(fleet[name].region != fleet[&other].region);
+                other_regions += usize::from(fleet[name].region != fleet[&other].region);
                 links.entry(name.clone()).or_default().insert(other.clone());
                 links.entry(other).or_default().insert(name.clone());
             }
         }
         let most = links.values().map(BTreeSet::len).max().unwrap_or(0);
-        println!("{count} entries: most links {most}, between regions {abroad}");
+        println!("{count} entries: most links {most}, between regions {other_regions}");
         expect_that!(reached(&links), eq(count));
         expect_that!(most, le(24));
-        expect_that!(abroad, le(6 * GATES * GATE_LINKS));
+        expect_that!(other_regions, le(6 * BRIDGES * BRIDGE_LINKS));
     }
 }
 
