--- a/crates/membership/tests/all/support/mod.rs
+++ b/crates/membership/tests/all/support/mod.rs
@@ -29,13 +29,13 @@
 const BEAT: Duration = Duration::from_secs(1);
 
 /// What the simulation drives: a [`View`], or one with a planted fault.
-pub(crate) trait Belief {
+pub(crate) trait Subject {
     fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action>;
     fn may_get_work(&self, instance: &str, now: Monotonic) -> bool;
     fn incarnation(&self, instance: &str) -> Option<Incarnation>;
 }
 
-impl Belief for View {
+impl Subject for View {
     fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action> {
         View::handle(self, event, now)
     }
@@ -49,7 +49,7 @@
     }
 }
 
-pub(crate) type Maker = fn(InstanceId, u64) -> Box<dyn Belief>;
+pub(crate) type Factory = fn(InstanceId, u64) -> Box<dyn Subject>;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum State {
@@ -65,7 +65,7 @@
 }
 
 struct Viewer {
-    belief: Box<dyn Belief>,
+    subject: Box<dyn Subject>,
     frozen_until: Monotonic,
     must_wake: bool,
     noticed: BTreeSet<(InstanceId, Incarnation)>,
@@ -125,7 +125,7 @@
     pub(crate) is_list_gone: bool,
     /// Time from leaving to the last new work, for each incarnation that left.
     pub(crate) last_work: BTreeMap<(InstanceId, Incarnation), Duration>,
-    maker: Maker,
+    factory: Factory,
     truths: BTreeMap<InstanceId, Truth>,
     viewers: BTreeMap<InstanceId, Viewer>,
     links: BTreeMap<(InstanceId, InstanceId), Link>,
@@ -137,7 +137,7 @@
 }
 
 impl Simulation {
-    pub(crate) fn new(seed: u64, entries: usize, slots: usize, maker: Maker) -> Self {
+    pub(crate) fn new(seed: u64, entries: usize, slots: usize, factory: Factory) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let entry = |index: usize| -> InstanceId { format!("e{index}").into() };
         let names: Vec<InstanceId> = (0..entries).map(entry).collect();
@@ -172,7 +172,7 @@
             list_lag: 0,
             is_list_gone: false,
             last_work: BTreeMap::new(),
-            maker,
+            factory,
             viewers: BTreeMap::new(),
             links: BTreeMap::new(),
             lists: Vec::new(),
@@ -213,7 +213,7 @@
         }
         self.links.retain(|(from, _), _| from != name);
         let viewer = Viewer {
-            belief: (self.maker)(name.clone(), self.rng.random()),
+            subject: (self.factory)(name.clone(), self.rng.random()),
             frozen_until: Duration::ZERO,
             must_wake: false,
             noticed: BTreeSet::new(),
@@ -366,7 +366,7 @@
             Event::Fleet { revision, .. } => viewer.revision = viewer.revision.max(*revision),
             _ => {}
         }
-        let actions = viewer.belief.handle(event, self.now);
+        let actions = viewer.subject.handle(event, self.now);
         for action in actions {
             self.act(to, action);
         }
@@ -406,7 +406,7 @@
         };
         let mut found = Vec::new();
         for (name, truth) in &self.truths {
-            if !viewer.belief.may_get_work(name, self.now) {
+            if !viewer.subject.may_get_work(name, self.now) {
                 continue;
             }
             let (State::Leaving(since) | State::Gone(since)) = truth.state else {
@@ -422,7 +422,7 @@
             if self.now > since + BOUND {
                 found.push(format!("work to {name}, {:?} since {since:?}", truth.state));
             }
-            let known = viewer.belief.incarnation(name);
+            let known = viewer.subject.incarnation(name);
             let key = known.map(|known| (name.clone(), known));
             if key.is_some_and(|key| viewer.noticed.contains(&key)) {
                 found.push(format!("work to {name} after its notice"));
@@ -554,7 +554,7 @@
         for (from, viewer) in &self.viewers {
             for (name, truth) in self.truths.iter().filter(|(name, _)| name.starts_with('s')) {
                 let should = truth.state == State::Serving && !last.contains(name);
-                let may = viewer.belief.may_get_work(name, self.now);
+                let may = viewer.subject.may_get_work(name, self.now);
                 if should != may {
                     let state = truth.state;
                     let violation = format!("{from}: {name} is {state:?}, may get work: {may}");
--- a/crates/membership/tests/all/view.rs
+++ b/crates/membership/tests/all/view.rs
@@ -16,10 +16,10 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::support::Belief;
-use crate::support::Maker;
+use crate::support::Factory;
 use crate::support::Simulation;
 use crate::support::State;
+use crate::support::Subject;
 
 /// First seed of the runs, unless the environment gives one.
 const SEED: u64 = 1;
@@ -34,7 +34,7 @@
     value.map_or(default, |text| text.parse().expect("a number"))
 }
 
-fn sound(me: InstanceId, seed: u64) -> Box<dyn Belief> {
+fn sound(me: InstanceId, seed: u64) -> Box<dyn Subject> {
     Box::new(View::new(me, seed))
 }
 
@@ -66,10 +66,10 @@
 }
 
 /// Runs one fleet through faults and back; returns the run.
-fn trial(seed: u64, maker: Maker) -> Simulation {
+fn trial(seed: u64, factory: Factory) -> Simulation {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (entries, slots) = (rng.random_range(2..8), rng.random_range(2..6));
-    let mut run = Simulation::new(seed, entries, slots, maker);
+    let mut run = Simulation::new(seed, entries, slots, factory);
     for _ in 0..40 {
         disturb(&mut run);
         let length = run.rng.random_range(10..4_000);
@@ -165,7 +165,7 @@
     }
 }
 
-impl Belief for Faulty {
+impl Subject for Faulty {
     fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action> {
         let mut event = event;
         let mut actions = Vec::new();
@@ -217,7 +217,7 @@
     }
 }
 
-fn plant(fault: Fault, me: InstanceId, seed: u64) -> Box<dyn Belief> {
+fn plant(fault: Fault, me: InstanceId, seed: u64) -> Box<dyn Subject> {
     Box::new(Faulty {
         inner: View::new(me, seed),
         fault,
@@ -229,7 +229,7 @@
 
 #[gtest]
 fn each_planted_fault_is_caught() {
-    let cases: [(Maker, &str); 5] = [
+    let cases: [(Factory, &str); 5] = [
         (|me, seed| plant(Fault::Deaf, me, seed), "Leaving"),
         (|me, seed| plant(Fault::Patient, me, seed), "Gone"),
         (
@@ -245,8 +245,8 @@
             "may get work: false",
         ),
     ];
-    for (maker, violation) in cases {
-        let mut runs = (SEED..=PLANTED_RUNS).map(|seed| trial(seed, maker).violations);
+    for (factory, violation) in cases {
+        let mut runs = (SEED..=PLANTED_RUNS).map(|seed| trial(seed, factory).violations);
         let is_caught = |found: &Vec<String>| found.iter().any(|text| text.contains(violation));
         expect_true!(runs.any(|found| is_caught(&found)), "{violation}");
     }
