--- a/crates/membership/tests/all/support/mod.rs
+++ b/crates/membership/tests/all/support/mod.rs
@@ -26,7 +26,7 @@
 /// Simulated time after which a leaving or dead instance gets no new work from anybody.
 pub(crate) const BOUND: Duration = Duration::from_secs(3);
 /// Time between two words on an idle session.
-const BEAT: Duration = Duration::from_secs(1);
+const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
 
 /// What the simulation drives: a [`View`], or one with a planted fault.
 pub(crate) trait Subject {
@@ -67,7 +67,7 @@
 struct Viewer {
     subject: Box<dyn Subject>,
     frozen_until: Monotonic,
-    must_wake: bool,
+    has_paused: bool,
     noticed: BTreeSet<(InstanceId, Incarnation)>,
     revision: Revision,
 }
@@ -84,7 +84,7 @@
     Direct(Event),
     OverLink(u64, Event),
     Opened(InstanceId),
-    Beat(u64, InstanceId),
+    Heartbeat(u64, InstanceId),
     ReadList,
     Exit(InstanceId, Incarnation),
 }
@@ -184,8 +184,8 @@
         run.publish_list(false);
         for name in names {
             run.start_viewer(&name);
-            run.later(Duration::ZERO, &name, Item::Tick);
-            run.later(Duration::ZERO, &name, Item::ReadList);
+            run.schedule(Duration::ZERO, &name, Item::Tick);
+            run.schedule(Duration::ZERO, &name, Item::ReadList);
         }
         run
     }
@@ -215,7 +215,7 @@
         let viewer = Viewer {
             subject: (self.factory)(name.clone(), self.rng.random()),
             frozen_until: Duration::ZERO,
-            must_wake: false,
+            has_paused: false,
             noticed: BTreeSet::new(),
             revision: 0,
         };
@@ -238,7 +238,7 @@
         }
     }
 
-    fn later(&mut self, delay: Duration, to: &InstanceId, item: Item) {
+    fn schedule(&mut self, delay: Duration, to: &InstanceId, item: Item) {
         self.order += 1;
         self.queue.push(Reverse(Scheduled {
             at: self.now + delay,
@@ -271,15 +271,18 @@
     }
 
     fn step(&mut self, to: &InstanceId, item: Item) {
-        let must_wake = self.viewers.get_mut(to).map(|viewer| &mut viewer.must_wake);
-        if must_wake.is_some_and(std::mem::take) {
+        let has_paused = self
+            .viewers
+            .get_mut(to)
+            .map(|viewer| &mut viewer.has_paused);
+        if has_paused.is_some_and(std::mem::take) {
             self.handle(to, Event::Paused);
         }
         match item {
             Item::Tick => {
                 self.handle(to, Event::Tick);
                 self.check_work(to);
-                self.later(TICK, to, Item::Tick);
+                self.schedule(TICK, to, Item::Tick);
             }
             Item::Direct(event) => self.handle(to, event),
             Item::OverLink(id, event) => {
@@ -290,17 +293,17 @@
                 }
             }
             Item::Opened(instance) => self.opened(to, &instance),
-            Item::Beat(id, instance) => self.beat(to, id, &instance),
+            Item::Heartbeat(id, instance) => self.heartbeat(to, id, &instance),
             Item::ReadList => self.read_list(to),
             Item::Exit(name, incarnation) => {
                 if self.truths[&name].incarnation == incarnation {
-                    self.die(&name);
+                    self.crash(&name);
                 }
             }
         }
     }
 
-    fn is_parted(&self, a: &str, b: &str) -> bool {
+    fn is_partitioned(&self, a: &str, b: &str) -> bool {
         self.truths[a].side != self.truths[b].side
     }
 
@@ -308,7 +311,7 @@
         let truth = &self.truths[instance];
         let incarnation = truth.incarnation;
         let state = truth.state;
-        if matches!(state, State::Gone(_)) || self.is_parted(to, instance) {
+        if matches!(state, State::Gone(_)) || self.is_partitioned(to, instance) {
             self.handle(to, Event::SessionDown(instance.clone()));
             return;
         }
@@ -324,10 +327,10 @@
         if let State::Leaving(_) = state {
             self.handle(to, Event::Notice(instance.clone(), incarnation));
         }
-        self.later(BEAT, to, Item::Beat(id, instance.clone()));
+        self.schedule(HEARTBEAT_PERIOD, to, Item::Heartbeat(id, instance.clone()));
     }
 
-    fn beat(&mut self, to: &InstanceId, id: u64, instance: &InstanceId) {
+    fn heartbeat(&mut self, to: &InstanceId, id: u64, instance: &InstanceId) {
         let key = (to.clone(), instance.clone());
         let Some(link) = self.links.get(&key).filter(|link| link.id == id) else {
             return;
@@ -335,19 +338,19 @@
         let truth = &self.truths[instance];
         let is_same = truth.incarnation == link.incarnation;
         let is_dead = matches!(truth.state, State::Gone(_)) || !is_same;
-        if !(link.is_silent || is_dead || self.is_parted(to, instance)) {
+        if !(link.is_silent || is_dead || self.is_partitioned(to, instance)) {
             let beat = Beat {
-                next: BEAT,
+                next: HEARTBEAT_PERIOD,
                 is_leaving: matches!(truth.state, State::Leaving(_)),
             };
             self.handle(to, Event::Heard(instance.clone(), beat));
         }
-        self.later(BEAT, to, Item::Beat(id, instance.clone()));
+        self.schedule(HEARTBEAT_PERIOD, to, Item::Heartbeat(id, instance.clone()));
     }
 
     fn read_list(&mut self, to: &InstanceId) {
         let delay = Duration::from_millis(self.rng.random_range(500..3_000));
-        self.later(delay, to, Item::ReadList);
+        self.schedule(delay, to, Item::ReadList);
         if self.is_list_gone {
             return;
         }
@@ -376,7 +379,7 @@
         match action {
             Action::Open(instance) => {
                 let delay = self.latency();
-                self.later(delay, from, Item::Opened(instance));
+                self.schedule(delay, from, Item::Opened(instance));
             }
             Action::Close(instance) => {
                 self.links.remove(&(from.clone(), instance));
@@ -384,10 +387,10 @@
             Action::Send(to, rumours) => {
                 let link = self.links.get(&(from.clone(), to.clone()));
                 let is_lost = link.is_none_or(|link| link.is_silent);
-                if !is_lost && !self.is_parted(from, &to) {
+                if !is_lost && !self.is_partitioned(from, &to) {
                     let delay = self.latency();
                     let event = Event::Rumours(from.clone(), rumours);
-                    self.later(delay, &to, Item::Direct(event));
+                    self.schedule(delay, &to, Item::Direct(event));
                 }
             }
             Action::Stop(..) | Action::Log(_) => {}
@@ -474,19 +477,19 @@
         for viewer in self.viewers.keys().cloned().collect::<Vec<_>>() {
             let link = self.links.get(&(viewer.clone(), name.clone()));
             let id = link.filter(|link| !link.is_silent).map(|link| link.id);
-            if let Some(id) = id.filter(|_| !self.is_parted(&viewer, name)) {
+            if let Some(id) = id.filter(|_| !self.is_partitioned(&viewer, name)) {
                 let delay = self.latency();
                 let event = Event::Notice(name.clone(), incarnation);
-                self.later(delay, &viewer, Item::OverLink(id, event));
+                self.schedule(delay, &viewer, Item::OverLink(id, event));
             }
         }
         let delay = Duration::from_millis(self.rng.random_range(1_000..20_000));
         let first = self.viewers.keys().next().expect("an entry").clone();
-        self.later(delay, &first, Item::Exit(name.clone(), incarnation));
+        self.schedule(delay, &first, Item::Exit(name.clone(), incarnation));
     }
 
     /// Ends an instance without a word; some sessions notice, some go silent.
-    pub(crate) fn die(&mut self, name: &InstanceId) {
+    pub(crate) fn crash(&mut self, name: &InstanceId) {
         let now = self.now;
         let truth = self.truths.get_mut(name).expect("an instance");
         if !matches!(truth.state, State::Gone(_)) {
@@ -497,14 +500,14 @@
             if let Some(id) = link.map(|link| link.id).filter(|_| self.rng.random()) {
                 let delay = self.latency();
                 let event = Event::SessionDown(name.clone());
-                self.later(delay, &viewer, Item::OverLink(id, event));
+                self.schedule(delay, &viewer, Item::OverLink(id, event));
             }
         }
     }
 
     /// Starts another incarnation of an instance in place of the last.
     pub(crate) fn restart(&mut self, name: &InstanceId) {
-        self.die(name);
+        self.crash(name);
         let incarnation = self.rng.random();
         let truth = self.truths.get_mut(name).expect("an instance");
         truth.incarnation = incarnation;
@@ -522,7 +525,7 @@
             for index in [last, self.rng.random_range(0..=last)] {
                 let delay = Duration::from_millis(self.rng.random_range(1..1_000));
                 let event = self.fleet_event(index);
-                self.later(delay, &viewer, Item::Direct(event));
+                self.schedule(delay, &viewer, Item::Direct(event));
             }
         }
     }
@@ -531,18 +534,18 @@
         let until = self.now + length;
         if let Some(viewer) = self.viewers.get_mut(name) {
             viewer.frozen_until = viewer.frozen_until.max(until);
-            viewer.must_wake |= length > PAUSE;
+            viewer.has_paused |= length > PAUSE;
         }
     }
 
     /// Lets some open sessions go silent for good.
-    pub(crate) fn silence(&mut self) {
+    pub(crate) fn silence_links(&mut self) {
         for link in self.links.values_mut() {
             link.is_silent |= self.rng.random_bool(0.3);
         }
     }
 
-    pub(crate) fn part(&mut self, sides: usize) {
+    pub(crate) fn partition(&mut self, sides: usize) {
         for truth in self.truths.values_mut() {
             truth.side = self.rng.random_range(0..sides);
         }
--- a/crates/membership/tests/all/view.rs
+++ b/crates/membership/tests/all/view.rs
@@ -44,11 +44,11 @@
     let name = names[run.rng.random_range(0..names.len())].clone();
     match run.rng.random_range(0..14) {
         0 | 1 => run.leave(&name),
-        2 => run.die(&name),
+        2 => run.crash(&name),
         3 | 4 => run.restart(&name),
-        5 => run.silence(),
-        6 => run.part(2),
-        7 => run.part(1),
+        5 => run.silence_links(),
+        6 => run.partition(2),
+        7 => run.partition(1),
         8 => {
             let length = run.rng.random_range(100..60_000);
             run.freeze(&name, Duration::from_millis(length));
@@ -75,7 +75,7 @@
         let length = run.rng.random_range(10..4_000);
         run.run(run.now + Duration::from_millis(length));
     }
-    run.part(1);
+    run.partition(1);
     run.list_lag = 0;
     run.is_list_gone = false;
     // The longest freeze and the longest drain end.
