--- a/crates/membership/tests/all/view.rs
+++ b/crates/membership/tests/all/view.rs
@@ -34,12 +34,12 @@
     value.map_or(default, |text| text.parse().expect("a number"))
 }
 
-fn sound(me: InstanceId, seed: u64) -> Box<dyn Subject> {
+fn faultless(me: InstanceId, seed: u64) -> Box<dyn Subject> {
     Box::new(View::new(me, seed))
 }
 
 /// Brings about one fault, or ends some.
-fn disturb(run: &mut Simulation) {
+fn inject_fault(run: &mut Simulation) {
     let names = run.instances();
     let name = names[run.rng.random_range(0..names.len())].clone();
     match run.rng.random_range(0..14) {
@@ -71,7 +71,7 @@
     let (entries, slots) = (rng.random_range(2..8), rng.random_range(2..6));
     let mut run = Simulation::new(seed, entries, slots, factory);
     for _ in 0..40 {
-        disturb(&mut run);
+        inject_fault(&mut run);
         let length = run.rng.random_range(10..4_000);
         run.run(run.now + Duration::from_millis(length));
     }
@@ -99,7 +99,7 @@
     let mut last_work = Vec::new();
     let mut seed = first;
     while events < least {
-        let run = trial(seed, sound);
+        let run = trial(seed, faultless);
         events += run.events;
         last_work.extend(run.last_work.into_values());
         assert_that!(run.violations, is_empty(), "seed {seed}");
@@ -123,7 +123,7 @@
 
 #[gtest]
 fn a_heartbeat_makes_up_for_a_lost_notice() {
-    let run = trial(LOST_NOTICE_SEED, sound);
+    let run = trial(LOST_NOTICE_SEED, faultless);
     assert_that!(run.violations, is_empty());
 }
 
@@ -131,15 +131,15 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     /// Hears no leaving notice, nor rumours of one.
-    Deaf,
+    IgnoresNotices,
     /// Trusts a silent session for ever.
-    Patient,
+    TrustsSilence,
     /// Takes an older preset for a newer one.
-    Reverts,
+    AcceptsOlderPreset,
     /// Takes the list's "live" for more than a notice.
-    Unmarks,
-    /// Binds a mark of the list to the incarnation of the moment.
-    Binds,
+    ListOverridesNotice,
+    /// BindsListMark a mark of the list to the incarnation of the moment.
+    BindsListMark,
 }
 
 struct Faulty {
@@ -170,15 +170,15 @@
         let mut event = event;
         let mut actions = Vec::new();
         match &mut event {
-            Event::Notice(..) | Event::Rumours(..) if self.fault == Fault::Deaf => {
+            Event::Notice(..) | Event::Rumours(..) if self.fault == Fault::IgnoresNotices => {
                 return actions;
             }
-            Event::Fleet { revision, .. } if self.fault == Fault::Reverts => {
+            Event::Fleet { revision, .. } if self.fault == Fault::AcceptsOlderPreset => {
                 self.revision += 1;
                 *revision = self.revision;
             }
             Event::List(list) if list.version > self.list.version => {
-                if self.fault == Fault::Binds {
+                if self.fault == Fault::BindsListMark {
                     actions = self.bind(&list.clone(), now);
                 }
                 self.list = list.clone();
@@ -204,10 +204,12 @@
         let standing = self.inner.standing(instance, now);
         let is_listed = self.list.listed(instance) == Listed::Live;
         match self.fault {
-            Fault::Patient => {
+            Fault::TrustsSilence => {
                 standing.leaving.is_none() && (standing.is_up || self.trusted.contains(instance))
             }
-            Fault::Unmarks => standing.is_up && (is_listed || standing.leaving.is_none()),
+            Fault::ListOverridesNotice => {
+                standing.is_up && (is_listed || standing.leaving.is_none())
+            }
             _ => self.inner.may_get_work(instance, now),
         }
     }
@@ -217,7 +219,7 @@
     }
 }
 
-fn plant(fault: Fault, me: InstanceId, seed: u64) -> Box<dyn Subject> {
+fn faulty(fault: Fault, me: InstanceId, seed: u64) -> Box<dyn Subject> {
     Box::new(Faulty {
         inner: View::new(me, seed),
         fault,
@@ -230,18 +232,21 @@
 #[gtest]
 fn each_planted_fault_is_caught() {
     let cases: [(Factory, &str); 5] = [
-        (|me, seed| plant(Fault::Deaf, me, seed), "Leaving"),
-        (|me, seed| plant(Fault::Patient, me, seed), "Gone"),
         (
-            |me, seed| plant(Fault::Reverts, me, seed),
+            |me, seed| faulty(Fault::IgnoresNotices, me, seed),
+            "Leaving",
+        ),
+        (|me, seed| faulty(Fault::TrustsSilence, me, seed), "Gone"),
+        (
+            |me, seed| faulty(Fault::AcceptsOlderPreset, me, seed),
             "which the preset drains",
         ),
         (
-            |me, seed| plant(Fault::Unmarks, me, seed),
+            |me, seed| faulty(Fault::ListOverridesNotice, me, seed),
             "after its notice",
         ),
         (
-            |me, seed| plant(Fault::Binds, me, seed),
+            |me, seed| faulty(Fault::BindsListMark, me, seed),
             "may get work: false",
         ),
     ];
