--- a/crates/membership/examples/cost.rs
+++ b/crates/membership/examples/cost.rs
@@ -1,8 +1,8 @@
-//! Prints the time of membership's operations against the size of the fleet.
+//! Benchmarks membership operations against the size of the fleet.
 //!
 //! `cargo run --release -p auburnline-membership --example cost [-- --csv]`
 //!
-//! A third of the instances are entries. The view has sessions to a tenth of the others.
+//! A third of the instances are entries. The view has sessions to a tenth of the instances.
 
 use std::collections::BTreeSet;
 use std::env;
@@ -19,15 +19,15 @@
 use auburnline_membership::view::Event;
 use auburnline_membership::view::View;
 
-/// Instances of each row.
+/// Numbers of instances, one for each row.
 const SIZES: [u32; 5] = [24, 96, 384, 768, 1_060];
-/// Failure domains.
+/// Number of failure domains.
 const DOMAINS: u32 = 6;
-/// Calls that one figure is the mean of.
+/// Calls per measurement; the result is their mean.
 const ROUNDS: u32 = 5_000;
-/// Calls that the figure of a whole list is the mean of.
+/// Calls per measurement of applying a whole list.
 const LISTS: u32 = 200;
-/// The moment of all calls.
+/// Time that is passed to all calls.
 const NOW: Duration = Duration::from_secs(1);
 
 fn main() {
@@ -75,7 +75,7 @@
     println!("{}", cells.join(""));
 }
 
-/// Mean nanoseconds of `rounds` calls.
+/// Returns the mean duration of `rounds` calls in nanoseconds.
 fn time(rounds: u32, mut call: impl FnMut()) -> f64 {
     let start = Instant::now();
     for _ in 0..rounds {
@@ -120,7 +120,7 @@
     }
 }
 
-/// Mean nanoseconds of taking in a list that is news.
+/// Returns the mean duration of applying a newer list in nanoseconds.
 fn lists(size: u32, view: &mut View) -> f64 {
     let all: Vec<Event> = (2..)
         .take(LISTS as usize)
@@ -134,7 +134,9 @@
     })
 }
 
-/// Mean nanoseconds of an answer to a caller, the entries being a third of the fleet.
+/// Returns the mean duration of a discovery answer in nanoseconds.
+///
+/// A third of the fleet are entries.
 fn discovery(size: u32) -> f64 {
     let candidate = |index: u32| Candidate {
         instance: name(index),
