--- a/crates/membership/src/discovery.rs
+++ b/crates/membership/src/discovery.rs
@@ -1,9 +1,9 @@
-//! Which entries a caller should use.
+//! Selection of the entries that a caller should use.
 //!
-//! A caller gets several addresses, those of its own failure domain first, for a short time. A
-//! leaving entry is never offered. Callers are spread by weighted rendezvous on a number of their
-//! own, so that a caller that asks again gets much the same answer and two callers get different
-//! ones, without any entry knowing what the others answered.
+//! A caller gets several addresses, those of its own failure domain first, with a short lifetime.
+//! A leaving entry is never offered. Callers are distributed by weighted rendezvous hashing of a
+//! seed of their own: a caller that asks again gets much the same answer and two callers get
+//! different ones, without coordination between the entries.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -14,32 +14,33 @@
 use auburnline_core::id::FailureDomainId;
 use auburnline_core::id::InstanceId;
 
-/// Most addresses of one answer.
+/// Maximum number of addresses in one answer.
 pub const MAX_ADDRESSES: usize = 4;
-/// Most addresses of the caller's own failure domain, so that its loss leaves others.
+/// Maximum number of addresses in the caller's failure domain that go first, so that others remain
+/// if it fails; more of them only fill free places.
 pub const MAX_NEAR: usize = 2;
-/// Mean time that an answer holds.
+/// Mean lifetime of an answer.
 pub const LIFETIME: Duration = Duration::from_secs(5);
 
-/// Parts of the jitter of a lifetime.
-const JITTER_PARTS: u64 = 1000;
+/// Number of steps of the lifetime jitter.
+const JITTER_STEPS: u64 = 1000;
 
 /// An entry that could be offered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Name.
+    /// Name of the entry, which its rendezvous score depends on.
     pub instance: InstanceId,
-    /// Address towards callers.
+    /// Address at which callers reach it.
     pub address: SocketAddr,
-    /// Failure domain.
+    /// Failure domain; entries in the caller's own are preferred.
     pub failure_domain: FailureDomainId,
-    /// Share of callers relative to others; zero for none.
+    /// Share of callers relative to other entries; zero excludes it, above [`MAX_DRAWS`] is capped.
     pub weight: u32,
-    /// Whether it is known to be up, by a session or as this very process.
+    /// Whether it is known to be up: a session to it is up, or it is this process.
     pub is_up: bool,
-    /// Whether it is believed to live.
+    /// Whether it is considered alive, which does not need a session.
     pub is_live: bool,
-    /// Whether anyone says that it leaves.
+    /// Whether any source marks it as leaving.
     pub is_leaving: bool,
 }
 
@@ -52,10 +53,10 @@
     pub lifetime: Duration,
 }
 
-/// Order of preference; the smallest is the best.
+/// Sort key of a candidate; the smallest is preferred.
 type Rank = (bool, Reverse<u64>);
 
-/// Returns the entries that a caller in `domain` with number `seed` should use.
+/// Returns the entries that a caller in `domain` should use; `seed` identifies the caller.
 #[must_use]
 pub fn offer(candidates: &[Candidate], domain: Option<&str>, seed: u64) -> Offer {
     let usable = candidates.iter().filter(|candidate| is_usable(candidate));
@@ -79,7 +80,7 @@
     }
 }
 
-/// Adds the best candidate of each failure domain that has none yet.
+/// Adds the best candidate of each failure domain that is not in `entries` yet.
 fn spread(candidates: &[&Candidate], entries: &mut Vec<Candidate>) {
     for candidate in candidates {
         let domain = &candidate.failure_domain;
@@ -94,30 +95,31 @@
     candidate.is_live && !candidate.is_leaving && candidate.weight > 0
 }
 
-/// Entries that are up go first; among them the weighted rendezvous score decides.
+/// Returns the sort key: entries that are up go first, then the higher score.
 fn rank(candidate: &Candidate, seed: u64) -> Rank {
     let score = score(seed, &candidate.instance, candidate.weight);
     (!candidate.is_up, Reverse(score))
 }
 
-/// Returns the best of `weight` draws, which is highest with a chance in proportion to the weight.
+/// Returns the weighted rendezvous score: the highest of `weight` hashes, at most [`MAX_DRAWS`].
 ///
-/// Whole numbers only, so that every processor gives the same order. Bounded by [`MAX_DRAWS`].
+/// The chance that a candidate has the highest score is proportional to its weight. The score uses
+/// integers only, so that the order is the same on every processor.
 fn score(seed: u64, instance: &str, weight: u32) -> u64 {
     let draws =
         (0..weight.min(MAX_DRAWS)).map(|draw| rendezvous(&format!("{seed}/{draw}"), instance));
     draws.max().unwrap_or(0)
 }
 
-/// Most draws for one candidate; weights above count as this.
+/// Maximum number of hashes per candidate; a higher weight counts as this.
 pub const MAX_DRAWS: u32 = 16;
 
-/// Returns the lifetime, a fifth shorter or longer by the caller's number.
+/// Returns the lifetime, up to a fifth shorter or longer than [`LIFETIME`] depending on `seed`.
 fn lifetime(seed: u64) -> Duration {
-    let part = stable(seed, b"lifetime") % JITTER_PARTS;
-    let part = u32::try_from(part).unwrap_or(0);
+    let step = stable(seed, b"lifetime") % JITTER_STEPS;
+    let step = u32::try_from(step).unwrap_or(0);
     let spread = LIFETIME * 2 / 5;
-    LIFETIME * 4 / 5 + spread * part / u32::try_from(JITTER_PARTS).unwrap_or(1)
+    LIFETIME * 4 / 5 + spread * step / u32::try_from(JITTER_STEPS).unwrap_or(1)
 }
 
 /// Asserts that no leaving entry is offered.
