--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,12 @@
 //! Membership, discovery and drain decisions.
 //!
-//! [`view::View`] joins the published list with what this process observes itself and with what
-//! other entries pass on, and says who may get new work. [`discovery`] tells callers which entries
-//! to use, [`life`] is the life cycle of this process from serving to its end, [`neighbour`] picks
-//! the sparse graph on which entries gossip, [`beat`] the pace of heartbeats, and [`pause`] tells
-//! from ticks that this process stood still. Nothing is agreed by vote: a leaving mark belongs to
-//! one incarnation and only grows, so views may be joined in any order.
+//! [`view::View`] merges the published list, this process's own observations and gossip from other
+//! entries, and decides which instances may get new work. [`discovery`] selects the entries that
+//! callers should use, [`life`] is the life cycle of this process from serving to its end,
+//! [`neighbour`] picks the sparse graph on which entries gossip, [`beat`] sets the heartbeat
+//! periods, and [`pause`] detects from gaps between events that this process was paused. There is
+//! no consensus: a leaving notice applies to one incarnation and is never revoked, so views may be
+//! merged in any order.
 
 pub mod beat;
 pub mod discovery;
