--- a/crates/membership/src/life.rs
+++ b/crates/membership/src/life.rs
@@ -1,9 +1,9 @@
 //! Life cycle of a process, from serving to its end.
 //!
-//! Only [`Serving`] admits work, so that a leaving process can't take any by mistake. [`Leaving`]
-//! waits for what is in flight until the deadline, and lingers so that callers which still hold
-//! its address get a typed answer. The end is [`Drained`], or [`Cut`] with the number of requests
-//! that were cut, which is said as it is.
+//! Only [`Serving`] admits requests, so that a leaving process can't admit any by mistake.
+//! [`Leaving`] waits for requests in flight until the deadline, and lingers so that callers which
+//! still use its address get a typed answer. The end is [`Drained`], or [`Cut`], which reports the
+//! number of requests that it cut off.
 
 use std::time::Duration;
 
@@ -13,21 +13,21 @@
 /// Why a process leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// A signal to stop.
+    /// The process received a stop signal.
     Signal,
-    /// The published list says so.
+    /// The published list marks it as leaving.
     List,
-    /// The preset in force says so.
+    /// The preset in force at this revision drains it.
     Preset(Revision),
 }
 
-/// Admits and serves work.
+/// State in which requests are admitted and served.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Serving {
     in_flight: u64,
 }
 
-/// Admits no work and waits for what is in flight.
+/// State in which no request is admitted and those in flight may finish.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Leaving {
     in_flight: u64,
@@ -37,45 +37,45 @@
     deadline: Duration,
 }
 
-/// Ended with nothing in flight.
+/// End state without requests in flight.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Drained {
-    /// Why it left.
+    /// Cause of the stop.
     pub reason: Reason,
-    /// Time that it took.
+    /// Time from the start of the drain to its end.
     pub took: Duration,
 }
 
-/// Ended with requests in flight.
+/// End state with requests in flight.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Cut {
-    /// Why it left.
+    /// Cause of the stop.
     pub reason: Reason,
-    /// Requests that were cut; each is answered as unknown or incomplete.
+    /// Number of requests cut off; each is answered as unknown or incomplete.
     pub requests: u64,
-    /// Whether a second signal or the deadline cut them.
+    /// True if a second signal ended the process, false if the deadline did.
     pub by_signal: bool,
 }
 
-/// State of a process as its owner holds it.
+/// State of a process.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Life {
-    /// Admits and serves work.
+    /// Requests are admitted and served.
     Serving(Serving),
-    /// Admits no work.
+    /// No request is admitted; those in flight may finish.
     Leaving(Leaving),
-    /// Ended with nothing in flight.
+    /// The process ended without requests in flight.
     Drained(Drained),
-    /// Ended with requests in flight.
+    /// The process ended with requests in flight.
     Cut(Cut),
 }
 
-/// Times of a planned stop.
+/// Time limits of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Patience {
-    /// Least time that a leaving process answers callers which still hold its address.
+    /// Minimum time that a leaving process answers callers which still use its address.
     pub linger: Duration,
-    /// Time that work in flight gets to end, of the preset in force.
+    /// Time that requests in flight get to finish; set by the preset in force.
     pub deadline: Duration,
 }
 
@@ -85,19 +85,19 @@
         self.in_flight += 1;
     }
 
-    /// Ends one request.
+    /// Records the end of one request.
     pub fn finish(&mut self) {
         debug_assert!(self.in_flight > 0, "more requests end than were admitted");
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Returns the requests in flight.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> u64 {
         self.in_flight
     }
 
-    /// Stops admitting at once; every session is to be told now.
+    /// Stops admitting at once; the owner must notify every session now.
     #[must_use]
     pub fn leave(self, reason: Reason, patience: Patience, now: Monotonic) -> Leaving {
         Leaving {
@@ -111,13 +111,13 @@
 }
 
 impl Leaving {
-    /// Ends one request.
+    /// Records the end of one request.
     pub fn finish(&mut self) {
         debug_assert!(self.in_flight > 0, "more requests end than were admitted");
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Returns the requests in flight.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> u64 {
         self.in_flight
@@ -129,13 +129,13 @@
         self.reason
     }
 
-    /// Returns the time left for what is in flight.
+    /// Returns the time that requests in flight have until the deadline.
     #[must_use]
     pub fn time_left(&self, now: Monotonic) -> Duration {
         (self.since + self.deadline).saturating_sub(now)
     }
 
-    /// Returns whether nothing is in flight any more.
+    /// Returns whether no request is in flight.
     #[must_use]
     pub fn is_drained(&self) -> bool {
         self.in_flight == 0
@@ -143,8 +143,8 @@
 
     /// Ends the process if it has drained or the deadline has passed.
     ///
-    /// A drain by preset ends no process: it may serve again under a later revision, and nothing
-    /// in flight need be cut until the process itself is told to stop.
+    /// A drain by preset does not end the process: it may serve again under a later revision, and
+    /// no request in flight needs to be cut off until the process itself is told to stop.
     #[must_use]
     pub fn tick(self, now: Monotonic) -> Life {
         if matches!(self.reason, Reason::Preset(_)) {
@@ -165,7 +165,7 @@
         Life::Leaving(self)
     }
 
-    /// Ends the process now, as a second signal asks.
+    /// Ends the process now, on a second signal.
     #[must_use]
     pub fn cut(self, now: Monotonic) -> Life {
         let reason = self.reason;
@@ -180,7 +180,9 @@
         })
     }
 
-    /// Serves again if a newer revision no longer drains a process that only the preset drained.
+    /// Serves again under a newer revision, if only the preset drained the process.
+    ///
+    /// Call it only for a `revision` that no longer drains the process.
     #[must_use]
     pub fn resume(self, revision: Revision) -> Life {
         match self.reason {
@@ -209,7 +211,7 @@
         true
     }
 
-    /// Ends one request.
+    /// Records the end of one request.
     pub fn finish(&mut self) {
         match self {
             Life::Serving(serving) => serving.finish(),
@@ -218,9 +220,10 @@
         }
     }
 
-    /// Takes a signal: the first leaves, the second cuts.
+    /// Handles a stop signal: the first starts the drain, the second ends the process at once.
     ///
-    /// A process that drains by preset leaves for good at its first signal, with a time of its own.
+    /// A process that drains for another reason leaves for good at its first signal, and its linger
+    /// time and deadline start anew.
     #[must_use]
     pub fn signal(self, patience: Patience, now: Monotonic) -> Self {
         match self {
@@ -235,7 +238,7 @@
         }
     }
 
-    /// Leaves for `reason`, unless the process leaves already.
+    /// Starts to leave for `reason`, unless the process is leaving already or has ended.
     #[must_use]
     pub fn leave(self, reason: Reason, patience: Patience, now: Monotonic) -> Self {
         match self {
@@ -244,7 +247,7 @@
         }
     }
 
-    /// Takes the time.
+    /// Ends a leaving process that has drained or whose deadline has passed.
     #[must_use]
     pub fn tick(self, now: Monotonic) -> Self {
         match self {
