--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -1,4 +1,6 @@
-//! The platform's list of live and leaving instances, which lags and may be wrong both ways.
+//! The platform's list of live and leaving instances.
+//!
+//! The list lags and may be wrong both ways: it may list a dead instance and miss a live one.
 
 use std::collections::BTreeSet;
 
@@ -6,32 +8,32 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One state of the published list.
+/// One version of the published list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct List {
-    /// Number of this state; a state that is not above the last one seen is ignored.
+    /// Version of this list; one that is not above the last one seen is ignored.
     pub version: u64,
-    /// Instances that are live and stay.
+    /// Instances that are live and not leaving.
     pub live: BTreeSet<InstanceId>,
     /// Instances that are to leave.
     pub leaving: BTreeSet<InstanceId>,
 }
 
-/// What a list says of one instance.
+/// State of one instance in a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Listed {
-    /// Nothing.
+    /// In neither set.
     #[default]
     Absent,
-    /// Live.
+    /// In [`List::live`] only.
     Live,
-    /// Leaving.
+    /// In [`List::leaving`].
     Leaving,
 }
 
 impl List {
-    /// Returns what the list says of `instance`; leaving wins if it stands in both.
+    /// Returns the state of `instance`; leaving takes precedence if it is in both sets.
     #[must_use]
     pub fn listed(&self, instance: &str) -> Listed {
         if self.leaving.contains(instance) {
