--- a/crates/membership/src/mark.rs
+++ b/crates/membership/src/mark.rs
@@ -1,9 +1,10 @@
-//! Leaving marks and suspicion, as they travel between entries.
+//! Leaving marks and suspicions, as entries exchange them by gossip.
 //!
-//! A notice belongs to one incarnation of an instance and is never taken back. An instance that
-//! comes back has another incarnation, which no mark of the old one touches. The list knows no
-//! incarnations, so its marks belong to its version: only a higher version or a new incarnation
-//! undoes them, and an instance that the list lags behind is not lost for good.
+//! A leaving notice applies to one incarnation of an instance and is never revoked. An instance
+//! that restarts has a new incarnation, to which marks of the old one do not apply. The list does
+//! not contain incarnations, so its marks carry its version: only a higher version or a new
+//! incarnation clears them. An instance that restarted while the list lags is thus not excluded
+//! permanently.
 
 use auburnline_core::id::Incarnation;
 use auburnline_core::id::InstanceId;
@@ -11,58 +12,58 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Who says that an instance leaves.
+/// Source of a leaving mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// The instance itself.
+    /// Leaving notice or heartbeat of the instance itself.
     Notice,
     /// The published list.
     List,
-    /// The preset in force, until a higher revision says otherwise.
+    /// The preset in force at this revision, until a higher revision clears the mark.
     Preset(Revision),
-    /// Another entry.
+    /// Gossip from another entry.
     Rumour,
 }
 
-/// What one entry passes on to another.
+/// Gossip message from one entry to another.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rumour {
-    /// This incarnation leaves.
+    /// This incarnation is leaving.
     Leaving {
-        /// Instance.
+        /// Instance that the message is about.
         instance: InstanceId,
-        /// Its incarnation.
+        /// Incarnation that the message is about; others are not affected.
         incarnation: Incarnation,
     },
-    /// The list said in this version that the instance leaves.
+    /// This version of the list marked the instance as leaving.
     Listed {
-        /// Instance.
+        /// Instance that the message is about.
         instance: InstanceId,
-        /// Version of the list.
+        /// Version of the list; a mark of a version that is not newer is ignored.
         version: u64,
     },
-    /// This incarnation took the place of others.
+    /// This incarnation replaced earlier ones.
     Replaced {
-        /// Instance.
+        /// Instance that the message is about.
         instance: InstanceId,
-        /// Its incarnation now.
+        /// Its current incarnation.
         incarnation: Incarnation,
-        /// Incarnations that are gone.
+        /// Incarnations that it replaced.
         retired: Vec<Incarnation>,
     },
-    /// The sender's session to this incarnation fell silent.
+    /// The sender's session to this incarnation timed out.
     Suspect {
-        /// Instance.
+        /// Instance that the message is about.
         instance: InstanceId,
-        /// Its incarnation.
+        /// Incarnation that the message is about; others are not affected.
         incarnation: Incarnation,
     },
 }
 
 impl Rumour {
-    /// Returns the instance that the rumour is about.
+    /// Returns the instance that the message is about.
     #[must_use]
     pub fn instance(&self) -> &InstanceId {
         match self {
