--- a/crates/membership/src/neighbour.rs
+++ b/crates/membership/src/neighbour.rs
@@ -1,8 +1,9 @@
 //! The sparse graph on which entries gossip.
 //!
-//! Each entry picks a few others by rendezvous, so that two entries with the same published fleet
-//! agree upon the links without a word. In a failure domain a ring joins all; links to other
-//! failure domains join the domains; only a few entries of a domain hold links to other regions.
+//! Each entry picks a few others by rendezvous hashing, so that entries with the same published
+//! fleet agree on the links without exchanging messages. A ring connects the entries of a failure
+//! domain, and links between failure domains connect the rings. Only a few entries of a domain, the
+//! bridges, have links to other regions.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,27 +13,27 @@
 use auburnline_core::id::InstanceId;
 use auburnline_core::id::RegionId;
 
-/// Neighbours that an entry picks in its failure domain, beside the next on the ring.
+/// Neighbours that an entry picks in its failure domain, besides its successor on the ring.
 pub const NEAR: usize = 2;
 /// Neighbours that an entry picks in other failure domains of its region.
 pub const FAR: usize = 2;
-/// Entries of a failure domain that hold links to other regions.
+/// Entries of each failure domain that have links to other regions.
 pub const BRIDGES: usize = 3;
-/// Links to other regions that each of them holds.
+/// Links to other regions that each bridge picks.
 pub const BRIDGE_LINKS: usize = 2;
 
-/// Place of an entry.
+/// Location of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Failure domain.
+    /// Failure domain, whose entries form one ring.
     pub failure_domain: FailureDomainId,
-    /// Region.
+    /// Region of the failure domain; only bridges pick neighbours outside it.
     pub region: RegionId,
 }
 
-/// Returns the neighbours that `me` picks among the published entries.
+/// Returns the neighbours that `me` picks among the published entries; none if it is not one.
 ///
-/// Sessions serve both ways, so an entry also gossips with those that pick it.
+/// Sessions are bidirectional, so an entry also gossips with those that pick it.
 #[must_use]
 pub fn pick(me: &str, entries: &BTreeMap<InstanceId, Place>) -> BTreeSet<InstanceId> {
     let Some(place) = entries.get(me) else {
@@ -61,10 +62,11 @@
     picked
 }
 
-/// Returns whether `me` is among the few of its failure domain that hold links to other regions.
+/// Returns whether `me` is one of the [`BRIDGES`] entries of its failure domain.
 fn is_bridge(me: &str, place: &Place, near: &[InstanceId]) -> bool {
     let mut names = near.to_vec();
     names.push(me.into());
+    // The key is hashed: entries agree on the bridges only if all use the same one.
     let key = format!("gate/{}", place.failure_domain);
     rendezvous_order(&key, &mut names);
     names.iter().take(BRIDGES).any(|name| &**name == me)
