--- a/crates/membership/src/note.rs
+++ b/crates/membership/src/note.rs
@@ -1,4 +1,4 @@
-//! What membership has to say to logs.
+//! Log entries of membership.
 
 use std::fmt::Display;
 use std::fmt::Formatter;
@@ -9,35 +9,35 @@
 
 use crate::mark::Cause;
 
-/// One line for the log.
+/// One log entry; its `Display` is the message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// An instance is marked as leaving.
+    /// An instance was marked as leaving.
     Marked {
-        /// Instance.
+        /// Instance that leaves.
         instance: InstanceId,
-        /// Who says so.
+        /// Source of the mark.
         cause: Cause,
     },
-    /// A new incarnation took the place of an old one.
+    /// A new incarnation replaced an old one.
     Replaced {
-        /// Instance.
+        /// Instance that restarted.
         instance: InstanceId,
-        /// Its new incarnation.
+        /// New incarnation.
         incarnation: Incarnation,
     },
-    /// A session was silent for too long.
+    /// A session timed out.
     Silent {
-        /// Instance.
+        /// Instance at the other end of the session.
         instance: InstanceId,
-        /// Time since its last word.
+        /// Time since its last message.
         silence: Duration,
     },
-    /// A list that is not newer than the last one was ignored.
+    /// A list older than the one in use was ignored; one of equal version is not logged.
     OldList {
-        /// Its version.
+        /// Version of the ignored list.
         version: u64,
-        /// Version that is held.
+        /// Version of the list in use.
         held: u64,
     },
 }
