--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one instance.
+//! What a view knows about one instance.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,23 +14,23 @@
 use crate::mark::Cause;
 use crate::mark::Rumour;
 
-/// Incarnations of one instance that are kept in mind.
+/// Maximum number of incarnations of one instance that a record keeps.
 const MAX_INCARNATIONS: usize = 8;
-/// Entries whose suspicion of one instance is kept in mind.
+/// Maximum number of entries whose suspicion of one instance a record keeps.
 const MAX_REPORTERS: usize = 4;
-/// Time that a suspicion counts.
+/// Time after which a suspicion expires.
 pub(crate) const SUSPICION_TTL: Duration = Duration::from_secs(10);
-/// Entries whose word together outweighs the list.
+/// Number of entries whose suspicions together override the list.
 pub(crate) const SUSPICION_QUORUM: usize = 2;
 
-/// Session of this process to an instance.
+/// Open session of this process to an instance.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Session {
     pub(crate) heard: Monotonic,
     pub(crate) silent_at: Monotonic,
 }
 
-/// One instance.
+/// State of one instance.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Record {
     pub(crate) session: Option<Session>,
@@ -51,7 +51,7 @@
         self.incarnation
     }
 
-    /// Returns who says that the instance leaves, as it is now.
+    /// Returns the source of the leaving mark that applies to the current incarnation.
     pub(crate) fn leaving(&self) -> Option<Cause> {
         if self.preset.is_some() {
             return self.preset;
@@ -61,12 +61,12 @@
         }
         match self.incarnation {
             Some(incarnation) => self.leaving.get(&incarnation).copied(),
-            // Without a word from the instance, the newest thing known is that it left.
+            // The current incarnation is unknown, so any leaving mark is the newest information.
             None => self.leaving.values().next().copied(),
         }
     }
 
-    /// Marks an incarnation as leaving; returns whether this is news.
+    /// Marks an incarnation as leaving; returns whether the mark is new.
     pub(crate) fn mark(&mut self, incarnation: Incarnation, cause: Cause) -> bool {
         if self.retired.contains(&incarnation) || self.leaving.contains_key(&incarnation) {
             return false;
@@ -82,9 +82,9 @@
         true
     }
 
-    /// Takes what a newer list says; returns whether a mark is new.
+    /// Applies the state in a newer list; returns whether it added a mark.
     ///
-    /// Only the step to leaving marks: a list that goes on saying so may lag behind a replacement.
+    /// Only a change to leaving adds one: a list that keeps the state may lag behind a restart.
     pub(crate) fn list(&mut self, listed: Listed, version: u64) -> bool {
         let before = std::mem::replace(&mut self.listed, listed);
         match (before, listed) {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Takes a mark of the list's `version`; returns whether it is new.
+    /// Applies a mark of the list's `version`; returns whether the instance had no list mark.
     pub(crate) fn mark_by_list(&mut self, version: u64) -> bool {
         if self.list_mark.is_some_and(|marked| marked >= version) {
             return false;
@@ -105,14 +105,14 @@
         self.list_mark.replace(version).is_none()
     }
 
-    /// Takes whether the preset in force drains the instance; returns whether a mark is new.
+    /// Sets or clears the mark by the preset in force; returns whether it was added.
     pub(crate) fn preset(&mut self, cause: Option<Cause>) -> bool {
         let is_new = self.preset.is_none() && cause.is_some();
         self.preset = cause;
         is_new
     }
 
-    /// Takes the incarnation that the instance itself gave; returns whether it replaced another.
+    /// Sets the incarnation that the instance itself sent; returns whether it replaced another.
     pub(crate) fn confirm_incarnation(&mut self, incarnation: Incarnation) -> bool {
         let before = self.incarnation.replace(incarnation);
         self.retired.retain(|&retired| retired != incarnation);
@@ -125,31 +125,31 @@
         true
     }
 
-    /// Takes another entry's word that `incarnation` took the place of `retired`.
+    /// Applies gossip that `incarnation` replaced `retired`; returns whether it was new.
     pub(crate) fn replaced(&mut self, incarnation: Incarnation, retired: &[Incarnation]) -> bool {
         if self.retired.contains(&incarnation) {
             return false;
         }
         let is_known = self.incarnation == Some(incarnation);
-        let is_wrong = self.session.is_some() && !is_known;
-        let outdated = self
+        let contradicts_session = self.session.is_some() && !is_known;
+        let is_outdated = self
             .incarnation
             .is_none_or(|current| retired.contains(&current));
-        if is_wrong || !(outdated || is_known) {
+        if contradicts_session || !(is_outdated || is_known) {
             return false;
         }
-        let mut news = !is_known;
+        let mut is_new = !is_known;
         if self.incarnation.replace(incarnation).is_some() && !is_known {
             self.list_mark = None;
         }
         for &old in retired.iter().filter(|&&old| old != incarnation) {
-            news |= self.retire(old);
+            is_new |= self.retire(old);
         }
         self.invariant_not_retired();
-        news
+        is_new
     }
 
-    /// Asserts that an incarnation which was replaced does not come back.
+    /// Asserts that the current incarnation is not one that was replaced.
     fn invariant_not_retired(&self) {
         let is_retired = |incarnation| self.retired.contains(&incarnation);
         assert!(
@@ -170,7 +170,7 @@
         true
     }
 
-    /// Takes a word from the instance over its session.
+    /// Records a message over the session, which announced the next one in `next`.
     pub(crate) fn heard(&mut self, next: Duration, now: Monotonic) {
         self.suspicions.clear();
         self.attempts = 0;
@@ -180,7 +180,7 @@
         });
     }
 
-    /// Takes another entry's suspicion; returns whether it is news.
+    /// Adds or renews another entry's suspicion; returns whether it was added.
     pub(crate) fn suspect(
         &mut self,
         reporter: InstanceId,
@@ -200,7 +200,7 @@
             .is_none()
     }
 
-    /// Returns whether enough entries suspect the instance.
+    /// Returns whether a quorum of entries suspects the instance.
     pub(crate) fn is_suspect(&self, now: Monotonic) -> bool {
         let mut fresh = BTreeSet::new();
         for (reporter, &until) in &self.suspicions {
@@ -211,7 +211,7 @@
         fresh.len() >= SUSPICION_QUORUM
     }
 
-    /// Returns what another entry should know of this instance.
+    /// Returns the marks and replacements of this instance, to send to another entry.
     pub(crate) fn rumours(&self, instance: &InstanceId) -> Vec<Rumour> {
         let leaving = self.leaving.keys().map(|&incarnation| Rumour::Leaving {
             instance: instance.clone(),
