--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,8 +1,10 @@
 //! This process's view of all instances.
 //!
-//! An up session outranks the list for "up". A leaving notice, once given, holds for its
-//! incarnation; a mark by the list until a higher version says live; a mark by the preset until a
-//! higher revision in force drops it. An older view undoes none of them. What is news goes on to the gossip neighbours at once; a neighbour whose session comes up gets all.
+//! For liveness, a session that is up overrides the list. A leaving notice applies to its
+//! incarnation for good. A mark by the list applies until a higher version lists the instance as
+//! live or the instance restarts, a mark by the preset until a higher revision in force clears it.
+//! Older information clears none of them. New information is forwarded to the gossip neighbours at
+//! once; a neighbour whose session comes up is sent all marks and replacements.
 
 mod event;
 mod gossip;
@@ -32,22 +34,23 @@
 pub use crate::view::event::Event;
 pub use crate::view::gossip::MAX_RUMOURS;
 
-/// Most instances that are kept in mind.
+/// Maximum number of instances in a view; further ones are ignored.
 pub const MAX_INSTANCES: usize = 4096;
-/// What holds for one instance.
+
+/// Membership state of one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Standing {
-    /// Whether a session is up that is not silent.
+    /// Whether a session to it is up and has not timed out.
     pub is_up: bool,
-    /// Whether the instance is believed to live.
+    /// Whether the instance is considered alive: up, or listed and not suspected by a quorum.
     pub is_live: bool,
-    /// Who says that it leaves.
+    /// Source of its leaving mark, if it has one.
     pub leaving: Option<Cause>,
-    /// Age of the last word over the session.
+    /// Time since the last message over the session; absent without one.
     pub age: Option<Duration>,
 }
 
-/// The view.
+/// Membership of the fleet as this process sees it.
 #[derive(Debug)]
 pub struct View {
     me: InstanceId,
@@ -60,7 +63,7 @@
 }
 
 impl View {
-    /// Returns a view that knows nothing.
+    /// Returns an empty view of the instance `me`; `seed` seeds the jitter of reconnects.
     #[must_use]
     pub fn new(me: InstanceId, seed: u64) -> Self {
         Self {
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Returns what holds for an instance.
+    /// Returns the state of an instance; an unknown one is neither up nor alive.
     #[must_use]
     pub fn standing(&self, instance: &str, now: Monotonic) -> Standing {
         let Some(record) = self.records.get(instance) else {
@@ -87,7 +90,8 @@
         };
         let session = record.session;
         let is_up = session.is_some_and(|session| session.silent_at > now);
-        // Without any list, the published configuration is all there is to believe.
+        // Until the first list arrives, the published configuration is the only source, so every
+        // instance counts as listed.
         let is_listed = self.version.is_none() || record.listed != Listed::Absent;
         Standing {
             is_up,
@@ -97,26 +101,26 @@
         }
     }
 
-    /// Returns whether an instance may get new work: a session is up and nobody says it leaves.
+    /// Returns whether an instance may get new work: a session is up and no mark says it leaves.
     #[must_use]
     pub fn may_get_work(&self, instance: &str, now: Monotonic) -> bool {
         let standing = self.standing(instance, now);
         standing.is_up && standing.leaving.is_none()
     }
 
-    /// Returns the instances believed to live, leaving ones among them, in the order of names.
+    /// Returns the instances considered alive, including leaving ones, ordered by name.
     pub fn live(&self, now: Monotonic) -> impl Iterator<Item = &InstanceId> {
         let names = self.records.keys();
         names.filter(move |name| self.standing(name, now).is_live)
     }
 
-    /// Returns the incarnation of an instance that is known last.
+    /// Returns the last known incarnation of an instance.
     #[must_use]
     pub fn incarnation(&self, instance: &str) -> Option<Incarnation> {
         self.records.get(instance)?.incarnation()
     }
 
-    /// Decides what to do about `event`.
+    /// Applies `event` and returns the resulting actions.
     pub fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -143,7 +147,7 @@
         actions
     }
 
-    /// Returns the record of an instance, if there is room for it.
+    /// Returns the record of an instance, created if it is new; `None` if the view is full.
     fn record(&mut self, instance: &InstanceId) -> Option<&mut Record> {
         let is_full = self.records.len() >= MAX_INSTANCES;
         if is_full && !self.records.contains_key(instance) {
@@ -153,7 +157,7 @@
     }
 
     fn tick(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for (name, record) in &mut self.records {
             if let Some(session) = record.session.take_if(|session| session.silent_at <= now) {
                 let silence = now.saturating_sub(session.heard);
@@ -161,13 +165,13 @@
                 actions.push(Action::Close(name.clone()));
                 actions.push(Action::Log(Note::Silent { instance, silence }));
                 record.reopen_at = now;
-                news.extend(record.incarnation().map(|incarnation| Rumour::Suspect {
+                updates.extend(record.incarnation().map(|incarnation| Rumour::Suspect {
                     instance: name.clone(),
                     incarnation,
                 }));
             }
         }
-        self.forward(None, &news, actions);
+        self.forward(None, &updates, actions);
         for name in &self.wanted {
             let Some(record) = self.records.get_mut(name) else {
                 continue;
@@ -199,13 +203,13 @@
                 marked.push(name.clone());
             }
         }
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for instance in marked {
             Self::stop_work(&instance, Cause::List, actions);
             let version = list.version;
-            news.push(Rumour::Listed { instance, version });
+            updates.push(Rumour::Listed { instance, version });
         }
-        self.forward(None, &news, actions);
+        self.forward(None, &updates, actions);
     }
 
     fn fleet(
@@ -267,7 +271,7 @@
         let is_replaced = record.confirm_incarnation(incarnation);
         record.heard(beat::IDLE_PERIOD, now);
         let leaving = record.leaving();
-        let news = record.rumours(instance);
+        let updates = record.rumours(instance);
         if is_replaced {
             let instance = instance.clone();
             actions.push(Action::Log(Note::Replaced {
@@ -279,7 +283,7 @@
             Self::stop_work(instance, cause, actions);
         }
         if is_replaced || (was_leaving && leaving.is_some()) {
-            self.forward(Some(instance), &news, actions);
+            self.forward(Some(instance), &updates, actions);
         }
         if is_neighbour {
             self.send_all(instance, actions);
@@ -304,15 +308,15 @@
     }
 
     fn session_down(&mut self, instance: &InstanceId, now: Monotonic) {
-        let part = self.rng.random();
+        let jitter = self.rng.random();
         if let Some(record) = self.records.get_mut(instance) {
             record.session = None;
-            let again = now + beat::reopen_delay(record.attempts, part);
-            record.reopen_at = again;
+            let reopen_at = now + beat::reopen_delay(record.attempts, jitter);
+            record.reopen_at = reopen_at;
         }
     }
 
-    /// Marks an incarnation as leaving; returns whether that is news.
+    /// Marks an incarnation as leaving; returns whether the mark is new.
     fn mark(
         &mut self,
         instance: &InstanceId,
@@ -342,11 +346,11 @@
         actions: &mut Vec<Action>,
     ) {
         if self.mark(&instance, incarnation, Cause::Notice, actions) {
-            let news = Rumour::Leaving {
+            let update = Rumour::Leaving {
                 instance,
                 incarnation,
             };
-            self.forward(None, &[news], actions);
+            self.forward(None, &[update], actions);
         }
     }
 
@@ -359,7 +363,7 @@
         actions.push(Action::Stop(instance.clone(), cause));
     }
 
-    /// Closes all sessions: what they brought before the pause may be long untrue.
+    /// Closes all sessions: what they reported before the pause may be long out of date.
     fn paused(&mut self, actions: &mut Vec<Action>) {
         for (name, record) in &mut self.records {
             if record.session.take().is_some() {
