--- a/crates/membership/src/view/event.rs
+++ b/crates/membership/src/view/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a view, and what it wants done.
+//! Events that a view handles and actions that it requests.
 
 use std::collections::BTreeSet;
 
@@ -12,51 +12,51 @@
 use crate::mark::Rumour;
 use crate::note::Note;
 
-/// What happened.
+/// Input to a view.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time passed; due every [`crate::pause::TICK`].
     Tick,
-    /// The platform gave a list. When it gives none, nothing is known to have changed.
+    /// The platform returned a list. Without this event the last list stays in use.
     List(List),
-    /// This configuration came into force: its instances and those that drain.
+    /// A configuration came into force.
     Fleet {
-        /// Its revision.
+        /// Revision of the configuration; one below the revision in force is ignored.
         revision: Revision,
-        /// All published instances.
+        /// All instances of the configuration.
         instances: BTreeSet<InstanceId>,
-        /// Instances that drain under the preset in force.
+        /// Instances that the preset in force drains.
         drains: BTreeSet<InstanceId>,
     },
-    /// Sessions that this process is to keep, for work and for gossip.
+    /// Instances to which this process keeps sessions, for work and for gossip.
     Wanted(BTreeSet<InstanceId>),
-    /// Neighbours to gossip with.
+    /// Entries to gossip with, as [`crate::neighbour::pick`] chooses them.
     Neighbours(BTreeSet<InstanceId>),
-    /// A session came up, and the instance said who it is.
+    /// A session came up, and the instance sent its incarnation.
     SessionUp(InstanceId, Incarnation),
     /// A session was lost or could not be opened.
     SessionDown(InstanceId),
-    /// A heartbeat over a session.
+    /// A heartbeat arrived over a session.
     Heard(InstanceId, Beat),
-    /// An instance says over its session that it leaves.
+    /// An instance announced over its session that it leaves.
     Notice(InstanceId, Incarnation),
-    /// Another entry passes rumours on.
+    /// Another entry sent rumours.
     Rumours(InstanceId, Vec<Rumour>),
-    /// This process paused; what it believed of sessions is worth nothing.
+    /// This process paused, so its knowledge of sessions is out of date.
     Paused,
 }
 
-/// What is to be done.
+/// Output of a view, which its owner carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Open a session.
     Open(InstanceId),
-    /// Close a session; whatever waits on it is lost and may resume elsewhere.
+    /// Close a session; requests that wait on it fail and may resume elsewhere.
     Close(InstanceId),
-    /// Send no new work to an instance any more.
+    /// Stop sending new work to an instance.
     Stop(InstanceId, Cause),
-    /// Pass rumours on.
+    /// Send rumours to a neighbour.
     Send(InstanceId, Vec<Rumour>),
-    /// Write to the log.
+    /// Write a log entry.
     Log(Note),
 }
