--- a/crates/membership/src/view/gossip.rs
+++ b/crates/membership/src/view/gossip.rs
@@ -1,4 +1,4 @@
-//! What a view takes from other entries and passes on to them.
+//! Gossip that a view receives from other entries and forwards to them.
 
 use auburnline_core::id::InstanceId;
 use auburnline_core::time::Monotonic;
@@ -8,7 +8,7 @@
 use crate::view::Action;
 use crate::view::View;
 
-/// Most rumours that one message carries.
+/// Maximum number of rumours in one message; a receiver ignores those beyond it.
 pub const MAX_RUMOURS: usize = 256;
 
 impl View {
@@ -19,21 +19,21 @@
         now: Monotonic,
         actions: &mut Vec<Action>,
     ) {
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for rumour in rumours.into_iter().take(MAX_RUMOURS) {
             if *rumour.instance() == self.me {
                 continue;
             }
             if self.apply_rumour(from, &rumour, now, actions) {
-                news.push(rumour);
+                updates.push(rumour);
             }
         }
-        // A suspicion is worth only what its first reporter saw, so it travels one link.
-        news.retain(|rumour| !matches!(rumour, Rumour::Suspect { .. }));
-        self.forward(Some(from), &news, actions);
+        // A suspicion is evidence only from the entry that observed it, so it is not forwarded.
+        updates.retain(|rumour| !matches!(rumour, Rumour::Suspect { .. }));
+        self.forward(Some(from), &updates, actions);
     }
 
-    /// Takes one rumour; returns whether it is news.
+    /// Applies one rumour; returns whether it changed this view.
     pub(super) fn apply_rumour(
         &mut self,
         from: &InstanceId,
@@ -66,17 +66,17 @@
     pub(super) fn forward(
         &self,
         from: Option<&InstanceId>,
-        news: &[Rumour],
+        updates: &[Rumour],
         actions: &mut Vec<Action>,
     ) {
-        if news.is_empty() {
+        if updates.is_empty() {
             return;
         }
         for neighbour in &self.neighbours {
             let record = self.records.get(neighbour);
             let is_up = record.is_some_and(|record| record.session.is_some());
             if is_up && Some(neighbour) != from {
-                actions.push(Action::Send(neighbour.clone(), news.to_vec()));
+                actions.push(Action::Send(neighbour.clone(), updates.to_vec()));
             }
         }
     }
@@ -86,8 +86,8 @@
         let rumours: Vec<Rumour> = all
             .flat_map(|(name, record)| record.rumours(name))
             .collect();
-        for part in rumours.chunks(MAX_RUMOURS) {
-            actions.push(Action::Send(neighbour.clone(), part.to_vec()));
+        for chunk in rumours.chunks(MAX_RUMOURS) {
+            actions.push(Action::Send(neighbour.clone(), chunk.to_vec()));
         }
     }
 
@@ -99,10 +99,10 @@
     ) -> bool {
         let is_older = self.version.is_some_and(|held| held >= version);
         let record = self.record(instance).filter(|_| !is_older);
-        let is_news = record.is_some_and(|record| record.mark_by_list(version));
-        if is_news {
+        let is_new = record.is_some_and(|record| record.mark_by_list(version));
+        if is_new {
             Self::stop_work(instance, Cause::List, actions);
         }
-        is_news
+        is_new
     }
 }
