--- a/crates/membership/tests/all/discovery.rs
+++ b/crates/membership/tests/all/discovery.rs
@@ -1,4 +1,4 @@
-//! Offers of entries to callers.
+//! Tests of the entries that discovery offers to callers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
