--- a/crates/membership/tests/all/life.rs
+++ b/crates/membership/tests/all/life.rs
@@ -1,4 +1,4 @@
-//! Life cycle of a process.
+//! Tests of the life cycle of a process and of pause detection.
 
 use std::time::Duration;
 
