--- a/crates/membership/tests/all/main.rs
+++ b/crates/membership/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of membership, discovery and drain.
+//! Tests of membership, discovery and drain decisions.
 
 mod discovery;
 mod life;
