--- a/crates/membership/tests/all/neighbour.rs
+++ b/crates/membership/tests/all/neighbour.rs
@@ -1,4 +1,4 @@
-//! The graph on which entries gossip.
+//! Tests of the gossip graph and of heartbeat periods.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,10 +26,10 @@
 
 fn reached(links: &BTreeMap<InstanceId, BTreeSet<InstanceId>>) -> usize {
     let mut seen = BTreeSet::new();
-    let mut todo: Vec<&InstanceId> = links.keys().take(1).collect();
-    while let Some(next) = todo.pop() {
+    let mut pending: Vec<&InstanceId> = links.keys().take(1).collect();
+    while let Some(next) = pending.pop() {
         if seen.insert(next) {
-            todo.extend(&links[next]);
+            pending.extend(&links[next]);
         }
     }
     seen.len()
