--- a/crates/membership/tests/all/support/mod.rs
+++ b/crates/membership/tests/all/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small exchange between entries' views and instances that leave, die and come back.
+//! Simulation of entries' views and of instances that leave, crash and restart.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -23,12 +23,12 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Simulated time after which a leaving or dead instance gets no new work from anybody.
+/// Simulated time after which no entry sends new work to a leaving or dead instance.
 pub(crate) const BOUND: Duration = Duration::from_secs(3);
-/// Time between two words on an idle session.
+/// Heartbeat period of each session.
 const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
 
-/// What the simulation drives: a [`View`], or one with a planted fault.
+/// View under test: a [`View`], or one with a planted fault.
 pub(crate) trait Subject {
     fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action>;
     fn may_get_work(&self, instance: &str, now: Monotonic) -> bool;
@@ -198,7 +198,7 @@
         self.truths[name].state
     }
 
-    /// Starts an entry's view anew; it keeps nothing.
+    /// Starts an entry's view without any earlier state.
     fn start_viewer(&mut self, name: &InstanceId) {
         let picked = self.places.keys().map(|other| {
             let picks = pick(other, &self.places);
@@ -397,7 +397,7 @@
         }
     }
 
-    /// Lets an entry send work to whatever it may, and checks who gets it.
+    /// Checks each instance to which an entry may send work now.
     fn check_work(&mut self, from: &InstanceId) {
         let viewer = &self.viewers[from];
         let drains = match viewer.revision {
@@ -436,7 +436,7 @@
         self.violations.extend(found);
     }
 
-    /// Publishes the list as it should be, or with random errors both ways.
+    /// Publishes a correct list, or one with random errors both ways.
     pub(crate) fn publish_list(&mut self, is_wrong: bool) {
         let version = self.lists.len() as u64 + 1;
         let mut list = List {
@@ -463,7 +463,7 @@
         self.lists.push(list);
     }
 
-    /// Tells an instance to leave; it says so to every session and exits later.
+    /// Makes an instance leave: it sends a notice over every session and exits later.
     pub(crate) fn leave(&mut self, name: &InstanceId) {
         let now = self.now;
         let truth = self.truths.get_mut(name).expect("an instance");
@@ -488,7 +488,7 @@
         self.schedule(delay, &first, Item::Exit(name.clone(), incarnation));
     }
 
-    /// Ends an instance without a word; some sessions notice, some go silent.
+    /// Ends an instance without a notice; some of its sessions close, the others go silent.
     pub(crate) fn crash(&mut self, name: &InstanceId) {
         let now = self.now;
         let truth = self.truths.get_mut(name).expect("an instance");
@@ -505,7 +505,7 @@
         }
     }
 
-    /// Starts another incarnation of an instance in place of the last.
+    /// Replaces an instance by a new incarnation.
     pub(crate) fn restart(&mut self, name: &InstanceId) {
         self.crash(name);
         let incarnation = self.rng.random();
@@ -517,7 +517,7 @@
         }
     }
 
-    /// Publishes the next preset, and hands it and an older one to all entries in some order.
+    /// Publishes the next preset, and sends it and a random one to all entries in random order.
     pub(crate) fn publish_preset(&mut self, drains: BTreeSet<InstanceId>) {
         self.presets.push(drains);
         let last = self.presets.len() - 1;
@@ -538,7 +538,7 @@
         }
     }
 
-    /// Lets some open sessions go silent for good.
+    /// Makes some open sessions permanently silent.
     pub(crate) fn silence_links(&mut self) {
         for link in self.links.values_mut() {
             link.is_silent |= self.rng.random_bool(0.3);
@@ -551,7 +551,7 @@
         }
     }
 
-    /// Adds a violation for each serving instance that some entry keeps from work.
+    /// Adds a violation for each slot that an entry wrongly gives or refuses work.
     pub(crate) fn check_service(&mut self) {
         let last = self.presets.last().expect("a preset");
         for (from, viewer) in &self.viewers {
@@ -568,7 +568,7 @@
     }
 }
 
-/// Returns the instance that an event came from over its link.
+/// Returns the instance that sent an event over its link.
 fn source(event: &Event) -> InstanceId {
     match event {
         Event::Notice(instance, _) | Event::SessionDown(instance) => instance.clone(),
