--- a/crates/membership/tests/all/view.rs
+++ b/crates/membership/tests/all/view.rs
@@ -1,4 +1,4 @@
-//! Randomised runs of views, with all faults mixed.
+//! Randomised simulations of views under mixed faults.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -21,12 +21,12 @@
 use crate::support::State;
 use crate::support::Subject;
 
-/// First seed of the runs, unless the environment gives one.
+/// First seed of the runs; `AUBURNLINE_SEED` overrides it.
 const SEED: u64 = 1;
-/// Least events of the runs, unless the environment gives a number.
+/// Minimum number of events over all runs; `AUBURNLINE_EVENTS` overrides it.
 const EVENTS: u64 = 300_000;
 
-/// Last seed of the runs with a planted fault, of which one must catch it.
+/// Last seed of the runs with a planted fault; at least one of the runs must detect it.
 const PLANTED_RUNS: u64 = 20;
 
 fn setting(name: &str, default: u64) -> u64 {
@@ -38,7 +38,7 @@
     Box::new(View::new(me, seed))
 }
 
-/// Brings about one fault, or ends some.
+/// Injects one random fault, or heals some.
 fn inject_fault(run: &mut Simulation) {
     let names = run.instances();
     let name = names[run.rng.random_range(0..names.len())].clone();
@@ -65,7 +65,7 @@
     }
 }
 
-/// Runs one fleet through faults and back; returns the run.
+/// Simulates one fleet under faults and its recovery, and returns the simulation.
 fn trial(seed: u64, factory: Factory) -> Simulation {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (entries, slots) = (rng.random_range(2..8), rng.random_range(2..6));
@@ -78,7 +78,7 @@
     run.partition(1);
     run.list_lag = 0;
     run.is_list_gone = false;
-    // The longest freeze and the longest drain end.
+    // Longer than the longest freeze and the longest drain.
     run.run(run.now + Duration::from_mins(1));
     for name in run.instances() {
         if matches!(run.state(&name), State::Gone(_)) {
@@ -106,19 +106,19 @@
         seed += 1;
     }
     last_work.sort_unstable();
-    let part = |share: usize| last_work[(last_work.len() - 1) * share / 1000];
+    let percentile = |permille: usize| last_work[(last_work.len() - 1) * permille / 1000];
     println!("seeds {first}..{seed}, {events} events, 0 violations");
     let left = last_work.len();
     println!(
         "{left} left; last new work after: p50 {:?}, p90 {:?}, p99 {:?}, worst {:?}",
-        part(500),
-        part(900),
-        part(990),
-        part(1000)
+        percentile(500),
+        percentile(900),
+        percentile(990),
+        percentile(1000)
     );
 }
 
-/// A short partition swallowed the notice of an instance, and its heartbeats went on.
+/// A short partition drops the leaving notice of an instance, whose heartbeats continue.
 const LOST_NOTICE_SEED: u64 = 5236;
 
 #[gtest]
@@ -127,18 +127,18 @@
     assert_that!(run.violations, is_empty());
 }
 
-/// What a planted fault does wrong.
+/// Planted fault of a view.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
-    /// Hears no leaving notice, nor rumours of one.
+    /// Ignores leaving notices and all rumours.
     IgnoresNotices,
-    /// Trusts a silent session for ever.
+    /// Keeps sending work to an instance whose session it closed.
     TrustsSilence,
-    /// Takes an older preset for a newer one.
+    /// Applies an older preset as if it were newer.
     AcceptsOlderPreset,
-    /// Takes the list's "live" for more than a notice.
+    /// Lets the state live in the list override a leaving notice.
     ListOverridesNotice,
-    /// BindsListMark a mark of the list to the incarnation of the moment.
+    /// Applies a mark by the list to the current incarnation, as a leaving notice.
     BindsListMark,
 }
 
