--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -73,9 +73,9 @@
         }
         if self.leaving.len() == MAX_INCARNATIONS {
             let current = self.incarnation;
-            let oldest = self.leaving.keys().find(|&&known| Some(known) != current);
-            if let Some(oldest) = oldest.copied() {
-                self.leaving.remove(&oldest);
+            let evicted = self.leaving.keys().find(|&&known| Some(known) != current);
+            if let Some(evicted) = evicted.copied() {
+                self.leaving.remove(&evicted);
             }
         }
         self.leaving.insert(incarnation, cause);
