--- a/crates/membership/tests/all/support/mod.rs
+++ b/crates/membership/tests/all/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small exchange between entries' views and instances that leave, die and come back.
+//! Simulation of entries' views and of instances that leave, crash and restart.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -23,19 +23,19 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Simulated time after which a leaving or dead instance gets no new work from anybody.
+/// Simulated time after which no entry sends new work to a leaving or dead instance.
 pub(crate) const BOUND: Duration = Duration::from_secs(3);
-/// Time between two words on an idle session.
-const BEAT: Duration = Duration::from_secs(1);
+/// Heartbeat period of each session.
+const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
 
-/// What the simulation drives: a [`View`], or one with a planted fault.
-pub(crate) trait Belief {
+/// View under test: a [`View`], or one with a planted fault.
+pub(crate) trait Subject {
     fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action>;
     fn may_get_work(&self, instance: &str, now: Monotonic) -> bool;
     fn incarnation(&self, instance: &str) -> Option<Incarnation>;
 }
 
-impl Belief for View {
+impl Subject for View {
     fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action> {
         View::handle(self, event, now)
     }
@@ -49,7 +49,7 @@
     }
 }
 
-pub(crate) type Maker = fn(InstanceId, u64) -> Box<dyn Belief>;
+pub(crate) type Factory = fn(InstanceId, u64) -> Box<dyn Subject>;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum State {
@@ -65,9 +65,9 @@
 }
 
 struct Viewer {
-    belief: Box<dyn Belief>,
+    subject: Box<dyn Subject>,
     frozen_until: Monotonic,
-    must_wake: bool,
+    has_paused: bool,
     noticed: BTreeSet<(InstanceId, Incarnation)>,
     revision: Revision,
 }
@@ -84,7 +84,7 @@
     Direct(Event),
     OverLink(u64, Event),
     Opened(InstanceId),
-    Beat(u64, InstanceId),
+    Heartbeat(u64, InstanceId),
     ReadList,
     Exit(InstanceId, Incarnation),
 }
@@ -125,7 +125,7 @@
     pub(crate) is_list_gone: bool,
     /// Time from leaving to the last new work, for each incarnation that left.
     pub(crate) last_work: BTreeMap<(InstanceId, Incarnation), Duration>,
-    maker: Maker,
+    factory: Factory,
     truths: BTreeMap<InstanceId, Truth>,
     viewers: BTreeMap<InstanceId, Viewer>,
     links: BTreeMap<(InstanceId, InstanceId), Link>,
@@ -137,7 +137,7 @@
 }
 
 impl Simulation {
-    pub(crate) fn new(seed: u64, entries: usize, slots: usize, maker: Maker) -> Self {
+    pub(crate) fn new(seed: u64, entries: usize, slots: usize, factory: Factory) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let entry = |index: usize| -> InstanceId { format!("e{index}").into() };
         let names: Vec<InstanceId> = (0..entries).map(entry).collect();
@@ -172,7 +172,7 @@
             list_lag: 0,
             is_list_gone: false,
             last_work: BTreeMap::new(),
-            maker,
+            factory,
             viewers: BTreeMap::new(),
             links: BTreeMap::new(),
             lists: Vec::new(),
@@ -184,8 +184,8 @@
         run.publish_list(false);
         for name in names {
             run.start_viewer(&name);
-            run.later(Duration::ZERO, &name, Item::Tick);
-            run.later(Duration::ZERO, &name, Item::ReadList);
+            run.schedule(Duration::ZERO, &name, Item::Tick);
+            run.schedule(Duration::ZERO, &name, Item::ReadList);
         }
         run
     }
@@ -198,7 +198,7 @@
         self.truths[name].state
     }
 
-    /// Starts an entry's view anew; it keeps nothing.
+    /// Starts an entry's view without any earlier state.
     fn start_viewer(&mut self, name: &InstanceId) {
         let picked = self.places.keys().map(|other| {
             let picks = pick(other, &self.places);
@@ -213,9 +213,9 @@
         }
         self.links.retain(|(from, _), _| from != name);
         let viewer = Viewer {
-            belief: (self.maker)(name.clone(), self.rng.random()),
+            subject: (self.factory)(name.clone(), self.rng.random()),
             frozen_until: Duration::ZERO,
-            must_wake: false,
+            has_paused: false,
             noticed: BTreeSet::new(),
             revision: 0,
         };
@@ -238,7 +238,7 @@
         }
     }
 
-    fn later(&mut self, delay: Duration, to: &InstanceId, item: Item) {
+    fn schedule(&mut self, delay: Duration, to: &InstanceId, item: Item) {
         self.order += 1;
         self.queue.push(Reverse(Scheduled {
             at: self.now + delay,
@@ -271,15 +271,18 @@
     }
 
     fn step(&mut self, to: &InstanceId, item: Item) {
-        let must_wake = self.viewers.get_mut(to).map(|viewer| &mut viewer.must_wake);
-        if must_wake.is_some_and(std::mem::take) {
+        let has_paused = self
+            .viewers
+            .get_mut(to)
+            .map(|viewer| &mut viewer.has_paused);
+        if has_paused.is_some_and(std::mem::take) {
             self.handle(to, Event::Paused);
         }
         match item {
             Item::Tick => {
                 self.handle(to, Event::Tick);
                 self.check_work(to);
-                self.later(TICK, to, Item::Tick);
+                self.schedule(TICK, to, Item::Tick);
             }
             Item::Direct(event) => self.handle(to, event),
             Item::OverLink(id, event) => {
@@ -290,17 +293,17 @@
                 }
             }
             Item::Opened(instance) => self.opened(to, &instance),
-            Item::Beat(id, instance) => self.beat(to, id, &instance),
+            Item::Heartbeat(id, instance) => self.heartbeat(to, id, &instance),
             Item::ReadList => self.read_list(to),
             Item::Exit(name, incarnation) => {
                 if self.truths[&name].incarnation == incarnation {
-                    self.die(&name);
+                    self.crash(&name);
                 }
             }
         }
     }
 
-    fn is_parted(&self, a: &str, b: &str) -> bool {
+    fn is_partitioned(&self, a: &str, b: &str) -> bool {
         self.truths[a].side != self.truths[b].side
     }
 
@@ -308,7 +311,7 @@
         let truth = &self.truths[instance];
         let incarnation = truth.incarnation;
         let state = truth.state;
-        if matches!(state, State::Gone(_)) || self.is_parted(to, instance) {
+        if matches!(state, State::Gone(_)) || self.is_partitioned(to, instance) {
             self.handle(to, Event::SessionDown(instance.clone()));
             return;
         }
@@ -324,10 +327,10 @@
         if let State::Leaving(_) = state {
             self.handle(to, Event::Notice(instance.clone(), incarnation));
         }
-        self.later(BEAT, to, Item::Beat(id, instance.clone()));
+        self.schedule(HEARTBEAT_PERIOD, to, Item::Heartbeat(id, instance.clone()));
     }
 
-    fn beat(&mut self, to: &InstanceId, id: u64, instance: &InstanceId) {
+    fn heartbeat(&mut self, to: &InstanceId, id: u64, instance: &InstanceId) {
         let key = (to.clone(), instance.clone());
         let Some(link) = self.links.get(&key).filter(|link| link.id == id) else {
             return;
@@ -335,19 +338,19 @@
         let truth = &self.truths[instance];
         let is_same = truth.incarnation == link.incarnation;
         let is_dead = matches!(truth.state, State::Gone(_)) || !is_same;
-        if !(link.is_silent || is_dead || self.is_parted(to, instance)) {
+        if !(link.is_silent || is_dead || self.is_partitioned(to, instance)) {
             let beat = Beat {
-                next: BEAT,
+                next: HEARTBEAT_PERIOD,
                 is_leaving: matches!(truth.state, State::Leaving(_)),
             };
             self.handle(to, Event::Heard(instance.clone(), beat));
         }
-        self.later(BEAT, to, Item::Beat(id, instance.clone()));
+        self.schedule(HEARTBEAT_PERIOD, to, Item::Heartbeat(id, instance.clone()));
     }
 
     fn read_list(&mut self, to: &InstanceId) {
         let delay = Duration::from_millis(self.rng.random_range(500..3_000));
-        self.later(delay, to, Item::ReadList);
+        self.schedule(delay, to, Item::ReadList);
         if self.is_list_gone {
             return;
         }
@@ -366,7 +369,7 @@
             Event::Fleet { revision, .. } => viewer.revision = viewer.revision.max(*revision),
             _ => {}
         }
-        let actions = viewer.belief.handle(event, self.now);
+        let actions = viewer.subject.handle(event, self.now);
         for action in actions {
             self.act(to, action);
         }
@@ -376,7 +379,7 @@
         match action {
             Action::Open(instance) => {
                 let delay = self.latency();
-                self.later(delay, from, Item::Opened(instance));
+                self.schedule(delay, from, Item::Opened(instance));
             }
             Action::Close(instance) => {
                 self.links.remove(&(from.clone(), instance));
@@ -384,17 +387,17 @@
             Action::Send(to, rumours) => {
                 let link = self.links.get(&(from.clone(), to.clone()));
                 let is_lost = link.is_none_or(|link| link.is_silent);
-                if !is_lost && !self.is_parted(from, &to) {
+                if !is_lost && !self.is_partitioned(from, &to) {
                     let delay = self.latency();
                     let event = Event::Rumours(from.clone(), rumours);
-                    self.later(delay, &to, Item::Direct(event));
+                    self.schedule(delay, &to, Item::Direct(event));
                 }
             }
             Action::Stop(..) | Action::Log(_) => {}
         }
     }
 
-    /// Lets an entry send work to whatever it may, and checks who gets it.
+    /// Checks each instance to which an entry may send work now.
     fn check_work(&mut self, from: &InstanceId) {
         let viewer = &self.viewers[from];
         let drains = match viewer.revision {
@@ -406,7 +409,7 @@
         };
         let mut found = Vec::new();
         for (name, truth) in &self.truths {
-            if !viewer.belief.may_get_work(name, self.now) {
+            if !viewer.subject.may_get_work(name, self.now) {
                 continue;
             }
             let (State::Leaving(since) | State::Gone(since)) = truth.state else {
@@ -422,7 +425,7 @@
             if self.now > since + BOUND {
                 found.push(format!("work to {name}, {:?} since {since:?}", truth.state));
             }
-            let known = viewer.belief.incarnation(name);
+            let known = viewer.subject.incarnation(name);
             let key = known.map(|known| (name.clone(), known));
             if key.is_some_and(|key| viewer.noticed.contains(&key)) {
                 found.push(format!("work to {name} after its notice"));
@@ -433,7 +436,7 @@
         self.violations.extend(found);
     }
 
-    /// Publishes the list as it should be, or with random errors both ways.
+    /// Publishes a correct list, or one with random errors both ways.
     pub(crate) fn publish_list(&mut self, is_wrong: bool) {
         let version = self.lists.len() as u64 + 1;
         let mut list = List {
@@ -460,7 +463,7 @@
         self.lists.push(list);
     }
 
-    /// Tells an instance to leave; it says so to every session and exits later.
+    /// Makes an instance leave: it sends a notice over every session and exits later.
     pub(crate) fn leave(&mut self, name: &InstanceId) {
         let now = self.now;
         let truth = self.truths.get_mut(name).expect("an instance");
@@ -474,19 +477,19 @@
         for viewer in self.viewers.keys().cloned().collect::<Vec<_>>() {
             let link = self.links.get(&(viewer.clone(), name.clone()));
             let id = link.filter(|link| !link.is_silent).map(|link| link.id);
-            if let Some(id) = id.filter(|_| !self.is_parted(&viewer, name)) {
+            if let Some(id) = id.filter(|_| !self.is_partitioned(&viewer, name)) {
                 let delay = self.latency();
                 let event = Event::Notice(name.clone(), incarnation);
-                self.later(delay, &viewer, Item::OverLink(id, event));
+                self.schedule(delay, &viewer, Item::OverLink(id, event));
             }
         }
         let delay = Duration::from_millis(self.rng.random_range(1_000..20_000));
         let first = self.viewers.keys().next().expect("an entry").clone();
-        self.later(delay, &first, Item::Exit(name.clone(), incarnation));
+        self.schedule(delay, &first, Item::Exit(name.clone(), incarnation));
     }
 
-    /// Ends an instance without a word; some sessions notice, some go silent.
-    pub(crate) fn die(&mut self, name: &InstanceId) {
+    /// Ends an instance without a notice; some of its sessions close, the others go silent.
+    pub(crate) fn crash(&mut self, name: &InstanceId) {
         let now = self.now;
         let truth = self.truths.get_mut(name).expect("an instance");
         if !matches!(truth.state, State::Gone(_)) {
@@ -497,14 +500,14 @@
             if let Some(id) = link.map(|link| link.id).filter(|_| self.rng.random()) {
                 let delay = self.latency();
                 let event = Event::SessionDown(name.clone());
-                self.later(delay, &viewer, Item::OverLink(id, event));
+                self.schedule(delay, &viewer, Item::OverLink(id, event));
             }
         }
     }
 
-    /// Starts another incarnation of an instance in place of the last.
+    /// Replaces an instance by a new incarnation.
     pub(crate) fn restart(&mut self, name: &InstanceId) {
-        self.die(name);
+        self.crash(name);
         let incarnation = self.rng.random();
         let truth = self.truths.get_mut(name).expect("an instance");
         truth.incarnation = incarnation;
@@ -514,7 +517,7 @@
         }
     }
 
-    /// Publishes the next preset, and hands it and an older one to all entries in some order.
+    /// Publishes the next preset, and sends it and a random one to all entries in random order.
     pub(crate) fn publish_preset(&mut self, drains: BTreeSet<InstanceId>) {
         self.presets.push(drains);
         let last = self.presets.len() - 1;
@@ -522,7 +525,7 @@
             for index in [last, self.rng.random_range(0..=last)] {
                 let delay = Duration::from_millis(self.rng.random_range(1..1_000));
                 let event = self.fleet_event(index);
-                self.later(delay, &viewer, Item::Direct(event));
+                self.schedule(delay, &viewer, Item::Direct(event));
             }
         }
     }
@@ -531,30 +534,30 @@
         let until = self.now + length;
         if let Some(viewer) = self.viewers.get_mut(name) {
             viewer.frozen_until = viewer.frozen_until.max(until);
-            viewer.must_wake |= length > PAUSE;
+            viewer.has_paused |= length > PAUSE;
         }
     }
 
-    /// Lets some open sessions go silent for good.
-    pub(crate) fn silence(&mut self) {
+    /// Makes some open sessions permanently silent.
+    pub(crate) fn silence_links(&mut self) {
         for link in self.links.values_mut() {
             link.is_silent |= self.rng.random_bool(0.3);
         }
     }
 
-    pub(crate) fn part(&mut self, sides: usize) {
+    pub(crate) fn partition(&mut self, sides: usize) {
         for truth in self.truths.values_mut() {
             truth.side = self.rng.random_range(0..sides);
         }
     }
 
-    /// Adds a violation for each serving instance that some entry keeps from work.
+    /// Adds a violation for each slot that an entry wrongly gives or refuses work.
     pub(crate) fn check_service(&mut self) {
         let last = self.presets.last().expect("a preset");
         for (from, viewer) in &self.viewers {
             for (name, truth) in self.truths.iter().filter(|(name, _)| name.starts_with('s')) {
                 let should = truth.state == State::Serving && !last.contains(name);
-                let may = viewer.belief.may_get_work(name, self.now);
+                let may = viewer.subject.may_get_work(name, self.now);
                 if should != may {
                     let state = truth.state;
                     let violation = format!("{from}: {name} is {state:?}, may get work: {may}");
@@ -565,7 +568,7 @@
     }
 }
 
-/// Returns the instance that an event came from over its link.
+/// Returns the instance that sent an event over its link.
 fn source(event: &Event) -> InstanceId {
     match event {
         Event::Notice(instance, _) | Event::SessionDown(instance) => instance.clone(),
--- a/crates/membership/tests/all/view.rs
+++ b/crates/membership/tests/all/view.rs
@@ -1,4 +1,4 @@
-//! Randomised runs of views, with all faults mixed.
+//! Randomised simulations of views under mixed faults.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,17 +16,17 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::support::Belief;
-use crate::support::Maker;
+use crate::support::Factory;
 use crate::support::Simulation;
 use crate::support::State;
+use crate::support::Subject;
 
-/// First seed of the runs, unless the environment gives one.
+/// First seed of the runs; `AUBURNLINE_SEED` overrides it.
 const SEED: u64 = 1;
-/// Least events of the runs, unless the environment gives a number.
+/// Minimum number of events over all runs; `AUBURNLINE_EVENTS` overrides it.
 const EVENTS: u64 = 300_000;
 
-/// Last seed of the runs with a planted fault, of which one must catch it.
+/// Last seed of the runs with a planted fault; at least one of the runs must detect it.
 const PLANTED_RUNS: u64 = 20;
 
 fn setting(name: &str, default: u64) -> u64 {
@@ -34,21 +34,21 @@
     value.map_or(default, |text| text.parse().expect("a number"))
 }
 
-fn sound(me: InstanceId, seed: u64) -> Box<dyn Belief> {
+fn faultless(me: InstanceId, seed: u64) -> Box<dyn Subject> {
     Box::new(View::new(me, seed))
 }
 
-/// Brings about one fault, or ends some.
-fn disturb(run: &mut Simulation) {
+/// Injects one random fault, or heals some.
+fn inject_fault(run: &mut Simulation) {
     let names = run.instances();
     let name = names[run.rng.random_range(0..names.len())].clone();
     match run.rng.random_range(0..14) {
         0 | 1 => run.leave(&name),
-        2 => run.die(&name),
+        2 => run.crash(&name),
         3 | 4 => run.restart(&name),
-        5 => run.silence(),
-        6 => run.part(2),
-        7 => run.part(1),
+        5 => run.silence_links(),
+        6 => run.partition(2),
+        7 => run.partition(1),
         8 => {
             let length = run.rng.random_range(100..60_000);
             run.freeze(&name, Duration::from_millis(length));
@@ -65,20 +65,20 @@
     }
 }
 
-/// Runs one fleet through faults and back; returns the run.
-fn trial(seed: u64, maker: Maker) -> Simulation {
+/// Simulates one fleet under faults and its recovery, and returns the simulation.
+fn trial(seed: u64, factory: Factory) -> Simulation {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (entries, slots) = (rng.random_range(2..8), rng.random_range(2..6));
-    let mut run = Simulation::new(seed, entries, slots, maker);
+    let mut run = Simulation::new(seed, entries, slots, factory);
     for _ in 0..40 {
-        disturb(&mut run);
+        inject_fault(&mut run);
         let length = run.rng.random_range(10..4_000);
         run.run(run.now + Duration::from_millis(length));
     }
-    run.part(1);
+    run.partition(1);
     run.list_lag = 0;
     run.is_list_gone = false;
-    // The longest freeze and the longest drain end.
+    // Longer than the longest freeze and the longest drain.
     run.run(run.now + Duration::from_mins(1));
     for name in run.instances() {
         if matches!(run.state(&name), State::Gone(_)) {
@@ -99,47 +99,47 @@
     let mut last_work = Vec::new();
     let mut seed = first;
     while events < least {
-        let run = trial(seed, sound);
+        let run = trial(seed, faultless);
         events += run.events;
         last_work.extend(run.last_work.into_values());
         assert_that!(run.violations, is_empty(), "seed {seed}");
         seed += 1;
     }
     last_work.sort_unstable();
-    let part = |share: usize| last_work[(last_work.len() - 1) * share / 1000];
+    let percentile = |permille: usize| last_work[(last_work.len() - 1) * permille / 1000];
     println!("seeds {first}..{seed}, {events} events, 0 violations");
     let left = last_work.len();
     println!(
         "{left} left; last new work after: p50 {:?}, p90 {:?}, p99 {:?}, worst {:?}",
-        part(500),
-        part(900),
-        part(990),
-        part(1000)
+        percentile(500),
+        percentile(900),
+        percentile(990),
+        percentile(1000)
     );
 }
 
-/// A short partition swallowed the notice of an instance, and its heartbeats went on.
+/// A short partition drops the leaving notice of an instance, whose heartbeats continue.
 const LOST_NOTICE_SEED: u64 = 5236;
 
 #[gtest]
 fn a_heartbeat_makes_up_for_a_lost_notice() {
-    let run = trial(LOST_NOTICE_SEED, sound);
+    let run = trial(LOST_NOTICE_SEED, faultless);
     assert_that!(run.violations, is_empty());
 }
 
-/// What a planted fault does wrong.
+/// Planted fault of a view.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
-    /// Hears no leaving notice, nor rumours of one.
-    Deaf,
-    /// Trusts a silent session for ever.
-    Patient,
-    /// Takes an older preset for a newer one.
-    Reverts,
-    /// Takes the list's "live" for more than a notice.
-    Unmarks,
-    /// Binds a mark of the list to the incarnation of the moment.
-    Binds,
+    /// Ignores leaving notices and all rumours.
+    IgnoresNotices,
+    /// Keeps sending work to an instance whose session it closed.
+    TrustsSilence,
+    /// Applies an older preset as if it were newer.
+    AcceptsOlderPreset,
+    /// Lets the state live in the list override a leaving notice.
+    ListOverridesNotice,
+    /// Applies a mark by the list to the current incarnation, as a leaving notice.
+    BindsListMark,
 }
 
 struct Faulty {
@@ -165,20 +165,20 @@
     }
 }
 
-impl Belief for Faulty {
+impl Subject for Faulty {
     fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action> {
         let mut event = event;
         let mut actions = Vec::new();
         match &mut event {
-            Event::Notice(..) | Event::Rumours(..) if self.fault == Fault::Deaf => {
+            Event::Notice(..) | Event::Rumours(..) if self.fault == Fault::IgnoresNotices => {
                 return actions;
             }
-            Event::Fleet { revision, .. } if self.fault == Fault::Reverts => {
+            Event::Fleet { revision, .. } if self.fault == Fault::AcceptsOlderPreset => {
                 self.revision += 1;
                 *revision = self.revision;
             }
             Event::List(list) if list.version > self.list.version => {
-                if self.fault == Fault::Binds {
+                if self.fault == Fault::BindsListMark {
                     actions = self.bind(&list.clone(), now);
                 }
                 self.list = list.clone();
@@ -204,10 +204,12 @@
         let standing = self.inner.standing(instance, now);
         let is_listed = self.list.listed(instance) == Listed::Live;
         match self.fault {
-            Fault::Patient => {
+            Fault::TrustsSilence => {
                 standing.leaving.is_none() && (standing.is_up || self.trusted.contains(instance))
             }
-            Fault::Unmarks => standing.is_up && (is_listed || standing.leaving.is_none()),
+            Fault::ListOverridesNotice => {
+                standing.is_up && (is_listed || standing.leaving.is_none())
+            }
             _ => self.inner.may_get_work(instance, now),
         }
     }
@@ -217,7 +219,7 @@
     }
 }
 
-fn plant(fault: Fault, me: InstanceId, seed: u64) -> Box<dyn Belief> {
+fn faulty(fault: Fault, me: InstanceId, seed: u64) -> Box<dyn Subject> {
     Box::new(Faulty {
         inner: View::new(me, seed),
         fault,
@@ -229,24 +231,27 @@
 
 #[gtest]
 fn each_planted_fault_is_caught() {
-    let cases: [(Maker, &str); 5] = [
-        (|me, seed| plant(Fault::Deaf, me, seed), "Leaving"),
-        (|me, seed| plant(Fault::Patient, me, seed), "Gone"),
+    let cases: [(Factory, &str); 5] = [
+        (
+            |me, seed| faulty(Fault::IgnoresNotices, me, seed),
+            "Leaving",
+        ),
+        (|me, seed| faulty(Fault::TrustsSilence, me, seed), "Gone"),
         (
-            |me, seed| plant(Fault::Reverts, me, seed),
+            |me, seed| faulty(Fault::AcceptsOlderPreset, me, seed),
             "which the preset drains",
         ),
         (
-            |me, seed| plant(Fault::Unmarks, me, seed),
+            |me, seed| faulty(Fault::ListOverridesNotice, me, seed),
             "after its notice",
         ),
         (
-            |me, seed| plant(Fault::Binds, me, seed),
+            |me, seed| faulty(Fault::BindsListMark, me, seed),
             "may get work: false",
         ),
     ];
-    for (maker, violation) in cases {
-        let mut runs = (SEED..=PLANTED_RUNS).map(|seed| trial(seed, maker).violations);
+    for (factory, violation) in cases {
+        let mut runs = (SEED..=PLANTED_RUNS).map(|seed| trial(seed, factory).violations);
         let is_caught = |found: &Vec<String>| found.iter().any(|text| text.contains(violation));
         expect_true!(runs.any(|found| is_caught(&found)), "{violation}");
     }
