--- a/crates/configuration/src/acceptance.rs
+++ b/crates/configuration/src/acceptance.rs
@@ -86,7 +86,7 @@
     }
 
     /// Counts a sighting of `head`; returns `true` for a conflict that is seen first.
-    pub fn sight(&mut self, head: &Head) -> bool {
+    pub fn observe(&mut self, head: &Head) -> bool {
         match head.standing(self.head.as_ref()) {
             Standing::Newer | Standing::Same => false,
             Standing::Older => {
--- a/crates/configuration/src/spread/peer.rs
+++ b/crates/configuration/src/spread/peer.rs
@@ -50,7 +50,7 @@
     ) {
         self.sessions.heard(peer, head.cloned(), now);
         if let Some(head) = head {
-            self.sight(head, actions);
+            self.observe_head(head, actions);
         }
         let in_force = self.acceptance.head().cloned();
         let Some(in_force) = in_force else {
@@ -66,8 +66,8 @@
         }
     }
 
-    pub(super) fn sight(&mut self, head: &Head, actions: &mut Vec<Action>) {
-        if self.acceptance.sight(head) {
+    pub(super) fn observe_head(&mut self, head: &Head, actions: &mut Vec<Action>) {
+        if self.acceptance.observe(head) {
             let head = head.clone();
             actions.push(Action::Log(Note::Conflict { head }));
         }
@@ -106,7 +106,7 @@
     ) {
         self.sessions.heard(peer, parcel.head.clone(), now);
         if let Some(head) = &parcel.head {
-            self.sight(head, actions);
+            self.observe_head(head, actions);
         }
         let ticket = parcel.ticket;
         self.asking.take_if(|asking| asking.ticket == ticket);
--- a/crates/configuration/src/spread/platform.rs
+++ b/crates/configuration/src/spread/platform.rs
@@ -53,7 +53,7 @@
             revision: manifest.revision,
             digest: digest(bytes),
         };
-        self.sight(&head, actions);
+        self.observe_head(&head, actions);
         if head.standing(self.acceptance.head()) == Standing::Same {
             return Outcome::Same;
         }
