--- a/crates/configuration/src/acceptance.rs
+++ b/crates/configuration/src/acceptance.rs
@@ -12,8 +12,8 @@
 
 use crate::checked::Checked;
 use crate::defect::Refusal;
+use crate::head::Comparison;
 use crate::head::Head;
-use crate::head::Standing;
 use crate::head::is_same;
 use crate::parse;
 use crate::source::Source;
@@ -81,19 +81,19 @@
     /// Returns whether the configuration of `head` is worth fetching.
     #[must_use]
     pub fn wants(&self, head: &Head) -> bool {
-        let newer = head.standing(self.head.as_ref()) == Standing::Newer;
+        let newer = head.compare(self.head.as_ref()) == Comparison::Newer;
         newer && !contains(&self.refused, &head.digest)
     }
 
     /// Counts a sighting of `head`; returns `true` for a conflict that is seen first.
     pub fn observe(&mut self, head: &Head) -> bool {
-        match head.standing(self.head.as_ref()) {
-            Standing::Newer | Standing::Same => false,
-            Standing::Older => {
+        match head.compare(self.head.as_ref()) {
+            Comparison::Newer | Comparison::Same => false,
+            Comparison::Older => {
                 self.counts.stale += 1;
                 false
             }
-            Standing::Conflict => {
+            Comparison::Conflict => {
                 self.counts.conflicts += 1;
                 let first = !contains(&self.conflicting, &head.digest);
                 if first {
@@ -117,11 +117,11 @@
                 return self.refuse(found, Refusal { defects });
             }
         };
-        match head.standing(self.head.as_ref()) {
-            Standing::Newer => {}
-            Standing::Same => return Verdict::Same,
-            Standing::Older => return Verdict::Older,
-            Standing::Conflict => return Verdict::Conflict,
+        match head.compare(self.head.as_ref()) {
+            Comparison::Newer => {}
+            Comparison::Same => return Verdict::Same,
+            Comparison::Older => return Verdict::Older,
+            Comparison::Conflict => return Verdict::Conflict,
         }
         match Checked::parse(source) {
             Ok(checked) => self.install(checked, head),
--- a/crates/configuration/src/head.rs
+++ b/crates/configuration/src/head.rs
@@ -26,7 +26,7 @@
 
 /// How a configuration stands to the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Comparison {
     /// A higher revision, or the first.
     Newer,
     /// The very one.
@@ -58,15 +58,17 @@
 
     /// Returns how this head stands to the one in force.
     #[must_use]
-    pub fn standing(&self, in_force: Option<&Head>) -> Standing {
+    pub fn compare(&self, in_force: Option<&Head>) -> Comparison {
         let Some(in_force) = in_force else {
-            return Standing::Newer;
+            return Comparison::Newer;
         };
         match self.revision.cmp(&in_force.revision) {
-            std::cmp::Ordering::Greater => Standing::Newer,
-            std::cmp::Ordering::Less => Standing::Older,
-            std::cmp::Ordering::Equal if is_same(&self.digest, &in_force.digest) => Standing::Same,
-            std::cmp::Ordering::Equal => Standing::Conflict,
+            std::cmp::Ordering::Greater => Comparison::Newer,
+            std::cmp::Ordering::Less => Comparison::Older,
+            std::cmp::Ordering::Equal if is_same(&self.digest, &in_force.digest) => {
+                Comparison::Same
+            }
+            std::cmp::Ordering::Equal => Comparison::Conflict,
         }
     }
 }
--- a/crates/configuration/src/sessions.rs
+++ b/crates/configuration/src/sessions.rs
@@ -12,8 +12,8 @@
 use rand::seq::IteratorRandom;
 
 use crate::acceptance::Acceptance;
+use crate::head::Comparison;
 use crate::head::Head;
-use crate::head::Standing;
 
 /// Most sessions that are kept in mind.
 const MAX_SESSIONS: usize = 1024;
@@ -141,7 +141,7 @@
             let behind = session
                 .head
                 .as_ref()
-                .is_none_or(|known| head.standing(Some(known)) == Standing::Newer);
+                .is_none_or(|known| head.compare(Some(known)) == Comparison::Newer);
             behind && session.announced.is_none()
         });
         let names = behind.map(|(peer, _)| peer.clone());
--- a/crates/configuration/src/spread/peer.rs
+++ b/crates/configuration/src/spread/peer.rs
@@ -5,8 +5,8 @@
 use auburnline_core::id::InstanceId;
 use auburnline_core::time::Monotonic;
 
+use crate::head::Comparison;
 use crate::head::Head;
-use crate::head::Standing;
 use crate::note::Note;
 use crate::parcel;
 use crate::parcel::Ask;
@@ -57,11 +57,11 @@
             self.ask_next(now, actions);
             return;
         };
-        match in_force.standing(head) {
-            Standing::Newer if self.sessions.tell(peer, now) => {
+        match in_force.compare(head) {
+            Comparison::Newer if self.sessions.tell(peer, now) => {
                 actions.push(Action::Announce(vec![peer.clone()], in_force));
             }
-            Standing::Older => self.ask_next(now, actions),
+            Comparison::Older => self.ask_next(now, actions),
             _ => {}
         }
     }
@@ -83,7 +83,7 @@
         self.sessions.heard(&peer, ask.head.clone(), now);
         let in_force = self.acceptance.in_force();
         let newer = in_force
-            .filter(|checked| Head::of(checked).standing(ask.head.as_ref()) == Standing::Newer);
+            .filter(|checked| Head::of(checked).compare(ask.head.as_ref()) == Comparison::Newer);
         let content = newer.map_or(Content::Nothing, |checked| self.versions.pack(checked, ask));
         let mut parcel = Parcel {
             ticket: ask.ticket,
--- a/crates/configuration/src/spread/platform.rs
+++ b/crates/configuration/src/spread/platform.rs
@@ -7,8 +7,8 @@
 use auburnline_core::published::Section;
 use auburnline_core::time::Monotonic;
 
+use crate::head::Comparison;
 use crate::head::Head;
-use crate::head::Standing;
 use crate::parcel::Ticket;
 use crate::parse;
 use crate::readiness::Origin;
@@ -54,7 +54,7 @@
             digest: digest(bytes),
         };
         self.observe_head(&head, actions);
-        if head.standing(self.acceptance.head()) == Standing::Same {
+        if head.compare(self.acceptance.head()) == Comparison::Same {
             return Outcome::Same;
         }
         if !self.acceptance.wants(&head) {
--- a/crates/configuration/tests/all/spread.rs
+++ b/crates/configuration/tests/all/spread.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use auburnline_configuration::checked::Checked;
+use auburnline_configuration::head::Comparison;
 use auburnline_configuration::head::Head;
 use auburnline_configuration::head::MIN_DIGEST;
-use auburnline_configuration::head::Standing;
 use auburnline_configuration::parcel::Ask;
 use auburnline_configuration::parcel::Content;
 use auburnline_configuration::schedule::Member;
@@ -312,12 +312,12 @@
 fn a_head_with_a_short_digest_stands_for_the_whole() {
     let whole = Head::of(&Draft::default().checked());
     let short = whole.short();
-    expect_that!(short.standing(Some(&whole)), eq(Standing::Same));
+    expect_that!(short.compare(Some(&whole)), eq(Comparison::Same));
     let mut other = short.clone();
     other.digest = "0".repeat(MIN_DIGEST);
-    expect_that!(other.standing(Some(&whole)), eq(Standing::Conflict));
+    expect_that!(other.compare(Some(&whole)), eq(Comparison::Conflict));
     other.digest.clear();
-    expect_that!(other.standing(Some(&whole)), eq(Standing::Conflict));
+    expect_that!(other.compare(Some(&whole)), eq(Comparison::Conflict));
 }
 
 /// Returns a process that has a configuration of nearly 1 MB in force.
