--- a/crates/configuration/src/schedule.rs
+++ b/crates/configuration/src/schedule.rs
@@ -59,11 +59,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// A newer manifest.
-    News,
+    Newer,
     /// What is in force.
     Same,
     /// An older manifest, or a conflicting or invalid one.
-    Useless,
+    Rejected,
     /// No answer.
     Failed,
 }
@@ -212,15 +212,15 @@
         // A watch that ends at once without a change is no watch.
         let hasty = call.wait > Duration::ZERO && now < call.since + call.wait / 2;
         let fruitless = match outcome {
-            Outcome::News => false,
+            Outcome::Newer => false,
             Outcome::Same => hasty,
-            Outcome::Useless | Outcome::Failed => true,
+            Outcome::Rejected | Outcome::Failed => true,
         };
         self.fruitless = if fruitless { self.fruitless + 1 } else { 0 };
         self.phase = match outcome {
-            Outcome::News | Outcome::Same => Phase::Settled,
+            Outcome::Newer | Outcome::Same => Phase::Settled,
             Outcome::Failed if self.phase == Phase::Urgent => Phase::Urgent,
-            Outcome::Failed | Outcome::Useless => Phase::Unsettled,
+            Outcome::Failed | Outcome::Rejected => Phase::Unsettled,
         };
         self.next = now + self.delay(rng);
     }
--- a/crates/configuration/src/spread.rs
+++ b/crates/configuration/src/spread.rs
@@ -195,18 +195,18 @@
                 actions.push(Action::Install(checked));
                 self.sessions.start_waves();
                 self.wave(now, actions);
-                Outcome::News
+                Outcome::Newer
             }
             Verdict::Refused(refusal) => {
                 let outcome = if refusal.is_final() {
-                    Outcome::Useless
+                    Outcome::Rejected
                 } else {
                     Outcome::Failed
                 };
                 actions.push(Action::Log(Note::Refused { origin, refusal }));
                 outcome
             }
-            Verdict::Same | Verdict::Older | Verdict::Conflict => Outcome::Useless,
+            Verdict::Same | Verdict::Older | Verdict::Conflict => Outcome::Rejected,
         }
     }
 
--- a/crates/configuration/src/spread/platform.rs
+++ b/crates/configuration/src/spread/platform.rs
@@ -47,7 +47,7 @@
                 ..Source::default()
             };
             self.offer(source, Origin::Platform, now, actions);
-            return Outcome::Useless;
+            return Outcome::Rejected;
         };
         let head = Head {
             revision: manifest.revision,
@@ -58,11 +58,11 @@
             return Outcome::Same;
         }
         if !self.acceptance.wants(&head) {
-            return Outcome::Useless;
+            return Outcome::Rejected;
         }
         match self.staging.as_ref().map(|staging| &staging.head) {
             Some(staged) if *staged == head => return Outcome::Same,
-            Some(staged) if staged.revision >= head.revision => return Outcome::Useless,
+            Some(staged) if staged.revision >= head.revision => return Outcome::Rejected,
             _ => {}
         }
         let in_force = self.acceptance.in_force().map(|checked| &**checked);
@@ -74,7 +74,7 @@
         }
         let reads = missing.into_iter();
         actions.extend(reads.map(|(section, key)| Action::ReadSection(section, key)));
-        Outcome::News
+        Outcome::Newer
     }
 
     pub(super) fn section(
@@ -115,7 +115,7 @@
 
     fn finish_staging(&mut self, now: Monotonic, actions: &mut Vec<Action>) -> Outcome {
         let Some(staging) = self.staging.take() else {
-            return Outcome::Useless;
+            return Outcome::Rejected;
         };
         self.offer(staging.into_source(), Origin::Platform, now, actions)
     }
