--- a/crates/configuration/src/schedule.rs
+++ b/crates/configuration/src/schedule.rs
@@ -94,7 +94,7 @@
     outstanding: Option<Outstanding>,
     next: Monotonic,
     /// Calls in a row that brought nothing.
-    fruitless: u32,
+    unproductive_calls: u32,
     phase: Phase,
     was_isolated: bool,
 }
@@ -107,7 +107,7 @@
             fleet: 1,
             outstanding: None,
             next: now + START_SPREAD.mul_f64(rng.random()),
-            fruitless: 0,
+            unproductive_calls: 0,
             phase: Phase::Urgent,
             was_isolated: false,
         }
@@ -149,13 +149,13 @@
         self.outstanding = None;
         self.next = now;
         self.phase = Phase::Urgent;
-        self.fruitless = 0;
+        self.unproductive_calls = 0;
     }
 
     /// Makes a read due soon, as after sections that did not come.
     pub fn retry(&mut self, now: Monotonic, rng: &mut impl Rng) {
         self.outstanding = None;
-        self.fruitless += 1;
+        self.unproductive_calls += 1;
         self.phase = Phase::Urgent;
         self.next = now + self.back_off().mul_f64(rng.random_range(0.5..1.5));
     }
@@ -210,13 +210,17 @@
         };
         self.outstanding = None;
         // A watch that ends at once without a change is no watch.
-        let hasty = call.wait > Duration::ZERO && now < call.since + call.wait / 2;
-        let fruitless = match outcome {
+        let ended_early = call.wait > Duration::ZERO && now < call.since + call.wait / 2;
+        let unproductive = match outcome {
             Outcome::Newer => false,
-            Outcome::Same => hasty,
+            Outcome::Same => ended_early,
             Outcome::Rejected | Outcome::Failed => true,
         };
-        self.fruitless = if fruitless { self.fruitless + 1 } else { 0 };
+        self.unproductive_calls = if unproductive {
+            self.unproductive_calls + 1
+        } else {
+            0
+        };
         self.phase = match outcome {
             Outcome::Newer | Outcome::Same => Phase::Settled,
             Outcome::Failed if self.phase == Phase::Urgent => Phase::Urgent,
@@ -240,7 +244,7 @@
     }
 
     fn back_off(&self) -> Duration {
-        match self.fruitless {
+        match self.unproductive_calls {
             0 => MIN_GAP,
             tries => FIRST_DELAY.mul_f64(f64::from(tries).exp2()).min(MAX_DELAY),
         }
