--- a/crates/configuration/src/readiness.rs
+++ b/crates/configuration/src/readiness.rs
@@ -113,18 +113,18 @@
     }
 
     /// Weighs what is known; returns whether the verdict changed.
-    pub fn weigh(&mut self, knowledge: Knowledge, now: Monotonic) -> bool {
+    pub fn update(&mut self, knowledge: Knowledge, now: Monotonic) -> bool {
         let before = self.verdict;
         // Once ready, only a pause takes it back: being behind for a moment is what every
         // change brings, and slots turn stale requests away.
         if before.is_ok() {
             return false;
         }
-        self.verdict = self.judge(knowledge, now);
+        self.verdict = self.evaluate(knowledge, now);
         before != self.verdict
     }
 
-    fn judge(&self, knowledge: Knowledge, now: Monotonic) -> Result<(), Reason> {
+    fn evaluate(&self, knowledge: Knowledge, now: Monotonic) -> Result<(), Reason> {
         if !knowledge.has_configuration {
             return Err(Reason::NoConfiguration);
         }
--- a/crates/configuration/src/spread.rs
+++ b/crates/configuration/src/spread.rs
@@ -129,7 +129,7 @@
             Event::ManifestFailed(ticket) => self.read_ended(ticket, Outcome::Failed, now),
             Event::SectionFailed(section) => self.section_failed(section, now),
         }
-        self.weigh(now, &mut actions);
+        self.update_readiness(now, &mut actions);
         actions
     }
 
@@ -216,7 +216,7 @@
         ticket
     }
 
-    fn weigh(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
+    fn update_readiness(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
         if self.readiness.is_ready() {
             return;
         }
@@ -224,7 +224,7 @@
             has_configuration: self.acceptance.in_force().is_some(),
             is_behind: self.staging.is_some() || self.sessions.any_ahead(&self.acceptance),
         };
-        if self.readiness.weigh(knowledge, now) {
+        if self.readiness.update(knowledge, now) {
             let verdict = self.readiness.may_send(now);
             actions.push(Action::Log(Note::Ready(verdict)));
         }
--- a/crates/configuration/src/spread/platform.rs
+++ b/crates/configuration/src/spread/platform.rs
@@ -30,12 +30,12 @@
         now: Monotonic,
         actions: &mut Vec<Action>,
     ) {
-        let outcome = self.weigh_manifest(bytes, now, actions);
+        let outcome = self.evaluate_manifest(bytes, now, actions);
         self.readiness.answered(Origin::Platform, ticket);
         self.read_ended(ticket, outcome, now);
     }
 
-    fn weigh_manifest(
+    fn evaluate_manifest(
         &mut self,
         bytes: &Value,
         now: Monotonic,
