--- a/crates/configuration/src/readiness.rs
+++ b/crates/configuration/src/readiness.rs
@@ -53,10 +53,10 @@
 pub struct Readiness {
     pause: Pause,
     /// Answers to tickets below this one were asked for too early.
-    first: Ticket,
+    first_valid: Ticket,
     since: Monotonic,
-    platform: bool,
-    peer: bool,
+    platform_answered: bool,
+    peer_answered: bool,
     verdict: Result<(), Reason>,
 }
 
@@ -68,10 +68,10 @@
         pause.observe(now);
         Self {
             pause,
-            first: 0,
+            first_valid: 0,
             since: now,
-            platform: false,
-            peer: false,
+            platform_answered: false,
+            peer_answered: false,
             verdict: Err(Reason::NoConfiguration),
         }
     }
@@ -81,22 +81,22 @@
     /// `next` is the number that the next question will have.
     pub fn observe(&mut self, next: Ticket, now: Monotonic) -> Option<Duration> {
         let gap = self.pause.observe(now)?;
-        self.first = next;
+        self.first_valid = next;
         self.since = now;
-        self.platform = false;
-        self.peer = false;
+        self.platform_answered = false;
+        self.peer_answered = false;
         self.verdict = Err(Reason::Paused);
         Some(gap)
     }
 
     /// Takes an answer to the question `ticket`.
     pub fn answered(&mut self, origin: Origin, ticket: Ticket) {
-        if ticket < self.first {
+        if ticket < self.first_valid {
             return;
         }
         match origin {
-            Origin::Platform => self.platform = true,
-            Origin::Peer => self.peer = true,
+            Origin::Platform => self.platform_answered = true,
+            Origin::Peer => self.peer_answered = true,
         }
     }
 
@@ -109,7 +109,7 @@
     /// Returns whether a peer is still to be asked.
     #[must_use]
     pub fn needs_peer(&self) -> bool {
-        !self.peer
+        !self.peer_answered
     }
 
     /// Weighs what is known; returns whether the verdict changed.
@@ -129,7 +129,7 @@
             return Err(Reason::NoConfiguration);
         }
         let waited = now >= self.since + SOURCE_WAIT;
-        match (self.platform, self.peer) {
+        match (self.platform_answered, self.peer_answered) {
             (false, false) => return Err(Reason::NoAnswer),
             (false, true) if !waited => return Err(Reason::Waiting(Origin::Platform)),
             (true, false) if !waited => return Err(Reason::Waiting(Origin::Peer)),
