--- a/crates/configuration/src/spread.rs
+++ b/crates/configuration/src/spread.rs
@@ -114,7 +114,7 @@
     pub fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action> {
         let mut actions = Vec::new();
         if let Some(gap) = self.readiness.observe(self.next_ticket, now) {
-            self.wake(gap, now, &mut actions);
+            self.refresh_after_pause(gap, now, &mut actions);
         }
         match event {
             Event::Tick => self.tick(now, &mut actions),
@@ -134,7 +134,7 @@
     }
 
     /// Forgets what may have changed during a pause and asks anew.
-    fn wake(&mut self, gap: Duration, now: Monotonic, actions: &mut Vec<Action>) {
+    fn refresh_after_pause(&mut self, gap: Duration, now: Monotonic, actions: &mut Vec<Action>) {
         actions.push(Action::Log(Note::Paused(gap)));
         self.sessions.forget();
         self.asking = None;
