--- a/crates/configuration/src/spread.rs
+++ b/crates/configuration/src/spread.rs
@@ -148,7 +148,7 @@
         if let Some(ticket) = self.schedule.late(now) {
             self.read_ended(ticket, Outcome::Failed, now);
         }
-        self.tend_staging(now, actions);
+        self.advance_staging(now, actions);
         if let Some(asking) = self.asking.take_if(|asking| now >= asking.deadline) {
             self.sessions.rest(&asking.peer, now);
             let peer = asking.peer;
--- a/crates/configuration/src/spread/platform.rs
+++ b/crates/configuration/src/spread/platform.rs
@@ -88,7 +88,7 @@
             return;
         };
         if !staging.add(section, bytes) {
-            staging.lose(section, now, &mut self.rng);
+            staging.retry_later(section, now, &mut self.rng);
         } else if staging.missing().is_empty() {
             self.finish_staging(now, actions);
         }
@@ -96,12 +96,12 @@
 
     pub(super) fn section_failed(&mut self, section: Section, now: Monotonic) {
         if let Some(staging) = &mut self.staging {
-            staging.lose(section, now, &mut self.rng);
+            staging.retry_later(section, now, &mut self.rng);
         }
     }
 
     /// Reads sections again whose read failed, or gives the whole up if it is late.
-    pub(super) fn tend_staging(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
+    pub(super) fn advance_staging(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
         let Some(staging) = &mut self.staging else {
             return;
         };
--- a/crates/configuration/src/staging.rs
+++ b/crates/configuration/src/staging.rs
@@ -28,7 +28,7 @@
     source: Source,
     deadline: Monotonic,
     /// Sections whose read failed, with the time to read them again.
-    lost: BTreeMap<Section, Monotonic>,
+    retries: BTreeMap<Section, Monotonic>,
 }
 
 impl Staging {
@@ -48,7 +48,7 @@
             manifest,
             source,
             deadline: now + STAGING_TIMEOUT,
-            lost: BTreeMap::new(),
+            retries: BTreeMap::new(),
         }
     }
 
@@ -71,18 +71,18 @@
     }
 
     /// Has a section read again later; what came so far is kept.
-    pub(crate) fn lose(&mut self, section: Section, now: Monotonic, rng: &mut impl Rng) {
+    pub(crate) fn retry_later(&mut self, section: Section, now: Monotonic, rng: &mut impl Rng) {
         let delay = RETRY_DELAY.mul_f64(rng.random_range(0.5..1.5));
-        self.lost.insert(section, now + delay);
+        self.retries.insert(section, now + delay);
     }
 
     /// Returns the sections that are due to be read again, with their keys.
     pub(crate) fn due(&mut self, now: Monotonic) -> Vec<(Section, String)> {
         let mut missing = self.missing();
-        let lost = &mut self.lost;
-        missing.retain(|(section, _)| lost.get(section).is_some_and(|&due| due <= now));
+        let retries = &mut self.retries;
+        missing.retain(|(section, _)| retries.get(section).is_some_and(|&due| due <= now));
         for (section, _) in &missing {
-            lost.remove(section);
+            retries.remove(section);
         }
         missing
     }
