--- a/crates/configuration/src/sessions.rs
+++ b/crates/configuration/src/sessions.rs
@@ -24,14 +24,14 @@
 /// Time between two announcements to a peer that still says it has an older one.
 const ANNOUNCE_GAP: Duration = Duration::from_secs(1);
 /// Time that a peer which was busy or silent is not asked.
-const REST: Duration = Duration::from_millis(500);
+const PEER_BACKOFF: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Debug, Default)]
 struct Session {
     head: Option<Head>,
     heard: Option<Monotonic>,
     announced: Option<Monotonic>,
-    rests_until: Monotonic,
+    backs_off_until: Monotonic,
 }
 
 /// All peers with a session up.
@@ -81,9 +81,9 @@
         })
     }
 
-    pub(crate) fn rest(&mut self, peer: &str, now: Monotonic) {
+    pub(crate) fn back_off(&mut self, peer: &str, now: Monotonic) {
         if let Some(session) = self.peers.get_mut(peer) {
-            session.rests_until = now + REST;
+            session.backs_off_until = now + PEER_BACKOFF;
         }
     }
 
@@ -96,7 +96,7 @@
     ) -> Option<InstanceId> {
         let ahead = self.peers.iter().filter(|(_, session)| {
             let wanted = session.head.as_ref().map(|head| acceptance.wants(head));
-            wanted == Some(true) && session.rests_until <= now
+            wanted == Some(true) && session.backs_off_until <= now
         });
         ahead.map(|(peer, _)| peer.clone()).choose(rng)
     }
@@ -115,7 +115,7 @@
         let awake = self
             .peers
             .iter()
-            .filter(|(_, session)| session.rests_until <= now);
+            .filter(|(_, session)| session.backs_off_until <= now);
         awake.map(|(peer, _)| peer.clone()).choose(rng)
     }
 
--- a/crates/configuration/src/spread.rs
+++ b/crates/configuration/src/spread.rs
@@ -150,7 +150,7 @@
         }
         self.advance_staging(now, actions);
         if let Some(asking) = self.asking.take_if(|asking| now >= asking.deadline) {
-            self.sessions.rest(&asking.peer, now);
+            self.sessions.back_off(&asking.peer, now);
             let peer = asking.peer;
             actions.push(Action::Log(Note::Unanswered { peer }));
         }
--- a/crates/configuration/src/spread/peer.rs
+++ b/crates/configuration/src/spread/peer.rs
@@ -115,7 +115,7 @@
         }
         match parcel.content {
             Content::Nothing => {}
-            Content::Busy => self.sessions.rest(peer, now),
+            Content::Busy => self.sessions.back_off(peer, now),
             Content::Newer { manifest, pieces } => {
                 let in_force = self.acceptance.in_force().cloned();
                 let source = parcel::unpack(&manifest, &pieces, in_force.as_deref());
