--- a/crates/configuration/src/sessions.rs
+++ b/crates/configuration/src/sessions.rs
@@ -66,7 +66,7 @@
     }
 
     /// Forgets what peers said, as after a pause.
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn reset(&mut self) {
         for session in self.peers.values_mut() {
             *session = Session::default();
         }
@@ -111,12 +111,12 @@
     }
 
     /// Returns any peer that does not rest.
-    pub(crate) fn any(&self, now: Monotonic, rng: &mut impl Rng) -> Option<InstanceId> {
-        let awake = self
+    pub(crate) fn any_available(&self, now: Monotonic, rng: &mut impl Rng) -> Option<InstanceId> {
+        let available = self
             .peers
             .iter()
             .filter(|(_, session)| session.backs_off_until <= now);
-        awake.map(|(peer, _)| peer.clone()).choose(rng)
+        available.map(|(peer, _)| peer.clone()).choose(rng)
     }
 
     /// Starts the waves for a configuration that has just come into force.
@@ -161,7 +161,7 @@
     }
 
     /// Returns whether a peer that has just said it is behind should be told now.
-    pub(crate) fn tell(&mut self, peer: &str, now: Monotonic) -> bool {
+    pub(crate) fn try_announce(&mut self, peer: &str, now: Monotonic) -> bool {
         let Some(session) = self.peers.get_mut(peer) else {
             return false;
         };
--- a/crates/configuration/src/spread.rs
+++ b/crates/configuration/src/spread.rs
@@ -136,7 +136,7 @@
     /// Forgets what may have changed during a pause and asks anew.
     fn refresh_after_pause(&mut self, gap: Duration, now: Monotonic, actions: &mut Vec<Action>) {
         actions.push(Action::Log(Note::Paused(gap)));
-        self.sessions.forget();
+        self.sessions.reset();
         self.asking = None;
         self.staging = None;
         self.schedule.refresh(now);
--- a/crates/configuration/src/spread/peer.rs
+++ b/crates/configuration/src/spread/peer.rs
@@ -58,7 +58,7 @@
             return;
         };
         match in_force.compare(head) {
-            Comparison::Newer if self.sessions.tell(peer, now) => {
+            Comparison::Newer if self.sessions.try_announce(peer, now) => {
                 actions.push(Action::Announce(vec![peer.clone()], in_force));
             }
             Comparison::Older => self.ask_next(now, actions),
@@ -144,7 +144,7 @@
         }
         let ahead = self.sessions.ahead(&self.acceptance, now, &mut self.rng);
         let peer = match ahead {
-            None if self.readiness.needs_peer() => self.sessions.any(now, &mut self.rng),
+            None if self.readiness.needs_peer() => self.sessions.any_available(now, &mut self.rng),
             found => found,
         };
         if let Some(peer) = peer {
