--- a/crates/configuration/src/spread.rs
+++ b/crates/configuration/src/spread.rs
@@ -33,7 +33,7 @@
 use crate::sessions::Sessions;
 use crate::source::Source;
 use crate::spread::peer::Allowance;
-use crate::spread::peer::Asking;
+use crate::spread::peer::Pending;
 use crate::staging::Staging;
 
 pub use crate::spread::event::Action;
@@ -49,7 +49,7 @@
     schedule: Schedule,
     sessions: Sessions,
     versions: Versions,
-    asking: Option<Asking>,
+    pending: Option<Pending>,
     staging: Option<Staging>,
     allowance: Allowance,
     next_ticket: Ticket,
@@ -75,7 +75,7 @@
             schedule: Schedule::new(now, &mut rng),
             sessions: Sessions::default(),
             versions: Versions::default(),
-            asking: None,
+            pending: None,
             staging: None,
             allowance: Allowance::new(now),
             next_ticket: 1,
@@ -137,7 +137,7 @@
     fn refresh_after_pause(&mut self, gap: Duration, now: Monotonic, actions: &mut Vec<Action>) {
         actions.push(Action::Log(Note::Paused(gap)));
         self.sessions.reset();
-        self.asking = None;
+        self.pending = None;
         self.staging = None;
         self.schedule.refresh(now);
         self.call(now, actions);
@@ -149,9 +149,9 @@
             self.read_ended(ticket, Outcome::Failed, now);
         }
         self.advance_staging(now, actions);
-        if let Some(asking) = self.asking.take_if(|asking| now >= asking.deadline) {
-            self.sessions.back_off(&asking.peer, now);
-            let peer = asking.peer;
+        if let Some(pending) = self.pending.take_if(|pending| now >= pending.deadline) {
+            self.sessions.back_off(&pending.peer, now);
+            let peer = pending.peer;
             actions.push(Action::Log(Note::Unanswered { peer }));
         }
         self.wave(now, actions);
@@ -161,7 +161,7 @@
 
     fn session_down(&mut self, peer: &str) {
         self.sessions.down(peer);
-        self.asking.take_if(|asking| &*asking.peer == peer);
+        self.pending.take_if(|pending| &*pending.peer == peer);
     }
 
     fn live(&mut self, live: &[Member], now: Monotonic, actions: &mut Vec<Action>) {
--- a/crates/configuration/src/spread/peer.rs
+++ b/crates/configuration/src/spread/peer.rs
@@ -27,7 +27,7 @@
 
 /// A question that waits for its answer.
 #[derive(Debug)]
-pub(super) struct Asking {
+pub(super) struct Pending {
     pub(super) peer: InstanceId,
     pub(super) ticket: Ticket,
     pub(super) deadline: Monotonic,
@@ -109,7 +109,7 @@
             self.observe_head(head, actions);
         }
         let ticket = parcel.ticket;
-        self.asking.take_if(|asking| asking.ticket == ticket);
+        self.pending.take_if(|pending| pending.ticket == ticket);
         if parcel.head.is_some() {
             self.readiness.answered(Origin::Peer, ticket);
         }
@@ -139,7 +139,7 @@
 
     /// Asks a peer that is ahead; any peer if none has answered since the start or the wake.
     pub(super) fn ask_next(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
-        if self.asking.is_some() {
+        if self.pending.is_some() {
             return;
         }
         let ahead = self.sessions.ahead(&self.acceptance, now, &mut self.rng);
@@ -169,7 +169,7 @@
             }),
             whole,
         };
-        self.asking = Some(Asking {
+        self.pending = Some(Pending {
             peer: peer.clone(),
             ticket,
             deadline: now + ASK_TIMEOUT,
