--- a/crates/configuration/src/parcel.rs
+++ b/crates/configuration/src/parcel.rs
@@ -215,7 +215,9 @@
     pieces: &BTreeMap<Section, Piece>,
     in_force: Option<&Checked>,
 ) -> Source {
-    let mut source = in_force.map_or_else(Source::default, |checked| kept(manifest, checked));
+    let mut source = in_force.map_or_else(Source::default, |checked| {
+        unchanged_sections(manifest, checked)
+    });
     source.manifest = manifest.clone();
     for (&section, piece) in pieces {
         let old = in_force.and_then(|checked| {
@@ -231,7 +233,7 @@
 }
 
 /// Returns the sections in force that `manifest` names too.
-pub(crate) fn kept(manifest: &[u8], checked: &Checked) -> Source {
+pub(crate) fn unchanged_sections(manifest: &[u8], checked: &Checked) -> Source {
     let mut source = Source::default();
     let Ok(manifest) = serde_json::from_slice::<Manifest>(manifest) else {
         return source;
@@ -246,6 +248,6 @@
 }
 
 /// Returns whether `bytes` are the section that `manifest` names.
-pub(crate) fn is_named(manifest: &Manifest, section: Section, bytes: &[u8]) -> bool {
+pub(crate) fn matches_manifest(manifest: &Manifest, section: Section, bytes: &[u8]) -> bool {
     manifest.sections.get(&section) == Some(&digest(bytes))
 }
--- a/crates/configuration/src/staging.rs
+++ b/crates/configuration/src/staging.rs
@@ -40,8 +40,9 @@
         in_force: Option<&Checked>,
         now: Monotonic,
     ) -> Self {
-        let mut source =
-            in_force.map_or_else(Source::default, |checked| parcel::kept(bytes, checked));
+        let mut source = in_force.map_or_else(Source::default, |checked| {
+            parcel::unchanged_sections(bytes, checked)
+        });
         source.manifest = bytes.clone();
         Self {
             head,
@@ -63,11 +64,11 @@
 
     /// Takes a section's bytes; returns whether they are the ones wanted.
     pub(crate) fn add(&mut self, section: Section, bytes: Value) -> bool {
-        let named = parcel::is_named(&self.manifest, section, &bytes);
-        if named {
+        let matches = parcel::matches_manifest(&self.manifest, section, &bytes);
+        if matches {
             self.source.sections.insert(section, bytes);
         }
-        named
+        matches
     }
 
     /// Has a section read again later; what came so far is kept.
