--- a/crates/configuration/src/spread.rs
+++ b/crates/configuration/src/spread.rs
@@ -210,7 +210,7 @@
         }
     }
 
-    fn draw_ticket(&mut self) -> Ticket {
+    fn allocate_ticket(&mut self) -> Ticket {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         ticket
--- a/crates/configuration/src/spread/peer.rs
+++ b/crates/configuration/src/spread/peer.rs
@@ -159,7 +159,7 @@
         now: Monotonic,
         actions: &mut Vec<Action>,
     ) {
-        let ticket = self.draw_ticket();
+        let ticket = self.allocate_ticket();
         let have = self.acceptance.in_force();
         let ask = Ask {
             ticket,
--- a/crates/configuration/src/spread/platform.rs
+++ b/crates/configuration/src/spread/platform.rs
@@ -136,7 +136,7 @@
         let ticket = self.next_ticket;
         let call = self.schedule.due(ticket, is_isolated, now, &mut self.rng);
         let Some(call) = call else { return };
-        self.draw_ticket();
+        self.allocate_ticket();
         actions.push(Action::ReadManifest {
             ticket: call.ticket,
             known: self.known_digest(),
