--- a/crates/configuration/src/difference.rs
+++ b/crates/configuration/src/difference.rs
@@ -79,20 +79,20 @@
 pub fn diff(old: &Checked, new: &Checked) -> Vec<Change> {
     let mut changes = Vec::new();
     let revisions = (old.revision().to_string(), new.revision().to_string());
-    push(&mut changes, Kind::Revision, "manifest", revisions);
+    push_change(&mut changes, Kind::Revision, "manifest", revisions);
     let presets = (old.preset_name().to_string(), new.preset_name().to_string());
-    push(&mut changes, Kind::Preset, "in force", presets);
+    push_change(&mut changes, Kind::Preset, "in force", presets);
     let (before, after) = (fleet(old), fleet(new));
-    maps(&mut changes, Kind::Fleet, (&before, &after));
+    push_map_changes(&mut changes, Kind::Fleet, (&before, &after));
     drains(old, new, &mut changes);
     let (before, after) = (placements(old), placements(new));
-    maps(&mut changes, Kind::Placement, (&before, &after));
+    push_map_changes(&mut changes, Kind::Placement, (&before, &after));
     let (before, after) = (limits(old), limits(new));
-    maps(&mut changes, Kind::Limit, (&before, &after));
+    push_map_changes(&mut changes, Kind::Limit, (&before, &after));
     let (before, after) = (services(old), services(new));
-    maps(&mut changes, Kind::Service, (&before, &after));
+    push_map_changes(&mut changes, Kind::Service, (&before, &after));
     let (before, after) = (settings(old), settings(new));
-    maps(&mut changes, Kind::Setting, (&before, &after));
+    push_map_changes(&mut changes, Kind::Setting, (&before, &after));
     changes
 }
 
@@ -122,9 +122,13 @@
     }
 }
 
-type Words = BTreeMap<String, String>;
+type Descriptions = BTreeMap<String, String>;
 
-fn words<K: Display, V>(prefix: &str, map: &BTreeMap<K, V>, text: impl Fn(&V) -> String) -> Words {
+fn describe<K: Display, V>(
+    prefix: &str,
+    map: &BTreeMap<K, V>,
+    text: impl Fn(&V) -> String,
+) -> Descriptions {
     map.iter()
         .map(|(name, value)| (format!("{prefix}{name}"), text(value)))
         .collect()
@@ -135,7 +139,7 @@
     serde_json::to_string(value).unwrap_or_else(|_| format!("{value:?}"))
 }
 
-fn push(changes: &mut Vec<Change>, kind: Kind, name: &str, (old, new): (String, String)) {
+fn push_change(changes: &mut Vec<Change>, kind: Kind, name: &str, (old, new): (String, String)) {
     if old != new {
         let name = name.to_owned();
         changes.push(Change {
@@ -147,25 +151,30 @@
     }
 }
 
-fn maps(changes: &mut Vec<Change>, kind: Kind, (old, new): (&Words, &Words)) {
+fn push_map_changes(
+    changes: &mut Vec<Change>,
+    kind: Kind,
+    (old, new): (&Descriptions, &Descriptions),
+) {
     let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     for name in names {
-        let pair = |words: &Words| words.get(name).cloned().unwrap_or_default();
-        push(changes, kind, name, (pair(old), pair(new)));
+        let pair =
+            |descriptions: &Descriptions| descriptions.get(name).cloned().unwrap_or_default();
+        push_change(changes, kind, name, (pair(old), pair(new)));
     }
 }
 
-fn fleet(checked: &Checked) -> Words {
+fn fleet(checked: &Checked) -> Descriptions {
     let fleet = checked.fleet();
-    let mut all = words("failure domain ", &fleet.failure_domains, text);
-    all.extend(words("entry ", &fleet.entries, text));
-    all.extend(words("upstream ", &fleet.upstreams, text));
-    all.extend(words("pool ", &fleet.pools, text));
+    let mut all = describe("failure domain ", &fleet.failure_domains, text);
+    all.extend(describe("entry ", &fleet.entries, text));
+    all.extend(describe("upstream ", &fleet.upstreams, text));
+    all.extend(describe("pool ", &fleet.pools, text));
     all
 }
 
-fn placements(checked: &Checked) -> Words {
-    words("", &checked.preset().placements, |placement| {
+fn placements(checked: &Checked) -> Descriptions {
+    describe("", &checked.preset().placements, |placement| {
         let adapters = placement.adapters.join("+");
         let separator = if adapters.is_empty() { "" } else { " with " };
         let Placement { model, version, .. } = placement;
@@ -173,8 +182,8 @@
     })
 }
 
-fn services(checked: &Checked) -> Words {
-    words("", &checked.services().services, text)
+fn services(checked: &Checked) -> Descriptions {
+    describe("", &checked.services().services, text)
 }
 
 fn drains(old: &Checked, new: &Checked, changes: &mut Vec<Change>) {
@@ -190,7 +199,7 @@
     for name in names {
         let known = old.role(name).is_some() && new.role(name).is_some();
         if known || new.drains(name) {
-            push(
+            push_change(
                 changes,
                 Kind::Drain,
                 name,
@@ -200,22 +209,22 @@
     }
 }
 
-fn limits(checked: &Checked) -> Words {
+fn limits(checked: &Checked) -> Descriptions {
     let names = checked.workspaces().workspaces.keys();
     names
         .filter_map(|name| {
             let limits = checked.limits(name)?;
             let rate = limits.tokens_per_second;
             let burst = limits.burst_tokens;
-            let words = format!("{rate} tokens/s, burst {burst}, weight {}", limits.weight);
-            Some((name.to_string(), words))
+            let description = format!("{rate} tokens/s, burst {burst}, weight {}", limits.weight);
+            Some((name.to_string(), description))
         })
         .collect()
 }
 
 /// Returns the settings of the preset in force and the whole of each other preset.
-fn settings(checked: &Checked) -> Words {
-    let mut all = words("", &checked.presets().presets, text);
+fn settings(checked: &Checked) -> Descriptions {
+    let mut all = describe("", &checked.presets().presets, text);
     all.remove(&**checked.preset_name());
     let preset = checked.preset();
     let fields = [
