--- a/crates/configuration/src/acceptance.rs
+++ b/crates/configuration/src/acceptance.rs
@@ -14,7 +14,7 @@
 use crate::defect::Refusal;
 use crate::head::Comparison;
 use crate::head::Head;
-use crate::head::is_same;
+use crate::head::digests_match;
 use crate::parse;
 use crate::source::Source;
 
@@ -158,7 +158,7 @@
 }
 
 fn contains(digests: &VecDeque<Digest>, digest: &str) -> bool {
-    digests.iter().any(|known| is_same(known, digest))
+    digests.iter().any(|known| digests_match(known, digest))
 }
 
 fn remember(digests: &mut VecDeque<Digest>, digest: Digest) {
--- a/crates/configuration/src/head.rs
+++ b/crates/configuration/src/head.rs
@@ -11,9 +11,9 @@
 use crate::checked::Checked;
 
 /// Characters of a digest that logs show.
-const SHORT: usize = 12;
+const LOGGED_DIGEST_CHARS: usize = 12;
 /// Fewest characters of a digest that tell two manifests of one revision apart: 64 bits.
-pub const MIN_DIGEST: usize = 16;
+pub const MIN_DIGEST_CHARS: usize = 16;
 
 /// Revision and digest of a manifest.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
     pub fn short(&self) -> Self {
         Self {
             revision: self.revision,
-            digest: self.digest.chars().take(MIN_DIGEST).collect(),
+            digest: self.digest.chars().take(MIN_DIGEST_CHARS).collect(),
         }
     }
 
@@ -65,7 +65,7 @@
         match self.revision.cmp(&in_force.revision) {
             std::cmp::Ordering::Greater => Comparison::Newer,
             std::cmp::Ordering::Less => Comparison::Older,
-            std::cmp::Ordering::Equal if is_same(&self.digest, &in_force.digest) => {
+            std::cmp::Ordering::Equal if digests_match(&self.digest, &in_force.digest) => {
                 Comparison::Same
             }
             std::cmp::Ordering::Equal => Comparison::Conflict,
@@ -75,14 +75,14 @@
 
 /// Returns whether two digests, of which either may be shortened, are of the same bytes.
 #[must_use]
-pub fn is_same(one: &str, other: &str) -> bool {
+pub fn digests_match(one: &str, other: &str) -> bool {
     let length = one.len().min(other.len());
-    length >= MIN_DIGEST && one.as_bytes()[..length] == other.as_bytes()[..length]
+    length >= MIN_DIGEST_CHARS && one.as_bytes()[..length] == other.as_bytes()[..length]
 }
 
 impl Display for Head {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
-        let digest: String = self.digest.chars().take(SHORT).collect();
+        let digest: String = self.digest.chars().take(LOGGED_DIGEST_CHARS).collect();
         write!(f, "{}@{digest}", self.revision)
     }
 }
--- a/crates/configuration/tests/all/spread.rs
+++ b/crates/configuration/tests/all/spread.rs
@@ -5,7 +5,7 @@
 use auburnline_configuration::checked::Checked;
 use auburnline_configuration::head::Comparison;
 use auburnline_configuration::head::Head;
-use auburnline_configuration::head::MIN_DIGEST;
+use auburnline_configuration::head::MIN_DIGEST_CHARS;
 use auburnline_configuration::parcel::Ask;
 use auburnline_configuration::parcel::Content;
 use auburnline_configuration::schedule::Member;
@@ -314,7 +314,7 @@
     let short = whole.short();
     expect_that!(short.compare(Some(&whole)), eq(Comparison::Same));
     let mut other = short.clone();
-    other.digest = "0".repeat(MIN_DIGEST);
+    other.digest = "0".repeat(MIN_DIGEST_CHARS);
     expect_that!(other.compare(Some(&whole)), eq(Comparison::Conflict));
     other.digest.clear();
     expect_that!(other.compare(Some(&whole)), eq(Comparison::Conflict));
