--- a/crates/configuration/src/acceptance.rs
+++ b/crates/configuration/src/acceptance.rs
@@ -19,7 +19,7 @@
 use crate::source::Source;
 
 /// Most refused or conflicting digests that are remembered.
-const MAX_REMEMBERED: usize = 16;
+const MAX_REMEMBERED_DIGESTS: usize = 16;
 
 /// Counts since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -165,7 +165,7 @@
     if contains(digests, &digest) {
         return;
     }
-    if digests.len() == MAX_REMEMBERED {
+    if digests.len() == MAX_REMEMBERED_DIGESTS {
         digests.pop_front();
     }
     digests.push_back(digest);
--- a/crates/configuration/src/spread/peer.rs
+++ b/crates/configuration/src/spread/peer.rs
@@ -23,7 +23,7 @@
 /// Bytes a second that a process sends to peers that ask.
 const SERVED_BYTES_PER_SECOND: f64 = 4_000_000.0;
 /// Most bytes that a process sends at once to peers that ask.
-const SERVED_BURST: f64 = 8_000_000.0;
+const SERVED_BURST_BYTES: f64 = 8_000_000.0;
 
 /// A question that waits for its answer.
 #[derive(Debug)]
@@ -182,7 +182,7 @@
     /// Returns the full allowance.
     pub(super) fn new(now: Monotonic) -> Self {
         Self {
-            bytes: SERVED_BURST,
+            bytes: SERVED_BURST_BYTES,
             at: now,
         }
     }
@@ -191,7 +191,7 @@
     fn take(&mut self, bytes: usize, now: Monotonic) -> bool {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         self.at = now;
-        self.bytes = (self.bytes + passed * SERVED_BYTES_PER_SECOND).min(SERVED_BURST);
+        self.bytes = (self.bytes + passed * SERVED_BYTES_PER_SECOND).min(SERVED_BURST_BYTES);
         if self.bytes <= 0.0 {
             return false;
         }
--- a/crates/configuration/src/spread/platform.rs
+++ b/crates/configuration/src/spread/platform.rs
@@ -20,7 +20,7 @@
 use crate::staging::Staging;
 
 /// Time without a word from any peer after which a process counts itself isolated.
-const ISOLATION: Duration = Duration::from_secs(5);
+const ISOLATION_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Spread {
     pub(super) fn manifest(
@@ -132,7 +132,7 @@
     }
 
     pub(super) fn call(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
-        let is_isolated = !self.sessions.any_heard(now, ISOLATION);
+        let is_isolated = !self.sessions.any_heard(now, ISOLATION_TIMEOUT);
         let ticket = self.next_ticket;
         let call = self.schedule.due(ticket, is_isolated, now, &mut self.rng);
         let Some(call) = call else { return };
