--- a/crates/configuration/src/check/fleet.rs
+++ b/crates/configuration/src/check/fleet.rs
@@ -35,7 +35,7 @@
 }
 
 /// Records `path` as the owner of `name`, or adds a defect if it has one.
-fn own(owners: &mut BTreeMap<String, String>, name: &str, path: String, findings: &mut Findings) {
+fn claim(owners: &mut BTreeMap<String, String>, name: &str, path: String, findings: &mut Findings) {
     if let Some(other) = owners.get(name) {
         let cause = Cause::Repeated {
             name: name.to_owned(),
@@ -107,7 +107,7 @@
     for (name, group) in &pool.groups {
         let path = format!("{path}.groups.{name}");
         findings.name(&path, name);
-        own(&mut owners.groups, name, path.clone(), findings);
+        claim(&mut owners.groups, name, path.clone(), findings);
         check_group(fleet, &path, group, owners, findings);
     }
 }
@@ -135,6 +135,6 @@
         if !fleet.upstreams.contains_key(instance) {
             findings.unknown(&path, Subject::Upstream, instance);
         }
-        own(&mut owners.members, instance, path, findings);
+        claim(&mut owners.members, instance, path, findings);
     }
 }
