--- a/crates/configuration/examples/spread/main.rs
+++ b/crates/configuration/examples/spread/main.rs
@@ -24,7 +24,7 @@
 use crate::support::Draft;
 use crate::support::simulation::Maker;
 use crate::support::simulation::Simulation;
-use crate::support::simulation::sound;
+use crate::support::simulation::make_spread;
 
 /// Sizes of the fleets.
 const SIZES: [usize; 5] = [6, 24, 96, 384, 1060];
@@ -304,8 +304,8 @@
     println!("{}", HEAD.join(separator(is_csv)));
     for size in SIZES {
         let policies: [(&str, Maker, Access); 4] = [
-            ("spread", sound, Access::All),
-            ("spread", sound, Access::One),
+            ("spread", make_spread, Access::All),
+            ("spread", make_spread, Access::One),
             ("all watch", baseline::watches, Access::All),
             ("all poll", baseline::polls, Access::All),
         ];
--- a/crates/configuration/tests/all/spread.rs
+++ b/crates/configuration/tests/all/spread.rs
@@ -25,7 +25,7 @@
 use crate::support::simulation::Service;
 use crate::support::simulation::Simulation;
 use crate::support::simulation::links;
-use crate::support::simulation::sound;
+use crate::support::simulation::make_spread;
 
 /// First seed of the runs, unless the environment gives one.
 const SEED: u64 = 1;
@@ -83,7 +83,7 @@
             }
         }
         13 => run.nodes.iter_mut().for_each(|node| node.side = 0),
-        14 | 15 => run.mislead(index),
+        14 | 15 => run.deliver_wrong_live_list(index),
         16 => run.nodes[index].is_cut_from_service ^= true,
         _ => run.loss = run.rng.random_range(0.0..0.3),
     }
@@ -135,7 +135,7 @@
     let mut events = 0;
     let mut seed = first;
     while events < least {
-        let run = trial(seed, sound);
+        let run = trial(seed, make_spread);
         events += run.events;
         assert_that!(run.violations, is_empty(), "seed {seed}");
         seed += 1;
@@ -145,7 +145,7 @@
 
 #[gtest]
 fn a_new_process_with_stale_reads_only_takes_its_peers_word() {
-    let mut run = fleet(SEED, sound);
+    let mut run = fleet(SEED, make_spread);
     run.run(Duration::from_secs(5), |_| false);
     run.publish(Draft::default().revision(7).source());
     run.run(Duration::from_secs(10), |_| false);
@@ -159,7 +159,7 @@
 
 #[gtest]
 fn a_new_process_with_neither_source_is_not_ready() {
-    let mut run = fleet(SEED, sound);
+    let mut run = fleet(SEED, make_spread);
     run.run(Duration::from_secs(5), |_| false);
     run.set_service(Service::Down);
     run.nodes[0].side = 1;
@@ -171,7 +171,7 @@
 
 #[gtest]
 fn a_frozen_process_with_neither_source_stays_unready() {
-    let mut run = fleet(SEED, sound);
+    let mut run = fleet(SEED, make_spread);
     run.run(Duration::from_secs(5), |_| false);
     expect_true!(run.nodes[0].process.may_send(run.now));
     run.freeze(0, Duration::from_mins(1));
@@ -188,7 +188,7 @@
 
 #[gtest]
 fn peers_alone_spread_a_revision() {
-    let mut run = fleet(SEED, sound);
+    let mut run = fleet(SEED, make_spread);
     run.run(Duration::from_secs(5), |_| false);
     for (index, node) in run.nodes.iter_mut().enumerate() {
         node.is_cut_from_service = index % 3 != 0;
@@ -221,7 +221,7 @@
     fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action> {
         let is_manifest = matches!(event, Event::Manifest(..));
         if self.fault == Fault::Reverts && is_manifest {
-            self.inner = sound(&self.member, 1, now);
+            self.inner = make_spread(&self.member, 1, now);
         }
         let is_set = self.inner.head().is_some();
         if self.fault == Fault::Deaf && is_set && !matches!(event, Event::Tick) {
@@ -245,7 +245,7 @@
 }
 
 fn plant(fault: Fault, member: &Member, seed: u64, now: Monotonic) -> Box<dyn Process> {
-    let inner = sound(member, seed, now);
+    let inner = make_spread(member, seed, now);
     if &*member.instance != "p0" {
         return inner;
     }
--- a/crates/configuration/tests/all/support/simulation.rs
+++ b/crates/configuration/tests/all/support/simulation.rs
@@ -143,7 +143,7 @@
 /// Makes the process of one member from a seed.
 pub(crate) type Maker = fn(&Member, u64, Monotonic) -> Box<dyn Process>;
 
-pub(crate) fn sound(member: &Member, seed: u64, now: Monotonic) -> Box<dyn Process> {
+pub(crate) fn make_spread(member: &Member, seed: u64, now: Monotonic) -> Box<dyn Process> {
     let instance = member.instance.clone();
     let domain = member.failure_domain.clone();
     Box::new(Spread::new(instance, domain, seed, now))
@@ -250,7 +250,7 @@
     }
 
     /// Gives a process a list that is wrong both ways: live ones missing, dead ones listed.
-    pub(crate) fn mislead(&mut self, index: usize) {
+    pub(crate) fn deliver_wrong_live_list(&mut self, index: usize) {
         let mut live = Vec::new();
         for other in 0..self.nodes.len() {
             let mut member = self.nodes[other].member.clone();
@@ -545,8 +545,9 @@
     fn install(&mut self, index: usize, checked: &Checked) {
         let head = Head::of(checked);
         let name = &self.nodes[index].member.instance;
-        let is_sound = |published: &Published| published.is_valid && published.head == head;
-        if !self.published.iter().any(is_sound) {
+        let is_valid_published =
+            |published: &Published| published.is_valid && published.head == head;
+        if !self.published.iter().any(is_valid_published) {
             let violation = format!("{:?}: {name} installs unsound {head}", self.now);
             self.violations.push(violation);
         }
