--- a/crates/configuration/tests/all/spread.rs
+++ b/crates/configuration/tests/all/spread.rs
@@ -61,7 +61,7 @@
 }
 
 /// Brings about one fault, or ends some.
-fn disturb(run: &mut Simulation) {
+fn inject_fault(run: &mut Simulation) {
     let count = run.nodes.len();
     let index = run.rng.random_range(0..count);
     let old = run.rng.random_range(0..run.published.len());
@@ -90,7 +90,7 @@
 }
 
 /// Ends all faults.
-fn heal(run: &mut Simulation) {
+fn end_faults(run: &mut Simulation) {
     run.loss = 0.0;
     for node in &mut run.nodes {
         node.side = 0;
@@ -100,15 +100,15 @@
 }
 
 /// Runs one fleet through faults and back; returns the run.
-fn trial(seed: u64, maker: Maker) -> Simulation {
+fn run_with_faults(seed: u64, maker: Maker) -> Simulation {
     let mut run = fleet(seed, maker);
     for _ in 0..40 {
-        disturb(&mut run);
+        inject_fault(&mut run);
         let length = run.rng.random_range(10..4_000);
         let end = run.now + Duration::from_millis(length);
         run.run(end, |_| false);
     }
-    heal(&mut run);
+    end_faults(&mut run);
     // The longest freeze ends before the bound starts.
     let end = run.now + Duration::from_mins(1) + SPREAD_BOUND;
     run.run(end, |_| false);
@@ -135,7 +135,7 @@
     let mut events = 0;
     let mut seed = first;
     while events < least {
-        let run = trial(seed, make_spread);
+        let run = run_with_faults(seed, make_spread);
         events += run.events;
         assert_that!(run.violations, is_empty(), "seed {seed}");
         seed += 1;
@@ -180,7 +180,7 @@
     run.nodes[0].side = 1;
     run.run(Duration::from_secs(90), |_| false);
     expect_false!(run.nodes[0].process.may_send(run.now));
-    heal(&mut run);
+    end_faults(&mut run);
     run.run(Duration::from_secs(95), |_| false);
     expect_true!(run.nodes[0].process.may_send(run.now));
     expect_that!(run.violations, is_empty());
@@ -206,9 +206,9 @@
     /// Sends whatever it knows.
     SendsAlways,
     /// Hears no peer and no service after its first configuration.
-    Deaf,
+    IgnoresEvents,
     /// Installs what nobody published.
-    Invents,
+    InstallsUnpublished,
 }
 
 struct Faulty {
@@ -224,13 +224,13 @@
             self.inner = make_spread(&self.member, 1, now);
         }
         let is_set = self.inner.head().is_some();
-        if self.fault == Fault::Deaf && is_set && !matches!(event, Event::Tick) {
+        if self.fault == Fault::IgnoresEvents && is_set && !matches!(event, Event::Tick) {
             return Vec::new();
         }
         let mut actions = self.inner.handle(event, now);
-        if self.fault == Fault::Invents && is_manifest {
-            let invented = Draft::default().revision(1_000_000).source();
-            actions.extend(Checked::parse(invented).map(Action::Install));
+        if self.fault == Fault::InstallsUnpublished && is_manifest {
+            let unpublished = Draft::default().revision(1_000_000).source();
+            actions.extend(Checked::parse(unpublished).map(Action::Install));
         }
         actions
     }
@@ -244,7 +244,7 @@
     }
 }
 
-fn plant(fault: Fault, member: &Member, seed: u64, now: Monotonic) -> Box<dyn Process> {
+fn make_faulty(fault: Fault, member: &Member, seed: u64, now: Monotonic) -> Box<dyn Process> {
     let inner = make_spread(member, seed, now);
     if &*member.instance != "p0" {
         return inner;
@@ -260,16 +260,22 @@
 #[gtest]
 fn each_planted_fault_is_caught() {
     let cases: [(Maker, &str); 4] = [
-        (|m, s, n| plant(Fault::Reverts, m, s, n), "goes back"),
+        (|m, s, n| make_faulty(Fault::Reverts, m, s, n), "goes back"),
         (
-            |m, s, n| plant(Fault::SendsAlways, m, s, n),
+            |m, s, n| make_faulty(Fault::SendsAlways, m, s, n),
             "sends before its refresh",
         ),
-        (|m, s, n| plant(Fault::Deaf, m, s, n), "lacks"),
-        (|m, s, n| plant(Fault::Invents, m, s, n), "installs unsound"),
+        (
+            |m, s, n| make_faulty(Fault::IgnoresEvents, m, s, n),
+            "lacks",
+        ),
+        (
+            |m, s, n| make_faulty(Fault::InstallsUnpublished, m, s, n),
+            "installs unsound",
+        ),
     ];
     for (maker, violation) in cases {
-        let run = trial(SEED, maker);
+        let run = run_with_faults(SEED, maker);
         expect_that!(run.violations, contains(contains_substring(violation)));
     }
 }
@@ -321,7 +327,7 @@
 }
 
 /// Returns a process that has a configuration of nearly 1 MB in force.
-fn laden(now: Monotonic) -> Spread {
+fn with_large_configuration(now: Monotonic) -> Spread {
     let limits = json!({"tokens_per_second": 1, "burst_tokens": 1, "weight": 1});
     let all = (0..13_000).map(|index| (format!("workspace-{index:06}"), limits.clone()));
     let all: serde_json::Map<String, serde_json::Value> = all.collect();
@@ -339,10 +345,10 @@
 #[gtest]
 fn a_peer_that_has_sent_enough_is_busy_and_is_asked_again_later() {
     let mut now = Duration::from_secs(1);
-    let mut laden = laden(now);
+    let mut answerer = with_large_configuration(now);
     let mut asker = Spread::new("q".into(), "d".into(), SEED, now);
     let mut answer = |now: Monotonic, ask: &Ask| {
-        let actions = laden.handle(Event::Asked("q".into(), ask.clone()), now);
+        let actions = answerer.handle(Event::Asked("q".into(), ask.clone()), now);
         let parcel = actions.into_iter().find_map(|action| match action {
             Action::Answer(_, parcel) => Some(parcel),
             _ => None,
