--- a/crates/configuration/examples/spread/baseline.rs
+++ b/crates/configuration/examples/spread/baseline.rs
@@ -39,7 +39,7 @@
     period: Duration,
     next: Monotonic,
     ticket: Ticket,
-    waits: bool,
+    is_waiting: bool,
     rng: ChaCha8Rng,
 }
 
@@ -54,16 +54,16 @@
             period,
             next: now + Duration::from_secs(1).mul_f64(rng.random()),
             ticket: 0,
-            waits: false,
+            is_waiting: false,
             rng,
         }
     }
 
     fn read(&mut self, now: Monotonic) -> Vec<Action> {
-        if self.waits || now < self.next || !self.missing.is_empty() {
+        if self.is_waiting || now < self.next || !self.missing.is_empty() {
             return Vec::new();
         }
-        self.waits = true;
+        self.is_waiting = true;
         self.ticket += 1;
         self.next = now + self.period;
         vec![Action::ReadManifest {
@@ -74,7 +74,7 @@
     }
 
     fn manifest(&mut self, bytes: &std::sync::Arc<[u8]>) -> Vec<Action> {
-        self.waits = false;
+        self.is_waiting = false;
         let Ok(manifest) = serde_json::from_slice::<Manifest>(bytes) else {
             return Vec::new();
         };
@@ -126,7 +126,7 @@
                 }
             }
             Event::ManifestFailed(_) | Event::SectionFailed(_) => {
-                self.waits = false;
+                self.is_waiting = false;
                 self.missing.clear();
                 self.next = now + RETRY_DELAY.mul_f64(self.rng.random_range(0.5..1.5));
                 Vec::new()
--- a/crates/configuration/examples/spread/main.rs
+++ b/crates/configuration/examples/spread/main.rs
@@ -32,20 +32,20 @@
 const CHANGES_A_DAY: f64 = 590.0;
 const SECONDS_A_DAY: f64 = 86_400.0;
 /// Slots of one group.
-const GROUP: usize = 8;
+const SLOTS_PER_GROUP: usize = 8;
 /// Most groups that an entry keeps sessions to.
 const MAX_GROUPS: usize = 90;
 /// Revisions that are published for the times to in force.
 const REVISIONS: u64 = 20;
 /// Time between two of them.
-const GAP: Duration = Duration::from_secs(10);
+const PUBLISH_INTERVAL: Duration = Duration::from_secs(10);
 /// Simulated time over which the calls without changes are counted: two followers' periods at
 /// target size.
-const QUIET: Duration = Duration::from_secs(1300);
+const IDLE_DURATION: Duration = Duration::from_secs(1300);
 /// The same where the rate is plain.
-const SHORT_QUIET: Duration = Duration::from_secs(100);
+const SHORT_IDLE_DURATION: Duration = Duration::from_secs(100);
 /// Calls a second that the service answers.
-const CAPACITY: u64 = 2000;
+const CALLS_PER_SECOND_CAPACITY: u64 = 2000;
 
 /// Who has access to the configuration service.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -96,12 +96,12 @@
         for other in pick(&name(entry), &places) {
             join(entry, numbers[&other]);
         }
-        for group in (entries..size).step_by(GROUP).take(MAX_GROUPS) {
+        for group in (entries..size).step_by(SLOTS_PER_GROUP).take(MAX_GROUPS) {
             join(entry, group);
         }
     }
     for slot in entries..size {
-        let first = slot - (slot - entries) % GROUP;
+        let first = slot - (slot - entries) % SLOTS_PER_GROUP;
         if first != slot {
             join(first, slot);
         }
@@ -123,11 +123,11 @@
     let domains = if size < 96 { 3 } else { 6 };
     let links = sessions(size, domains);
     let mut run = Simulation::new(seed, domains, links, maker, draft(1).source());
-    run.capacity = CAPACITY;
+    run.capacity = CALLS_PER_SECOND_CAPACITY;
     run
 }
 
-fn part(sorted: &[Duration], share: f64) -> Duration {
+fn quantile(sorted: &[Duration], share: f64) -> Duration {
     let last = u32::try_from(sorted.len() - 1).expect("a small number");
     let index = (f64::from(last) * share).round();
     // Exact: the index is a small whole number.
@@ -161,13 +161,13 @@
     let start_calls = run.calls.values().copied().max().unwrap_or(0);
     run.run(Duration::from_secs(35), |_| false);
     let before = total_calls(&run);
-    let quiet = if policy == "spread" && access == Access::All {
-        QUIET
+    let idle = if policy == "spread" && access == Access::All {
+        IDLE_DURATION
     } else {
-        SHORT_QUIET
+        SHORT_IDLE_DURATION
     };
-    run.run(run.now + quiet, |_| false);
-    let calls = ratio(total_calls(&run) - before, quiet.as_secs_f64());
+    run.run(run.now + idle, |_| false);
+    let calls = ratio(total_calls(&run) - before, idle.as_secs_f64());
     if access == Access::One {
         cut_all_but_one(&mut run);
     }
@@ -181,7 +181,7 @@
     for revision in 2..2 + REVISIONS {
         let at = run.now;
         run.publish(draft(revision).source());
-        run.run(at + GAP, |_| false);
+        run.run(at + PUBLISH_INTERVAL, |_| false);
         for node in &run.nodes {
             match node.installs.get(&revision) {
                 Some(installed) => times.push(installed.saturating_sub(at)),
@@ -213,9 +213,9 @@
         access,
         calls,
         peak_calls: peak_calls.unwrap_or(0),
-        p50: part(&times, 0.5),
-        p99: part(&times, 0.99),
-        worst: part(&times, 1.0),
+        p50: quantile(&times, 0.5),
+        p99: quantile(&times, 0.99),
+        worst: quantile(&times, 1.0),
         missing,
         messages: ratio(all_messages, count) * per_second,
         bytes: ratio(all_bytes, count) * per_second,
@@ -238,7 +238,7 @@
     }
 }
 
-const HEAD: [&str; 15] = [
+const COLUMNS: [&str; 15] = [
     "processes",
     "   policy",
     "service",
@@ -289,7 +289,7 @@
     }
     let padded: Vec<String> = cells
         .iter()
-        .zip(HEAD)
+        .zip(COLUMNS)
         .map(|(cell, head)| format!("{cell:>width$}", width = head.len()))
         .collect();
     println!("{}", padded.join(separator(is_csv)));
@@ -301,7 +301,7 @@
     let seed = arguments.iter().find_map(|argument| argument.parse().ok());
     let seed = seed.unwrap_or(1);
     println!("seed {seed}, watch {} s", WATCH_WAIT.as_secs());
-    println!("{}", HEAD.join(separator(is_csv)));
+    println!("{}", COLUMNS.join(separator(is_csv)));
     for size in SIZES {
         let policies: [(&str, Maker, Access); 4] = [
             ("spread", make_spread, Access::All),
