--- a/crates/configuration/src/acceptance.rs
+++ b/crates/configuration/src/acceptance.rs
@@ -1,8 +1,10 @@
-//! Acceptance of configurations: the highest valid revision wins and is never left.
+//! Acceptance of configurations: the highest valid revision wins, and no process reverts to a lower
+//! one.
 //!
-//! One value decides for a process, so no vote is needed: whatever way the bytes came, they end
-//! here. The same revision with another digest keeps what is in force. An invalid configuration is
-//! refused whole and its digest is remembered, so that it isn't fetched again.
+//! Bytes from the configuration service and from peers are all offered to the one [`Acceptance`] of
+//! the process, so processes need no vote. The same revision with another digest doesn't replace
+//! the configuration in force. An invalid configuration is refused as a whole and its digest is
+//! remembered, so that it isn't fetched again.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -18,23 +20,23 @@
 use crate::parse;
 use crate::source::Source;
 
-/// Most refused or conflicting digests that are remembered.
+/// Maximum number of refused digests, and of conflicting ones, that are remembered.
 const MAX_REMEMBERED_DIGESTS: usize = 16;
 
-/// Counts since the process started.
+/// Counters since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Configurations taken into force.
     pub accepted: u64,
     /// Invalid configurations refused.
     pub refused: u64,
-    /// Sightings of another digest under the revision in force.
+    /// Heads observed that have the revision in force but another digest.
     pub conflicts: u64,
-    /// Sightings of an older revision.
+    /// Heads observed that have an older revision.
     pub stale: u64,
 }
 
-/// What became of offered bytes.
+/// Result of [`Acceptance::offer`].
 #[derive(Clone, Debug)]
 pub enum Verdict {
     /// Now in force.
@@ -45,11 +47,11 @@
     Older,
     /// The revision in force with another digest; ignored and counted.
     Conflict,
-    /// Invalid; refused whole.
+    /// Invalid; refused as a whole.
     Refused(Refusal),
 }
 
-/// The configuration in force and what was turned away.
+/// The configuration in force, and the digests of those refused or conflicting with it.
 #[derive(Debug, Default)]
 pub struct Acceptance {
     in_force: Option<Arc<Checked>>,
@@ -60,32 +62,33 @@
 }
 
 impl Acceptance {
-    /// Returns the configuration in force.
+    /// Returns the configuration in force, `None` until the first is accepted.
     #[must_use]
     pub fn in_force(&self) -> Option<&Arc<Checked>> {
         self.in_force.as_ref()
     }
 
-    /// Returns the head of the configuration in force.
+    /// Returns the head of the configuration in force, `None` until the first is accepted.
     #[must_use]
     pub fn head(&self) -> Option<&Head> {
         self.head.as_ref()
     }
 
-    /// Returns the counts.
+    /// Returns the counters since the process started.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Returns whether the configuration of `head` is worth fetching.
+    /// Returns whether `head` is newer than what is in force and hasn't been refused.
     #[must_use]
     pub fn wants(&self, head: &Head) -> bool {
         let newer = head.compare(self.head.as_ref()) == Comparison::Newer;
         newer && !contains(&self.refused, &head.digest)
     }
 
-    /// Counts a sighting of `head`; returns `true` for a conflict that is seen first.
+    /// Counts `head` if it is stale or conflicting; returns `true` the first time that a
+    /// conflicting digest is observed.
     pub fn observe(&mut self, head: &Head) -> bool {
         match head.compare(self.head.as_ref()) {
             Comparison::Newer | Comparison::Same => false,
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Takes the offered bytes into force if they are valid and newer.
+    /// Puts the offered configuration in force if it is valid and newer.
     pub fn offer(&mut self, source: Source) -> Verdict {
         let found = digest(&source.manifest);
         let head = match parse::manifest(&source.manifest) {
@@ -138,7 +141,7 @@
         Verdict::Accepted(checked)
     }
 
-    /// Asserts that what comes into force is newer than all that was.
+    /// Asserts that a configuration has a higher revision than the one that it replaces.
     fn invariant_never_back(&self, head: &Head) {
         let before = self.head.as_ref().map_or(0, |head| head.revision);
         assert!(
