--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks between the fields and sections of one configuration.
+//! Consistency checks across the fields and sections of one configuration.
 
 mod fleet;
 mod preset;
@@ -17,10 +17,10 @@
 use crate::defect::MAX_DEFECTS;
 use crate::defect::Subject;
 
-/// Largest rate, burst or weight, so that each is exact as a floating-point number.
+/// Largest rate, burst or weight; it fits 32 bits, so the conversion to `f64` is exact.
 const MAX_TOKENS: u64 = u32::MAX as u64;
 
-/// Collects the defects of one configuration.
+/// Defects of one configuration; those beyond [`MAX_DEFECTS`] are dropped.
 #[derive(Default)]
 pub(crate) struct Findings(Vec<Defect>);
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Sections of one configuration, parsed.
+/// Manifest and parsed sections of one configuration.
 pub(crate) struct Parts<'a> {
     pub(crate) manifest: &'a Manifest,
     pub(crate) fleet: &'a Fleet,
@@ -64,7 +64,7 @@
     pub(crate) presets: &'a Presets,
 }
 
-/// Adds every defect between fields and sections to `findings`.
+/// Adds the defects that parsing one section alone can't detect to `findings`.
 pub(crate) fn check(parts: &Parts<'_>, findings: &mut Findings) {
     if parts.manifest.revision == 0 {
         findings.add("revision", Cause::NotPositive);
