--- a/crates/configuration/src/check/fleet.rs
+++ b/crates/configuration/src/check/fleet.rs
@@ -11,7 +11,7 @@
 use crate::defect::Cause;
 use crate::defect::Subject;
 
-/// Owners of what must stand in one place only, by path.
+/// Paths of values that must be unique in a fleet, by value.
 #[derive(Default)]
 struct Owners {
     addresses: BTreeMap<SocketAddr, String>,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Records `path` as the owner of `name`, or adds a defect if it has one.
+/// Records `path` as the owner of `name`, or adds a defect if `name` already has an owner.
 fn claim(owners: &mut BTreeMap<String, String>, name: &str, path: String, findings: &mut Findings) {
     if let Some(other) = owners.get(name) {
         let cause = Cause::Repeated {
