--- a/crates/configuration/src/checked.rs
+++ b/crates/configuration/src/checked.rs
@@ -1,7 +1,7 @@
-//! A configuration that passed every check, with the look-ups that the daemons need.
+//! A configuration that passed every check, with the lookups that the daemons need.
 //!
-//! [`Checked`] never changes. Daemons hold it in an `Arc` and swap the whole when a newer one is
-//! accepted, so that one request sees one revision from its start to its end.
+//! [`Checked`] is immutable. Daemons hold it in an `Arc` and replace the `Arc` when a newer one is
+//! accepted, so that a request sees the same revision from its start to its end.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -37,7 +37,7 @@
 pub use crate::lookup::Role;
 pub use crate::lookup::Slot;
 
-/// An accepted or acceptable configuration.
+/// A valid configuration, whether in force or not.
 #[derive(Debug)]
 pub struct Checked {
     pub(crate) source: Source,
@@ -50,7 +50,7 @@
     pub(crate) index: Index,
 }
 
-/// What look-ups would otherwise have to search for.
+/// Indexes over the sections, so that lookups don't have to scan them.
 #[derive(Debug, Default)]
 pub(crate) struct Index {
     pub(crate) drains: BTreeSet<InstanceId>,
@@ -61,11 +61,13 @@
 }
 
 impl Checked {
-    /// Parses and checks published bytes; the same bytes give the same verdict everywhere.
+    /// Parses and checks published bytes. The result depends on the bytes only, so all processes
+    /// agree on it.
     ///
     /// # Errors
     ///
-    /// Returns every defect found, with the path of its field.
+    /// Returns the defects found, at most [`crate::defect::MAX_DEFECTS`], with the paths of their
+    /// fields.
     pub fn parse(source: Source) -> Result<Arc<Self>, Refusal> {
         let manifest = parse::manifest(&source.manifest).map_err(|defect| Refusal {
             defects: vec![defect],
@@ -108,7 +110,7 @@
         }))
     }
 
-    /// Returns the revision.
+    /// Returns the revision, which is above zero.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.manifest.revision
@@ -120,37 +122,38 @@
         &self.digest
     }
 
-    /// Returns the manifest.
+    /// Returns the manifest, which names the sections' digests and the preset in force.
     #[must_use]
     pub fn manifest(&self) -> &Manifest {
         &self.manifest
     }
 
-    /// Returns the published bytes, to be passed on.
+    /// Returns the published bytes, which are sent to peers unchanged.
     #[must_use]
     pub fn source(&self) -> &Source {
         &self.source
     }
 
-    /// Returns the instances and pools.
+    /// Returns the fleet section: failure domains, instances and pools.
     #[must_use]
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Returns the workspaces as published, before the preset's factor.
+    /// Returns the workspaces as published; [`Checked::limits`] applies the preset's
+    /// `limit_factor`.
     #[must_use]
     pub fn workspaces(&self) -> &Workspaces {
         &self.workspaces
     }
 
-    /// Returns the plain services' calls.
+    /// Returns the published calls of plain services, by pool.
     #[must_use]
     pub fn services(&self) -> &Services {
         &self.services
     }
 
-    /// Returns all presets.
+    /// Returns all published presets, the one in force among them.
     #[must_use]
     pub fn presets(&self) -> &Presets {
         &self.presets
