--- a/crates/configuration/src/defect.rs
+++ b/crates/configuration/src/defect.rs
@@ -1,7 +1,7 @@
-//! What is wrong with published bytes, by the field's path.
+//! Defects of published bytes, by the path of the field.
 //!
-//! A path starts at the manifest's or a section's top field. These fields have different names in
-//! all sections, so that a path needs no section's name before it.
+//! A path starts at a top-level field of the manifest or of a section. No two of them have a
+//! top-level field of the same name, so a path needs no section name as a prefix.
 
 use std::error::Error;
 use std::fmt::Display;
@@ -10,100 +10,100 @@
 
 use auburnline_core::hash::Digest;
 
-/// Most defects that one refusal lists.
+/// Maximum number of defects that one refusal lists.
 pub const MAX_DEFECTS: usize = 64;
 
-/// What a name should have named.
+/// Kind of object that an unknown name should refer to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
-    /// A failure domain.
+    /// A key of the fleet's `failure_domains`.
     FailureDomain,
-    /// An instance.
+    /// An entry or an upstream instance.
     Instance,
-    /// An upstream instance.
+    /// A key of the fleet's `upstreams`.
     Upstream,
-    /// A group.
+    /// A group of any pool.
     Group,
-    /// A pool.
+    /// A key of the fleet's `pools`.
     Pool,
-    /// A preset.
+    /// A key of the presets section.
     Preset,
 }
 
 /// Why a value is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// Not JSON of the expected shape; the parser's words.
+    /// Not JSON of the expected shape, with the parser's message.
     Shape(String),
-    /// More bytes than the configuration service holds.
+    /// More bytes than the configuration service stores in one value.
     TooLarge {
-        /// Bytes found.
+        /// Size of the value.
         bytes: usize,
-        /// Most bytes allowed.
+        /// Maximum size, in bytes.
         limit: usize,
     },
-    /// The bytes are not those that the manifest names.
+    /// The digest of the section's bytes differs from the one in the manifest.
     DigestMismatch {
-        /// Digest that the manifest names.
+        /// Digest in the manifest.
         expected: Digest,
-        /// Digest of the bytes.
+        /// Digest of the section's bytes.
         found: Digest,
     },
-    /// The manifest names no such section, or its bytes are not there.
+    /// The manifest doesn't name the section, or the section's bytes are absent.
     MissingSection,
-    /// A name that nothing published has.
+    /// A reference to a name that isn't published.
     Unknown {
-        /// What it should name.
+        /// Kind of object that the name should refer to.
         subject: Subject,
-        /// The name.
+        /// Name as it was published.
         name: String,
     },
-    /// An address with another owner.
+    /// An address that another field has too.
     SharedAddress {
-        /// The address.
+        /// IP address and port.
         address: SocketAddr,
-        /// Path of its first owner.
+        /// Path of the first field that has it.
         other: String,
     },
-    /// A name that stands elsewhere too.
+    /// A name that must be unique and isn't.
     Repeated {
-        /// The name.
+        /// Repeated name.
         name: String,
-        /// Path where it stands first.
+        /// Path of its first occurrence.
         other: String,
     },
     /// A model that one preset places in two pools.
     TwoPools {
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// The other pool.
+        /// Name of the pool of its first placement.
         other: String,
     },
     /// A number that must be above zero.
     NotPositive,
     /// A number that must not be below zero.
     Negative,
-    /// A number that is infinite or none.
+    /// A number that is infinite or NaN.
     NotFinite,
     /// A number above its limit.
     TooBig {
-        /// Largest allowed.
+        /// Largest number allowed.
         limit: u64,
     },
     /// A list or name that must not be empty.
     Empty,
     /// An address without a port.
     NoPort,
-    /// A pool keeps more groups than it has.
+    /// A pool's minimum is above its number of groups.
     MinimumAboveGroups {
-        /// Groups of the pool.
+        /// Number of groups of the pool.
         groups: usize,
     },
     /// The pool does not serve this kind of work.
     WrongPool,
-    /// A method that is not upper-case letters.
+    /// An HTTP method that is empty or has other characters than upper-case letters.
     BadMethod,
-    /// A path that is not absolute.
+    /// A path that doesn't begin with `/`.
     BadPath,
 }
 
@@ -112,11 +112,11 @@
 pub struct Defect {
     /// Path of the field.
     pub path: String,
-    /// What is wrong with it.
+    /// Why the field is refused.
     pub cause: Cause,
 }
 
-/// Why a configuration is refused whole.
+/// Why a configuration is refused; one defect is enough to refuse all of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Defects in the order found, at most [`MAX_DEFECTS`].
@@ -134,9 +134,10 @@
 }
 
 impl Refusal {
-    /// Returns whether no other bytes of the sections could have been accepted.
+    /// Returns whether fetching the same configuration again can't help.
     ///
-    /// Sections that are missing or not those of the manifest were damaged on their way.
+    /// A section that is missing or has another digest than in the manifest counts as a transfer
+    /// error, so a new fetch may succeed.
     #[must_use]
     pub fn is_final(&self) -> bool {
         !self.defects.iter().any(|defect| defect.cause.is_transfer())
@@ -165,7 +166,7 @@
 impl Display for Cause {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         match self {
-            Cause::Shape(words) => f.write_str(words),
+            Cause::Shape(message) => f.write_str(message),
             Cause::TooLarge { bytes, limit } => write!(f, "{bytes} bytes, more than {limit}"),
             Cause::DigestMismatch { expected, found } => {
                 write!(f, "digest {found}, the manifest names {expected}")
