--- a/crates/configuration/src/difference.rs
+++ b/crates/configuration/src/difference.rs
@@ -1,4 +1,4 @@
-//! What a new configuration changes, in words for operators.
+//! Differences between two configurations, as text for operators.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,53 +12,53 @@
 
 use crate::checked::Checked;
 
-/// Kind of a change.
+/// Part of a configuration that a change is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
     /// The revision number.
     Revision,
-    /// The preset in force.
+    /// The choice of the preset in force.
     Preset,
     /// An instance, pool or failure domain.
     Fleet,
-    /// An instance starts or stops draining.
+    /// Whether an instance drains.
     Drain,
-    /// A group gets another model, version or adapter.
+    /// The model, version or adapters of a group.
     Placement,
-    /// A workspace's limits.
+    /// The limits of a workspace, with the preset's factor applied.
     Limit,
-    /// A plain service's calls.
+    /// The published calls of a plain service.
     Service,
-    /// Anything else of the preset in force, or a preset that is not in force.
+    /// Another setting of the preset in force, or a preset that isn't in force.
     Setting,
 }
 
 /// One change.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Change {
-    /// What kind of thing changes.
+    /// Part of the configuration that changes.
     pub kind: Kind,
-    /// Its name.
+    /// Name of the changed object, within its kind.
     pub name: String,
-    /// What was, empty if it is new.
+    /// Old value, empty if the object is new.
     pub old: String,
-    /// What will be, empty if it is gone.
+    /// New value, empty if the object is removed.
     pub new: String,
 }
 
-/// What a manifest would do to a running fleet.
+/// Effect that publishing a manifest would have on a running fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Preview {
-    /// Revision in force.
+    /// Revision in force, which the new one would replace.
     pub revision: u64,
-    /// Whether a process that has the old one takes the new one.
+    /// Whether a process that has the old configuration in force accepts the new one.
     pub accepted: bool,
-    /// Why it is not taken, empty if it is.
+    /// Why the new configuration isn't accepted, empty if it is.
     pub reason: String,
     /// Digest of the new manifest.
     pub digest: Digest,
-    /// All changes.
+    /// Changes against the configuration in force, also if the new one isn't accepted.
     pub changes: Vec<Change>,
 }
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// Returns what `new` changes against `old`.
+/// Returns the changes from `old` to `new`.
 #[must_use]
 pub fn diff(old: &Checked, new: &Checked) -> Vec<Change> {
     let mut changes = Vec::new();
@@ -96,7 +96,7 @@
     changes
 }
 
-/// Returns what publishing `new` does to a fleet that has `old` in force.
+/// Returns the effect of publishing `new` to a fleet that has `old` in force.
 #[must_use]
 pub fn preview(old: &Checked, new: &Checked) -> Preview {
     let reason = if new.revision() < old.revision() {
@@ -134,7 +134,7 @@
         .collect()
 }
 
-/// Returns a value as compact JSON, which operators published.
+/// Returns a value as compact JSON, the format that operators publish.
 fn text<T: Serialize + Debug>(value: &T) -> String {
     serde_json::to_string(value).unwrap_or_else(|_| format!("{value:?}"))
 }
@@ -222,7 +222,7 @@
         .collect()
 }
 
-/// Returns the settings of the preset in force and the whole of each other preset.
+/// Returns the settings of the preset in force one by one, and each other preset as one value.
 fn settings(checked: &Checked) -> Descriptions {
     let mut all = describe("", &checked.presets().presets, text);
     all.remove(&**checked.preset_name());
