--- a/crates/configuration/src/head.rs
+++ b/crates/configuration/src/head.rs
@@ -1,4 +1,4 @@
-//! Name of a configuration, small enough for every heartbeat and request.
+//! Identity of a configuration, small enough to be sent with every heartbeat and request.
 
 use std::fmt::Display;
 use std::fmt::Formatter;
@@ -10,28 +10,28 @@
 
 use crate::checked::Checked;
 
-/// Characters of a digest that logs show.
+/// Length of a digest in logs.
 const LOGGED_DIGEST_CHARS: usize = 12;
-/// Fewest characters of a digest that tell two manifests of one revision apart: 64 bits.
+/// Minimum length of a digest that can be compared: 16 hexadecimal digits, 64 bits.
 pub const MIN_DIGEST_CHARS: usize = 16;
 
 /// Revision and digest of a manifest.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Head {
-    /// Revision.
+    /// Revision in the manifest; the higher one wins.
     pub revision: Revision,
-    /// Digest of the manifest's bytes.
+    /// Digest of the manifest's bytes in hexadecimal, possibly shortened by [`Head::short`].
     pub digest: Digest,
 }
 
-/// How a configuration stands to the one in force.
+/// Result of comparing a configuration with the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
-    /// A higher revision, or the first.
+    /// A higher revision, or no configuration is in force.
     Newer,
-    /// The very one.
+    /// The same revision and digest.
     Same,
-    /// The same revision with another digest: two operators raced.
+    /// The same revision with another digest: two operators published it concurrently.
     Conflict,
     /// A lower revision.
     Older,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns this head with the shortest digest that is compared, for heartbeats.
+    /// Returns this head with its digest shortened to [`MIN_DIGEST_CHARS`], for heartbeats.
     #[must_use]
     pub fn short(&self) -> Self {
         Self {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns how this head stands to the one in force.
+    /// Compares this head with the one in force, if any.
     #[must_use]
     pub fn compare(&self, in_force: Option<&Head>) -> Comparison {
         let Some(in_force) = in_force else {
@@ -73,7 +73,9 @@
     }
 }
 
-/// Returns whether two digests, of which either may be shortened, are of the same bytes.
+/// Returns whether two digests, either of which may be shortened, are of the same bytes.
+///
+/// A digest shorter than [`MIN_DIGEST_CHARS`] matches none.
 #[must_use]
 pub fn digests_match(one: &str, other: &str) -> bool {
     let length = one.len().min(other.len());
