--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,12 +1,15 @@
-//! Published configuration: checking, look-ups, differences, acceptance and spreading.
+//! Published configuration: validation, lookups, differences, acceptance and distribution.
 //!
-//! [`checked::Checked::parse`] turns published bytes into one immutable value, or names every
-//! defect with its field's path. It is a pure function of the bytes, so all processes agree upon
-//! what is valid. The daemons share the result by `Arc` and ask it for pools, slots and limits.
+//! [`checked::Checked::parse`] turns published bytes into one immutable value, or returns the
+//! defects with the paths of their fields. It is a pure function of the bytes, so all processes
+//! agree on what is valid. The daemons share the result in an `Arc` and look up pools, slots and
+//! limits in it.
 //!
-//! [`spread::Spread`] decides what a process reads, asks and tells so that an accepted revision is
-//! in force everywhere soon and is never left; [`readiness`] says whether the process may send new
-//! work. Nothing here reads the configuration service or a socket: the duties do, as told.
+//! [`spread::Spread`] decides what a process reads from the configuration service, requests from
+//! peers and announces to them, so that an accepted revision soon is in force in all processes and
+//! none reverts to a lower one. [`readiness`] decides whether the process may send new work. This
+//! crate does no I/O: the caller carries out the [`spread::Action`]s and reports
+//! [`spread::Event`]s.
 
 pub mod acceptance;
 pub mod checked;
