--- a/crates/configuration/src/lookup.rs
+++ b/crates/configuration/src/lookup.rs
@@ -1,4 +1,4 @@
-//! Look-ups in a checked configuration.
+//! Lookups in a checked configuration.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,39 +17,39 @@
 
 use crate::checked::Checked;
 
-/// Role of an instance.
+/// Role of an instance, given by the section of the fleet that lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
-    /// Serves callers.
+    /// Accepts calls from callers.
     Entry,
-    /// Serves work behind its slot.
+    /// Runs the work that its slot admits.
     Upstream,
 }
 
 /// The slot that admits work for a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Slot<'a> {
-    /// Its instance, the group's first.
+    /// Upstream instance of the slot, the first of the group.
     pub instance: &'a InstanceId,
-    /// Its address towards other processes of the system.
+    /// Address for other processes of the system.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: &'a FailureDomainId,
 }
 
 /// Limits of a workspace under the preset in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Tokens a second, the preset's factor applied.
+    /// Tokens per second, with the preset's `limit_factor` applied.
     pub tokens_per_second: f64,
-    /// Tokens that may be used at once after a pause.
+    /// Tokens that may be used at once after an idle period; the preset's factor doesn't apply.
     pub burst_tokens: f64,
-    /// Share among waiting workspaces.
+    /// Relative share among waiting workspaces.
     pub weight: u32,
 }
 
 impl Checked {
-    /// Returns a pool.
+    /// Returns the pool of this name.
     #[must_use]
     pub fn pool(&self, pool: &str) -> Option<&Pool> {
         self.fleet.pools.get(pool)
@@ -61,7 +61,7 @@
         self.index.pool_of_model.get(model)
     }
 
-    /// Returns the pools that any published preset lets serve `model`.
+    /// Returns the pools in which any published preset places `model`.
     #[must_use]
     pub fn pools_of_model(&self, model: &str) -> BTreeSet<&PoolId> {
         let presets = self.presets().presets.values();
@@ -77,12 +77,12 @@
         self.index.pool_of_model.keys()
     }
 
-    /// Returns the groups of a pool, none if there is no such pool.
+    /// Returns the groups of a pool, or no groups if there is no such pool.
     pub fn groups(&self, pool: &str) -> impl Iterator<Item = (&GroupId, &Group)> {
         self.pool(pool).into_iter().flat_map(|pool| &pool.groups)
     }
 
-    /// Returns the groups that the preset in force gives `model`.
+    /// Returns the groups in which the preset in force places `model`.
     pub fn groups_of_model<'a>(
         &'a self,
         model: &'a str,
@@ -94,7 +94,7 @@
         })
     }
 
-    /// Returns a group.
+    /// Returns the group of this name, in whichever pool it is.
     #[must_use]
     pub fn group(&self, group: &str) -> Option<&Group> {
         let pool = self.index.pool_of_group.get(group)?;
@@ -113,7 +113,7 @@
         self.index.group_of_instance.get(instance)
     }
 
-    /// Returns what the preset in force places in a group.
+    /// Returns the model, version and adapters that the preset in force places in a group.
     #[must_use]
     pub fn placement(&self, group: &str) -> Option<&Placement> {
         self.preset().placements.get(group)
@@ -131,10 +131,11 @@
         })
     }
 
-    /// Returns the published call of a plain service that fits best, the longest prefix.
+    /// Returns the published call of a plain service whose path is the longest prefix of `path`.
     ///
-    /// A prefix ends at a `/`, a `?` or the end. A path with dots or escapes that an upstream may
-    /// resolve to another path fits none.
+    /// A prefix ends at a `/`, at a `?` or at the end of the path. A path with dot segments, empty
+    /// segments, backslashes or percent-encoding, which an upstream may resolve to another path,
+    /// matches no call.
     #[must_use]
     pub fn call(&self, pool: &str, method: &str, path: &str) -> Option<&Call> {
         if is_ambiguous(path) {
@@ -147,7 +148,7 @@
             .max_by_key(|call| call.path.len())
     }
 
-    /// Returns whether a service call may be repeated; one that is not published may not.
+    /// Returns whether a service call may be repeated; a call that isn't published may not.
     #[must_use]
     pub fn is_idempotent(&self, pool: &str, method: &str, path: &str) -> bool {
         self.call(pool, method, path)
@@ -181,14 +182,15 @@
         self.index.drains.contains(instance)
     }
 
-    /// Returns whether any instance of a group drains; lock-step ranks drain together.
+    /// Returns whether any instance of a group drains: ranks run in lockstep, so they drain
+    /// together.
     #[must_use]
     pub fn group_drains(&self, group: &str) -> bool {
         self.group(group)
             .is_some_and(|group| group.instances.iter().any(|name| self.drains(name)))
     }
 
-    /// Returns the role of an instance.
+    /// Returns the role of an instance, `None` if it isn't published.
     #[must_use]
     pub fn role(&self, instance: &str) -> Option<Role> {
         if self.fleet.entries.contains_key(instance) {
@@ -200,7 +202,7 @@
             .then_some(Role::Upstream)
     }
 
-    /// Returns an instance's address towards other processes of the system.
+    /// Returns an instance's address for other processes of the system.
     #[must_use]
     pub fn peer_address(&self, instance: &str) -> Option<SocketAddr> {
         let entry = self.fleet.entries.get(instance).map(|entry| entry.peer);
@@ -229,7 +231,7 @@
     }
 }
 
-/// Returns a checked number of tokens, which fits 32 bits, without loss.
+/// Converts a checked number of tokens without loss; the check ensures that it fits 32 bits.
 fn exact(tokens: u64) -> f64 {
     f64::from(u32::try_from(tokens).unwrap_or(u32::MAX))
 }
