--- a/crates/configuration/src/note.rs
+++ b/crates/configuration/src/note.rs
@@ -1,4 +1,4 @@
-//! What the spreading of configurations has to say to logs.
+//! Log messages about the distribution of configurations.
 
 use std::fmt::Display;
 use std::fmt::Formatter;
@@ -11,40 +11,40 @@
 use crate::readiness::Origin;
 use crate::readiness::Reason;
 
-/// One line for the log.
+/// Event to be logged; its `Display` is the message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Note {
     /// A configuration came into force.
     Installed {
-        /// Which.
+        /// Head of the new configuration.
         head: Head,
-        /// What it replaced.
+        /// Head of the configuration that it replaced, if any.
         before: Option<Head>,
-        /// Where it came from.
+        /// Source of its bytes.
         origin: Origin,
     },
     /// An invalid configuration was refused.
     Refused {
-        /// Where it came from.
+        /// Source of its bytes.
         origin: Origin,
-        /// Why.
+        /// Defects found.
         refusal: Refusal,
     },
-    /// The revision in force was seen with another digest.
+    /// The revision in force was observed with another digest.
     Conflict {
-        /// What was seen.
+        /// Head that was observed.
         head: Head,
     },
-    /// A question to a peer had no answer in time.
+    /// A peer did not answer a request in time.
     Unanswered {
-        /// The peer.
+        /// Peer that was asked.
         peer: InstanceId,
     },
-    /// This process became a direct reader or ceased to be one.
+    /// This process became (`true`) or ceased to be (`false`) a direct reader.
     Reader(bool),
-    /// This process had paused.
+    /// This process did not run for this long.
     Paused(Duration),
-    /// This process became ready, or not for this reason.
+    /// The readiness of this process changed; the error says why it isn't ready.
     Ready(Result<(), Reason>),
 }
 
