--- a/crates/configuration/src/parcel.rs
+++ b/crates/configuration/src/parcel.rs
@@ -1,8 +1,9 @@
 //! Messages between peers that carry a configuration.
 //!
-//! A process asks with what it has and gets what it lacks: the manifest and only the sections that
-//! changed, each as a delta against the asker's where the answerer still has that one. What comes
-//! out is checked against the manifest's digests, so a wrong delta can't be accepted.
+//! A process sends the digests of its sections and receives what it lacks: the manifest and only
+//! the sections that changed, each as a delta against the requester's version if the responder
+//! still has that version. The result is checked against the manifest's digests, so a wrong delta
+//! can't be accepted.
 
 use std::collections::BTreeMap;
 
@@ -16,72 +17,72 @@
 use crate::source::Source;
 use crate::source::Value;
 
-/// Number that ties an answer to its question; larger is later.
+/// Number that matches an answer to its request; later requests have larger numbers.
 pub type Ticket = u64;
 
-/// Bytes that frame a message, for the account of control bytes.
+/// Estimated framing overhead of a message in bytes, counted with its content.
 const FRAME_BYTES: usize = 64;
 
-/// A question to a peer: what do you have that I lack?
+/// Request to a peer for a newer configuration than the requester has in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ask {
-    /// Number to be returned in the answer.
+    /// Number that the answer returns.
     pub ticket: Ticket,
-    /// What the asker has in force.
+    /// Head that the requester has in force, if any.
     pub head: Option<Head>,
-    /// Digests of the asker's sections.
+    /// Digests of the requester's sections, which can be bases of deltas.
     pub have: BTreeMap<Section, Digest>,
-    /// Whether deltas failed, so that whole sections are needed.
+    /// Whether to send all sections whole, after deltas failed.
     pub whole: bool,
 }
 
-/// An answer to an [`Ask`].
+/// Answer to an [`Ask`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parcel {
-    /// Number of the question.
+    /// Number of the request.
     pub ticket: Ticket,
-    /// What the answerer has in force.
+    /// Head that the responder has in force, if any.
     pub head: Option<Head>,
-    /// What the asker lacks.
+    /// What the requester lacks.
     pub content: Content,
 }
 
-/// What an answer brings.
+/// Content of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Content {
-    /// The asker lacks nothing that the answerer has.
+    /// The responder has no newer configuration.
     Nothing,
-    /// The answerer has sent enough for now; ask another.
+    /// The responder has used up its allowance of bytes; the requester should ask another peer.
     Busy,
     /// A newer configuration.
     Newer {
-        /// Bytes of the manifest.
+        /// Bytes of the manifest, always whole.
         manifest: Value,
-        /// Sections that the asker lacks.
+        /// Sections that the requester lacks.
         pieces: BTreeMap<Section, Piece>,
     },
 }
 
-/// One section on its way.
+/// One section in an answer, whole or as a delta.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Piece {
-    /// All bytes.
+    /// All bytes of the section.
     Whole(Value),
-    /// What differs from a section that the asker has.
+    /// Difference from the requester's version of the section.
     Delta {
-        /// Digest of the section that the delta changes.
+        /// Digest of the version that the delta applies to.
         base: Digest,
-        /// Bytes kept at the start.
+        /// Number of bytes kept from the start of the base.
         prefix: usize,
-        /// Bytes kept at the end.
+        /// Number of bytes kept from the end of the base.
         suffix: usize,
-        /// Bytes between them.
+        /// New bytes between prefix and suffix.
         middle: Value,
     },
 }
 
 impl Piece {
-    /// Returns what turns `old` into `new`.
+    /// Returns the delta from `old`, whose digest is `base`, to `new`.
     #[must_use]
     pub fn delta(base: &Digest, old: &[u8], new: &[u8]) -> Self {
         let prefix = old.iter().zip(new).take_while(|(a, b)| a == b).count();
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Returns the section's bytes; `None` if the delta does not fit `old`.
+    /// Returns the section's bytes; `None` if `old` isn't the base of the delta or is too short.
     #[must_use]
     pub fn unpack(&self, old: Option<(&Digest, &Value)>) -> Option<Value> {
         let (base, prefix, suffix, middle) = match self {
@@ -120,7 +121,7 @@
         Some(bytes.into())
     }
 
-    /// Returns the bytes that travel.
+    /// Returns the size on the wire in bytes, without framing.
     #[must_use]
     pub fn len(&self) -> usize {
         match self {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Returns whether nothing travels.
+    /// Returns whether the size on the wire is zero, as for an empty whole section.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
@@ -137,13 +138,13 @@
 }
 
 impl Ask {
-    /// Returns the bytes that travel, about.
+    /// Returns the approximate size on the wire in bytes.
     #[must_use]
     pub fn len(&self) -> usize {
         FRAME_BYTES + self.have.values().map(String::len).sum::<usize>()
     }
 
-    /// Returns whether nothing travels, which never holds.
+    /// Returns `false`: every message has framing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
@@ -151,7 +152,7 @@
 }
 
 impl Parcel {
-    /// Returns the bytes that travel, about.
+    /// Returns the approximate size on the wire in bytes.
     #[must_use]
     pub fn len(&self) -> usize {
         let Content::Newer { manifest, pieces } = &self.content else {
@@ -161,21 +162,21 @@
         FRAME_BYTES + manifest.len() + pieces
     }
 
-    /// Returns whether nothing travels, which never holds.
+    /// Returns `false`: every message has framing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// Sections in force and those just before, for deltas in both directions.
+/// The last replaced version of each section, as a base of deltas for peers that still have it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Versions {
     previous: BTreeMap<Section, (Digest, Value)>,
 }
 
 impl Versions {
-    /// Keeps the sections of `old` that `new` changes.
+    /// Keeps the sections of `old` that differ in `new`.
     pub(crate) fn advance(&mut self, old: Option<&Checked>, new: &Checked) {
         let Some(old) = old else { return };
         for (&section, digest) in &old.manifest().sections {
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Returns what an asker lacks of `checked`.
+    /// Returns the manifest of `checked` and the sections that the requester lacks.
     pub(crate) fn pack(&self, checked: &Checked, ask: &Ask) -> Content {
         let mut pieces = BTreeMap::new();
         for (&section, digest) in &checked.manifest().sections {
@@ -209,7 +210,9 @@
     }
 }
 
-/// Puts a newer configuration together from pieces and what is in force.
+/// Assembles a newer configuration from received pieces and the sections in force.
+///
+/// A piece that can't be unpacked leaves its section missing, which the check refuses.
 pub(crate) fn unpack(
     manifest: &Value,
     pieces: &BTreeMap<Section, Piece>,
@@ -232,7 +235,7 @@
     source
 }
 
-/// Returns the sections in force that `manifest` names too.
+/// Returns the sections in force whose digests `manifest` also names, without the manifest.
 pub(crate) fn unchanged_sections(manifest: &[u8], checked: &Checked) -> Source {
     let mut source = Source::default();
     let Ok(manifest) = serde_json::from_slice::<Manifest>(manifest) else {
@@ -247,7 +250,7 @@
     source
 }
 
-/// Returns whether `bytes` are the section that `manifest` names.
+/// Returns whether `bytes` have the digest that `manifest` names for `section`.
 pub(crate) fn matches_manifest(manifest: &Manifest, section: Section, bytes: &[u8]) -> bool {
     manifest.sections.get(&section) == Some(&digest(bytes))
 }
