--- a/crates/configuration/src/parse.rs
+++ b/crates/configuration/src/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing of published bytes, with the path of the field that does not fit.
+//! Parsing of published bytes; an error has the path of the field that can't be parsed.
 
 use auburnline_core::hash::digest;
 use auburnline_core::published::MAX_VALUE_BYTES;
@@ -9,10 +9,10 @@
 use crate::defect::Cause;
 use crate::defect::Defect;
 
-/// Paths of a fault that no field has, such as broken JSON at the very start.
+/// Paths that the parser reports for an error outside any field, such as invalid JSON at the start.
 const NO_FIELD: [&str; 2] = [".", "?"];
 
-/// Parses one value; `name` stands for the path where the fault has none.
+/// Parses one value; `name` is the path of errors outside any field.
 fn value<T: DeserializeOwned>(name: &str, bytes: &[u8]) -> Result<T, Defect> {
     if bytes.len() > MAX_VALUE_BYTES {
         let cause = Cause::TooLarge {
@@ -37,7 +37,7 @@
     Ok(parsed)
 }
 
-/// Parses a manifest; its sections are checked with their bytes.
+/// Parses a manifest; the digests of its sections are checked when the sections are parsed.
 pub(crate) fn manifest(bytes: &[u8]) -> Result<Manifest, Defect> {
     value("manifest", bytes)
 }
