--- a/crates/configuration/src/readiness.rs
+++ b/crates/configuration/src/readiness.rs
@@ -1,9 +1,10 @@
 //! Whether a process may send new work.
 //!
-//! A process that starts, or wakes from a pause, asks both the configuration service and a peer.
-//! It is ready when one has answered, the other has answered or had its time, and nothing newer
-//! is known that could be fetched. With an answer from neither, it is not ready. Answers count only
-//! if they were asked for after the start or the wake: what lay in a socket proves nothing.
+//! A process that starts, or resumes after a pause, asks both the configuration service and a peer.
+//! It is ready when one of them has answered, the other has answered or [`SOURCE_WAIT`] has passed,
+//! and no newer configuration is known that could be fetched. With no answer from either, it is not
+//! ready. Only answers to requests sent after the start or the pause count, since a message that
+//! was buffered in a socket may be outdated.
 
 use std::time::Duration;
 
@@ -12,15 +13,15 @@
 
 use crate::parcel::Ticket;
 
-/// Time that one source gets to answer before the other's answer is enough.
+/// Time that a source has to answer before an answer of the other one suffices.
 pub const SOURCE_WAIT: Duration = Duration::from_secs(2);
 
-/// Where a configuration can be had.
+/// Source of a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Origin {
     /// The platform's configuration service.
     Platform,
-    /// A peer.
+    /// Another process, over its session.
     Peer,
 }
 
@@ -29,17 +30,17 @@
 pub enum Reason {
     /// No configuration has been accepted.
     NoConfiguration,
-    /// Neither source has answered since the start or the wake.
+    /// Neither source has answered since the start or the last pause.
     NoAnswer,
-    /// One source still has time to answer.
+    /// This source has not answered yet and still has time to.
     Waiting(Origin),
     /// A newer configuration is being fetched.
     Behind,
-    /// The process has paused and has not yet asked anybody.
+    /// The process has paused and readiness has not been evaluated since.
     Paused,
 }
 
-/// What a process knows that readiness depends on.
+/// State of a process that its readiness depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct Knowledge {
     /// Whether a configuration is in force.
@@ -48,11 +49,11 @@
     pub is_behind: bool,
 }
 
-/// Readiness of one process.
+/// Readiness of one process, evaluated anew after each pause.
 #[derive(Clone, Debug)]
 pub struct Readiness {
     pause: Pause,
-    /// Answers to tickets below this one were asked for too early.
+    /// First ticket drawn since the start or the last pause; answers to earlier ones don't count.
     first_valid: Ticket,
     since: Monotonic,
     platform_answered: bool,
@@ -76,9 +77,10 @@
         }
     }
 
-    /// Observes that the process runs; after a pause returns the gap, and all must be asked anew.
+    /// Records that the process runs. After a pause, returns its length and requires new answers of
+    /// both sources.
     ///
-    /// `next` is the number that the next question will have.
+    /// `next` is the ticket that the next request will have.
     pub fn observe(&mut self, next: Ticket, now: Monotonic) -> Option<Duration> {
         let gap = self.pause.observe(now)?;
         self.first_valid = next;
@@ -89,7 +91,7 @@
         Some(gap)
     }
 
-    /// Takes an answer to the question `ticket`.
+    /// Records an answer to the request `ticket`.
     pub fn answered(&mut self, origin: Origin, ticket: Ticket) {
         if ticket < self.first_valid {
             return;
@@ -100,23 +102,24 @@
         }
     }
 
-    /// Returns whether the process is ready, as far as events have shown.
+    /// Returns whether the process was ready at the last event; [`Readiness::may_send`] also
+    /// detects a pause since then.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.verdict.is_ok()
     }
 
-    /// Returns whether a peer is still to be asked.
+    /// Returns whether no peer has answered since the start or the last pause.
     #[must_use]
     pub fn needs_peer(&self) -> bool {
         !self.peer_answered
     }
 
-    /// Weighs what is known; returns whether the verdict changed.
+    /// Evaluates readiness; returns whether the result changed.
     pub fn update(&mut self, knowledge: Knowledge, now: Monotonic) -> bool {
         let before = self.verdict;
-        // Once ready, only a pause takes it back: being behind for a moment is what every
-        // change brings, and slots turn stale requests away.
+        // Only a pause makes a ready process unready. Every new configuration leaves it behind for
+        // a moment, and slots refuse requests with a stale revision.
         if before.is_ok() {
             return false;
         }
@@ -145,7 +148,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why not. A pause shows here even before its first event is handled.
+    /// Returns why not. A pause is detected here even before the first event after it is handled.
     pub fn may_send(&self, now: Monotonic) -> Result<(), Reason> {
         if self.pause.gap(now).is_some() {
             return Err(Reason::Paused);
