--- a/crates/configuration/src/schedule.rs
+++ b/crates/configuration/src/schedule.rs
@@ -1,9 +1,10 @@
-//! When a process calls the configuration service.
+//! Schedule of a process's calls to the configuration service.
 //!
-//! A few direct readers in each failure domain watch; the others are told by peers and read seldom.
-//! The total rate of calls is budgeted: a follower's period grows with the square root of the
-//! fleet, so the followers' total grows with the root only. A process that hears no peer reads more
-//! often, within a fixed budget for the whole fleet. A waiting watch counts as a call.
+//! A few direct readers in each failure domain watch the service. The other processes, the
+//! followers, learn of changes from peers and read rarely. The total rate of calls is bounded: a
+//! follower's period grows with the square root of the fleet size, so the total rate of the
+//! followers grows with the square root only. A process that hears from no peer reads more often,
+//! within a fixed budget for the whole fleet. A watch that waits counts as a call.
 
 use std::time::Duration;
 
@@ -17,54 +18,55 @@
 
 /// Direct readers in each failure domain.
 pub const READERS_PER_FAILURE_DOMAIN: usize = 2;
-/// Time that a watch waits for a change.
+/// Maximum time that a watch waits for a change.
 pub const WATCH_WAIT: Duration = Duration::from_secs(5);
-/// Period of a follower's reads in a fleet of one.
+/// Mean period of a follower's reads in a fleet of one; scaled by the square root of the fleet
+/// size.
 pub const FOLLOWER_PERIOD: Duration = Duration::from_secs(20);
-/// Reads a second of a whole fleet whose processes hear no peers.
+/// Reads per second of a whole fleet whose processes hear from no peers.
 pub const ISOLATED_RATE: u32 = 200;
-/// Shortest period of a process that hears no peers.
+/// Shortest mean period of the reads of a process that hears from no peers.
 pub const ISOLATED_PERIOD: Duration = Duration::from_secs(1);
 
-/// Time after a watch's end that its answer may take.
+/// Time that an answer may take beyond the wait of its call.
 const ANSWER_GRACE: Duration = Duration::from_secs(2);
-/// Shortest time between two calls.
+/// Mean delay between a useful answer and a direct reader's next call.
 const MIN_GAP: Duration = Duration::from_millis(50);
-/// First delay after a call that brought nothing.
+/// Base of the backoff: the mean delay after `n` unproductive calls in a row is this times 2^n.
 const FIRST_DELAY: Duration = Duration::from_millis(200);
-/// Longest delay after calls that brought nothing.
+/// Upper bound of the mean delay after unproductive calls.
 const MAX_DELAY: Duration = Duration::from_secs(2);
-/// First reads of processes that start together are spread over this time.
+/// Interval over which the first reads of processes that start together are spread.
 const START_SPREAD: Duration = Duration::from_millis(500);
 
-/// A live process as the published list and the sessions show it.
+/// Process that is believed live, according to the published list and the sessions.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Member {
-    /// Name.
+    /// Name of the process's instance.
     pub instance: InstanceId,
-    /// Failure domain.
+    /// Failure domain of the instance; direct readers are chosen within it.
     pub failure_domain: FailureDomainId,
 }
 
-/// A call to be made.
+/// Call of the configuration service that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Number to be returned with the answer; an earlier call is given up.
+    /// Number that the answer returns; it replaces any earlier call.
     pub ticket: Ticket,
-    /// Time to wait for a change; zero reads at once.
+    /// Maximum time to wait for a change; zero reads at once.
     pub wait: Duration,
 }
 
-/// What a call brought.
+/// Result of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// A newer manifest.
     Newer,
-    /// What is in force.
+    /// The manifest in force or the one being fetched.
     Same,
     /// An older manifest, or a conflicting or invalid one.
     Rejected,
-    /// No answer.
+    /// The read failed or timed out, or sections were missing or damaged.
     Failed,
 }
 
@@ -75,25 +77,27 @@
     wait: Duration,
 }
 
-/// What the last calls have shown.
+/// State that the results of the last calls lead to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// No answer since the start, a refresh or a failed fetch.
+    /// No answer since the start, a refresh or a failed fetch: reads are delayed by the backoff
+    /// only.
     Urgent,
-    /// The last answer was of no use, so that a watch would end at once.
+    /// The last call failed, or its answer was rejected and a watch would end at once: reads don't
+    /// wait for a change.
     Unsettled,
-    /// The last answer was the newest known.
+    /// The last answer was the newest known configuration: a direct reader may watch.
     Settled,
 }
 
-/// The calls of one process.
+/// Schedule of the calls of one process; at most one call is outstanding.
 #[derive(Debug)]
 pub struct Schedule {
     is_reader: bool,
     fleet: u32,
     outstanding: Option<Outstanding>,
     next: Monotonic,
-    /// Calls in a row that brought nothing.
+    /// Number of calls in a row without a useful answer, watches that ended early among them.
     unproductive_calls: u32,
     phase: Phase,
     was_isolated: bool,
@@ -119,10 +123,11 @@
         self.is_reader
     }
 
-    /// Takes the believed-live processes; returns whether the role of this one changed.
+    /// Sets the processes believed live; returns whether this one became or ceased to be a direct
+    /// reader.
     ///
-    /// Processes with other views may name other readers: some too many do no harm, and with none
-    /// the followers' reads stand in.
+    /// Processes with different views may choose different readers. A few readers too many are
+    /// harmless, and if there are none, the followers' own reads still find changes.
     pub fn set_live(&mut self, me: &Member, live: &[Member], now: Monotonic) -> bool {
         let domain = &me.failure_domain;
         let same = live
@@ -144,7 +149,7 @@
         before != self.is_reader
     }
 
-    /// Makes a read due at once, in place of any call that waits.
+    /// Makes a read due at once; the answer of an outstanding call is ignored.
     pub fn refresh(&mut self, now: Monotonic) {
         self.outstanding = None;
         self.next = now;
@@ -152,7 +157,7 @@
         self.unproductive_calls = 0;
     }
 
-    /// Makes a read due soon, as after sections that did not come.
+    /// Makes a read due after a backoff, for instance when sections could not be read in time.
     pub fn retry(&mut self, now: Monotonic, rng: &mut impl Rng) {
         self.outstanding = None;
         self.unproductive_calls += 1;
@@ -160,7 +165,7 @@
         self.next = now + self.back_off().mul_f64(rng.random_range(0.5..1.5));
     }
 
-    /// Returns the call that is due, if any; `ticket` will name it.
+    /// Returns the call that is due, if any, with `ticket` as its number.
     pub fn due(
         &mut self,
         ticket: Ticket,
@@ -190,14 +195,14 @@
         Some(Call { ticket, wait })
     }
 
-    /// Returns the number of a call that was not answered in time.
+    /// Returns the ticket of the outstanding call if its time to answer has passed.
     #[must_use]
     pub fn late(&self, now: Monotonic) -> Option<Ticket> {
         let call = self.outstanding?;
         (now >= call.since + call.wait + ANSWER_GRACE).then_some(call.ticket)
     }
 
-    /// Takes what the call `ticket` brought; an earlier call's answer changes nothing.
+    /// Records the result of the call `ticket`; the result of an earlier call is ignored.
     pub fn answered(
         &mut self,
         ticket: Ticket,
@@ -209,7 +214,8 @@
             return;
         };
         self.outstanding = None;
-        // A watch that ends at once without a change is no watch.
+        // A watch that ends early without a change counts as unproductive. Otherwise a service that
+        // doesn't hold watches open would be called every `MIN_GAP`.
         let ended_early = call.wait > Duration::ZERO && now < call.since + call.wait / 2;
         let unproductive = match outcome {
             Outcome::Newer => false,
