--- a/crates/configuration/src/sessions.rs
+++ b/crates/configuration/src/sessions.rs
@@ -1,7 +1,8 @@
-//! Peers with a session up, and what each is known to have in force.
+//! Peers with a session up, and the head that each is known to have in force.
 //!
-//! A new configuration is announced in waves that double: a few peers at once, more with each tick.
-//! Most peers of a later wave have it by then from others and say so, and get no announcement.
+//! A new configuration is announced in waves of doubling size: some peers at once, more with each
+//! tick. By the time of a later wave, most of the remaining peers have received it from others and
+//! reported its head, and get no announcement.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,15 +16,15 @@
 use crate::head::Comparison;
 use crate::head::Head;
 
-/// Most sessions that are kept in mind.
+/// Maximum number of sessions that are tracked.
 const MAX_SESSIONS: usize = 1024;
-/// Peers that a new configuration is announced to at once.
+/// Number of peers to which a new configuration is announced at once.
 const FIRST_WAVE: usize = 16;
-/// Most peers of one wave.
+/// Maximum number of peers in one wave.
 const MAX_WAVE: usize = 64;
-/// Time between two announcements to a peer that still says it has an older one.
+/// Shortest time between two announcements to a peer that still reports an older configuration.
 const ANNOUNCE_GAP: Duration = Duration::from_secs(1);
-/// Time that a peer which was busy or silent is not asked.
+/// Time for which a peer that was busy or did not answer isn't asked again.
 const PEER_BACKOFF: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Debug, Default)]
@@ -56,7 +57,7 @@
         self.peers.len()
     }
 
-    /// Records what a peer says it has.
+    /// Records the head that a peer reports, and that the peer was heard from.
     pub(crate) fn heard(&mut self, peer: &InstanceId, head: Option<Head>, now: Monotonic) {
         self.up(peer.clone());
         if let Some(session) = self.peers.get_mut(peer) {
@@ -65,14 +66,14 @@
         }
     }
 
-    /// Forgets what peers said, as after a pause.
+    /// Discards what is known of the peers, which may be outdated after a pause; the sessions stay.
     pub(crate) fn reset(&mut self) {
         for session in self.peers.values_mut() {
             *session = Session::default();
         }
     }
 
-    /// Returns whether any peer was heard within `bound`.
+    /// Returns whether any peer was heard from within the last `bound`.
     pub(crate) fn any_heard(&self, now: Monotonic, bound: Duration) -> bool {
         let mut sessions = self.peers.values();
         sessions.any(|session| {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Returns a peer that says it has a newer configuration worth fetching.
+    /// Returns a random peer that reports a configuration worth fetching and isn't backed off from.
     pub(crate) fn ahead(
         &self,
         acceptance: &Acceptance,
@@ -101,7 +102,7 @@
         ahead.map(|(peer, _)| peer.clone()).choose(rng)
     }
 
-    /// Returns whether any peer says it has a newer configuration worth fetching.
+    /// Returns whether any peer reports a configuration worth fetching.
     pub(crate) fn any_ahead(&self, acceptance: &Acceptance) -> bool {
         let mut heads = self
             .peers
@@ -110,7 +111,7 @@
         heads.any(|head| acceptance.wants(head))
     }
 
-    /// Returns any peer that does not rest.
+    /// Returns a random peer that isn't backed off from.
     pub(crate) fn any_available(&self, now: Monotonic, rng: &mut impl Rng) -> Option<InstanceId> {
         let available = self
             .peers
@@ -119,7 +120,7 @@
         available.map(|(peer, _)| peer.clone()).choose(rng)
     }
 
-    /// Starts the waves for a configuration that has just come into force.
+    /// Starts the announcements of a configuration that has just been put in force.
     pub(crate) fn start_waves(&mut self) {
         self.wave = FIRST_WAVE;
         for session in self.peers.values_mut() {
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Returns the peers of the next wave: some that are not known to have `head`.
+    /// Returns the peers of the next wave: a random choice of those not known to have `head`.
     pub(crate) fn next_wave(
         &mut self,
         head: &Head,
@@ -160,7 +161,8 @@
         chosen
     }
 
-    /// Returns whether a peer that has just said it is behind should be told now.
+    /// Returns whether to send an announcement to a peer that has just reported an older head; if
+    /// so, records it as sent.
     pub(crate) fn try_announce(&mut self, peer: &str, now: Monotonic) -> bool {
         let Some(session) = self.peers.get_mut(peer) else {
             return false;
