--- a/crates/configuration/src/source.rs
+++ b/crates/configuration/src/source.rs
@@ -1,4 +1,4 @@
-//! Published bytes as they were read, kept so that they can be passed on to peers.
+//! Published bytes as they were read, kept so that they can be sent to peers unchanged.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,16 +14,16 @@
 /// Bytes of a manifest and of its sections.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Source {
-    /// Bytes of the manifest.
+    /// Manifest; its digest is the digest of the configuration.
     pub manifest: Value,
-    /// Bytes of each section.
+    /// Sections that have been read or received so far.
     pub sections: BTreeMap<Section, Value>,
 }
 
 impl Source {
-    /// Returns the bytes of a manifest that names these sections, with the sections.
+    /// Returns a source of these sections and of a new manifest with their digests.
     ///
-    /// For operators' tools and tests; daemons keep the bytes that were published.
+    /// For operators' tools and tests; daemons keep the bytes as they were published.
     #[must_use]
     pub fn assemble(revision: u64, preset: &str, sections: BTreeMap<Section, Value>) -> Self {
         let digests: BTreeMap<Section, Digest> = sections
