--- a/crates/configuration/src/spread.rs
+++ b/crates/configuration/src/spread.rs
@@ -1,9 +1,9 @@
-//! Spreading of configurations: what a process reads, asks, answers and tells.
+//! Distribution of configurations between processes.
 //!
-//! Every process runs one [`Spread`]. Announcements are small (a [`Head`]); the bytes are asked
-//! for, from one peer at a time, so that a configuration travels once to each process. The peers
-//! are whoever has a session up, entries and slots alike; which sessions there are is not decided
-//! here. Heads also come with heartbeats and requests, and any of them starts the same exchange.
+//! Every process runs one [`Spread`]. Announcements are small (a [`Head`]). The bytes are requested
+//! from one peer at a time, so that each process receives a configuration once. All processes with
+//! a session up are peers, entries and slots alike; this module doesn't decide which sessions to
+//! open. Heads also arrive with heartbeats and requests, and have the same effect as announcements.
 
 mod event;
 mod peer;
@@ -39,7 +39,9 @@
 pub use crate::spread::event::Action;
 pub use crate::spread::event::Event;
 
-/// The spreading decisions of one process.
+/// State machine that decides on the distribution of configurations for one process.
+///
+/// It does no I/O: [`Spread::handle`] takes events and returns the actions to carry out.
 #[derive(Debug)]
 pub struct Spread {
     me: Member,
@@ -56,7 +58,7 @@
 }
 
 impl Spread {
-    /// Returns the state of a process that starts at `now`.
+    /// Returns the state of a process that starts at `now`; `seed` seeds its random choices.
     #[must_use]
     pub fn new(
         instance: InstanceId,
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Returns the acceptance, with what is in force and the counts.
+    /// Returns the acceptance, with the configuration in force and the counters.
     #[must_use]
     pub fn acceptance(&self) -> &Acceptance {
         &self.acceptance
@@ -95,7 +97,7 @@
         self.schedule.is_reader()
     }
 
-    /// Returns the number of sessions known.
+    /// Returns the number of sessions that are tracked.
     #[must_use]
     pub fn sessions(&self) -> usize {
         self.sessions.len()
@@ -110,7 +112,7 @@
         self.readiness.may_send(now)
     }
 
-    /// Decides what to do about `event`.
+    /// Handles `event`; returns the actions to carry out, in order.
     pub fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action> {
         let mut actions = Vec::new();
         if let Some(gap) = self.readiness.observe(self.next_ticket, now) {
@@ -133,7 +135,7 @@
         actions
     }
 
-    /// Forgets what may have changed during a pause and asks anew.
+    /// Discards state that may be outdated after a pause, and asks the service and a peer again.
     fn refresh_after_pause(&mut self, gap: Duration, now: Monotonic, actions: &mut Vec<Action>) {
         actions.push(Action::Log(Note::Paused(gap)));
         self.sessions.reset();
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Offers bytes to acceptance and tells peers if they came into force.
+    /// Offers a configuration to acceptance; if it is put in force, starts to announce it to peers.
     fn offer(
         &mut self,
         source: Source,
