--- a/crates/configuration/src/spread/event.rs
+++ b/crates/configuration/src/spread/event.rs
@@ -1,4 +1,4 @@
-//! What happens to the spreading of a process, and what it wants done.
+//! Events that the distribution of configurations handles, and actions that it returns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,54 +15,55 @@
 use crate::schedule::Member;
 use crate::source::Value;
 
-/// What happened.
+/// Input of [`crate::spread::Spread::handle`].
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time passed; due every [`auburnline_membership::pause::TICK`].
     Tick,
-    /// A session came up.
+    /// A session to this peer came up.
     SessionUp(InstanceId),
-    /// A session went down.
+    /// The session to this peer went down.
     SessionDown(InstanceId),
-    /// The believed-live processes, this one among them or not.
+    /// The processes believed live; this one may be missing from the list.
     Live(Vec<Member>),
-    /// A heartbeat, announcement or request said what a peer has in force.
+    /// A heartbeat, announcement or request of a peer reported the head that it has in force, if
+    /// any.
     Heard(InstanceId, Option<Head>),
-    /// A peer asks.
+    /// A peer requests a newer configuration.
     Asked(InstanceId, Ask),
-    /// A peer answers.
+    /// A peer answered a request.
     Answered(InstanceId, Parcel),
-    /// The configuration service gave the manifest's bytes.
+    /// The read with this ticket returned the manifest's bytes.
     Manifest(Ticket, Value),
-    /// The configuration service gave a section's bytes.
+    /// A read of this section returned its bytes.
     Section(Section, Value),
-    /// A read of the manifest failed.
+    /// The read of the manifest with this ticket failed.
     ManifestFailed(Ticket),
-    /// A read of a section failed.
+    /// A read of this section failed.
     SectionFailed(Section),
 }
 
-/// What is to be done.
+/// Output of [`crate::spread::Spread::handle`], to be carried out by the caller.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Read the manifest, in place of any read of it that waits.
+    /// Read the manifest from the configuration service, and cancel any earlier read of it.
     ReadManifest {
-        /// Number to be returned with the answer.
+        /// Number that the answer returns.
         ticket: Ticket,
-        /// Digest that is no news, for a watch.
+        /// Digest of the manifest that is already known; a watch waits until it changes.
         known: Option<String>,
-        /// Time to wait for a change; zero reads at once.
+        /// Maximum time to wait for a change; zero reads at once.
         wait: Duration,
     },
-    /// Read a section.
+    /// Read a section by its key in the configuration service.
     ReadSection(Section, String),
-    /// Tell peers what is in force here, now and not only with the next heartbeat.
+    /// Send the head in force to these peers at once, without waiting for the next heartbeat.
     Announce(Vec<InstanceId>, Head),
-    /// Ask a peer.
+    /// Send a request to a peer.
     Ask(InstanceId, Ask),
-    /// Answer a peer.
+    /// Send an answer to a peer.
     Answer(InstanceId, Parcel),
-    /// Take a configuration into force.
+    /// Put a configuration in force.
     Install(Arc<Checked>),
     /// Write to the log.
     Log(Note),
