--- a/crates/configuration/src/spread/peer.rs
+++ b/crates/configuration/src/spread/peer.rs
@@ -1,4 +1,4 @@
-//! The exchange with peers: who is asked, what is answered, who is told.
+//! Exchange with peers: requests, answers and announcements.
 
 use std::time::Duration;
 
@@ -18,14 +18,14 @@
 use crate::spread::Action;
 use crate::spread::Spread;
 
-/// Time that a peer gets to answer a question.
+/// Time that a peer has to answer a request.
 const ASK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes a second that a process sends to peers that ask.
+/// Average rate of bytes per second sent in answers to peers.
 const SERVED_BYTES_PER_SECOND: f64 = 4_000_000.0;
-/// Most bytes that a process sends at once to peers that ask.
+/// Bytes that may be sent in answers to peers at once; the last answer may exceed it.
 const SERVED_BURST_BYTES: f64 = 8_000_000.0;
 
-/// A question that waits for its answer.
+/// Request to a peer that has not been answered yet.
 #[derive(Debug)]
 pub(super) struct Pending {
     pub(super) peer: InstanceId,
@@ -33,7 +33,7 @@
     pub(super) deadline: Monotonic,
 }
 
-/// Allowance of bytes for peers that ask.
+/// Token bucket that limits the bytes sent in answers to peers.
 #[derive(Debug)]
 pub(super) struct Allowance {
     bytes: f64,
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Asks a peer that is ahead; any peer if none has answered since the start or the wake.
+    /// Asks a peer that is ahead, or any peer if none has answered since the start or the last
+    /// pause. Does nothing while a request is pending.
     pub(super) fn ask_next(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
         if self.pending.is_some() {
             return;
@@ -179,7 +180,7 @@
 }
 
 impl Allowance {
-    /// Returns the full allowance.
+    /// Returns a full bucket.
     pub(super) fn new(now: Monotonic) -> Self {
         Self {
             bytes: SERVED_BURST_BYTES,
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Takes `bytes` if the allowance has any left; the last answer may overdraw it.
+    /// Takes `bytes` if any bytes are left, even fewer than that; the balance may become negative.
     fn take(&mut self, bytes: usize, now: Monotonic) -> bool {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         self.at = now;
