--- a/crates/configuration/src/spread/platform.rs
+++ b/crates/configuration/src/spread/platform.rs
@@ -1,4 +1,4 @@
-//! The exchange with the configuration service.
+//! Exchange with the configuration service.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 use crate::spread::Spread;
 use crate::staging::Staging;
 
-/// Time without a word from any peer after which a process counts itself isolated.
+/// Time without a message from any peer after which a process considers itself isolated.
 const ISOLATION_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Spread {
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Reads sections again whose read failed, or gives the whole up if it is late.
+    /// Reads sections again whose read failed, or gives up the staged configuration past its
+    /// deadline.
     pub(super) fn advance_staging(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
         let Some(staging) = &mut self.staging else {
             return;
@@ -120,7 +121,7 @@
         self.offer(staging.into_source(), Origin::Platform, now, actions)
     }
 
-    /// Gives up a configuration whose sections did not come; the manifest is read again.
+    /// Gives up the staged configuration because of missing sections; the manifest is read again.
     fn give_up_staging(&mut self, now: Monotonic) {
         if self.staging.take().is_some() {
             self.schedule.retry(now, &mut self.rng);
@@ -144,7 +145,7 @@
         });
     }
 
-    /// Returns the digest of the manifest that was read last, staged or in force.
+    /// Returns the digest of the newest known manifest: the staged one, otherwise the one in force.
     fn known_digest(&self) -> Option<Digest> {
         let staged = self.staging.as_ref().map(|staging| &staging.head);
         let head = staged.or(self.acceptance.head());
