--- a/crates/configuration/src/staging.rs
+++ b/crates/configuration/src/staging.rs
@@ -1,4 +1,4 @@
-//! A configuration that is being read from the configuration service, section by section.
+//! Staging of a configuration while its sections are read from the configuration service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,25 +14,25 @@
 use crate::source::Source;
 use crate::source::Value;
 
-/// Time after which sections that did not come are given up.
+/// Time after which a staged configuration with missing sections is given up.
 const STAGING_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Mean delay before a section whose read failed is read again.
+/// Mean delay before a failed read of a section is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The manifest that was read and the sections so far.
+/// Manifest that was read, and the sections read so far.
 #[derive(Debug)]
 pub(crate) struct Staging {
     pub(crate) head: Head,
     manifest: Manifest,
     source: Source,
     deadline: Monotonic,
-    /// Sections whose read failed, with the time to read them again.
+    /// Sections whose read failed, with the time of the next read.
     retries: BTreeMap<Section, Monotonic>,
 }
 
 impl Staging {
-    /// Starts from a manifest; sections that are in force need no reading.
+    /// Starts from a manifest; sections that are the same as in force aren't read.
     pub(crate) fn new(
         head: Head,
         manifest: Manifest,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns the sections still to be read, with their keys.
+    /// Returns the sections that have not been read yet, with their keys.
     pub(crate) fn missing(&self) -> Vec<(Section, String)> {
         let wanted = self.manifest.sections.iter();
         wanted
@@ -62,7 +62,7 @@
             .collect()
     }
 
-    /// Takes a section's bytes; returns whether they are the ones wanted.
+    /// Adds a section if its bytes match the manifest's digest; returns whether they do.
     pub(crate) fn add(&mut self, section: Section, bytes: Value) -> bool {
         let matches = parcel::matches_manifest(&self.manifest, section, &bytes);
         if matches {
@@ -71,7 +71,7 @@
         matches
     }
 
-    /// Has a section read again later; what came so far is kept.
+    /// Schedules another read of a section; the sections read so far are kept.
     pub(crate) fn retry_later(&mut self, section: Section, now: Monotonic, rng: &mut impl Rng) {
         let delay = RETRY_DELAY.mul_f64(rng.random_range(0.5..1.5));
         self.retries.insert(section, now + delay);
