--- a/crates/configuration/examples/spread/baseline.rs
+++ b/crates/configuration/examples/spread/baseline.rs
@@ -1,4 +1,5 @@
-//! Two simple ways to the same end: every process watches, or every process polls.
+//! Two simple policies to compare with: every process watches the service, or every process polls
+//! it.
 
 use std::time::Duration;
 
@@ -22,18 +23,18 @@
 
 use crate::support::simulation::Process;
 
-/// Period of every process's reads when all poll, for the aim of 1 s at p99.
+/// Period of each process's reads when all poll, for the target of 1 s at p99.
 pub(crate) const POLL_PERIOD: Duration = Duration::from_secs(1);
 
 /// Mean delay before the next read after a failed one.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A process that asks the service only, and no peer.
+/// Process that reads from the service only and asks no peer.
 pub(crate) struct Baseline {
     acceptance: Acceptance,
     source: Source,
     missing: Vec<Section>,
-    /// Time that a read waits for a change.
+    /// Maximum time that a read waits for a change.
     wait: Duration,
     /// Time between two reads.
     period: Duration,
