--- a/crates/configuration/examples/spread/delta.rs
+++ b/crates/configuration/examples/spread/delta.rs
@@ -1,4 +1,4 @@
-//! Bytes of one change of a section near 1 MB, and the time to check it.
+//! Size of the delta for one change in a section of nearly 1 MB, and the time to make and check it.
 
 use std::time::Instant;
 
@@ -15,9 +15,9 @@
 use crate::SECONDS_A_DAY;
 use crate::support::Draft;
 
-/// Workspaces that make a section of nearly 1 MB.
+/// Number of workspaces; their section has nearly 1 MB.
 const WORKSPACES: usize = 12_000;
-/// Changes measured.
+/// Number of changes over which the results are averaged.
 const CHANGES: u32 = 20;
 
 fn workspaces(rng: &mut impl Rng) -> Map<String, Value> {
