--- a/crates/configuration/examples/spread/main.rs
+++ b/crates/configuration/examples/spread/main.rs
@@ -1,4 +1,4 @@
-//! Spreading of configurations, measured in simulated fleets.
+//! Measures the distribution of configurations in simulated fleets.
 //!
 //! `cargo run --release -p auburnline-configuration --example spread [-- --csv] [SEED]`
 
@@ -26,28 +26,27 @@
 use crate::support::simulation::Simulation;
 use crate::support::simulation::make_spread;
 
-/// Sizes of the fleets.
+/// Numbers of processes of the simulated fleets.
 const SIZES: [usize; 5] = [6, 24, 96, 384, 1060];
-/// Published changes a day at target size.
+/// Published changes per day at the target size.
 const CHANGES_A_DAY: f64 = 590.0;
 const SECONDS_A_DAY: f64 = 86_400.0;
-/// Slots of one group.
 const SLOTS_PER_GROUP: usize = 8;
-/// Most groups that an entry keeps sessions to.
+/// Maximum number of groups that an entry keeps sessions to.
 const MAX_GROUPS: usize = 90;
-/// Revisions that are published for the times to in force.
+/// Number of revisions published to measure the time until they are in force.
 const REVISIONS: u64 = 20;
-/// Time between two of them.
+/// Time between the publication of two revisions.
 const PUBLISH_INTERVAL: Duration = Duration::from_secs(10);
-/// Simulated time over which the calls without changes are counted: two followers' periods at
-/// target size.
+/// Simulated time over which calls are counted while nothing is published: two periods of a
+/// follower at the target size.
 const IDLE_DURATION: Duration = Duration::from_secs(1300);
-/// The same where the rate is plain.
+/// The same for the other runs, in which a shorter time shows the rate of calls.
 const SHORT_IDLE_DURATION: Duration = Duration::from_secs(100);
-/// Calls a second that the service answers.
+/// Calls per second that the service answers; it fails the others.
 const CALLS_PER_SECOND_CAPACITY: u64 = 2000;
 
-/// Who has access to the configuration service.
+/// Processes that can reach the configuration service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Access {
     All,
@@ -55,7 +54,7 @@
     One,
 }
 
-/// What one run gave.
+/// Results of one run.
 struct Row {
     size: usize,
     policy: &'static str,
@@ -74,7 +73,8 @@
     start_calls: u64,
 }
 
-/// Returns the sessions of a fleet: a third entries, the rest slots in groups.
+/// Returns the sessions of a fleet in which a third of the processes are entries and the rest slots
+/// in groups.
 fn sessions(size: usize, domains: usize) -> Vec<Vec<usize>> {
     let entries = (size / 3).max(1);
     let name = |index: usize| -> InstanceId { format!("p{index}").into() };
@@ -143,7 +143,7 @@
     f64::from(u32::try_from(count).unwrap_or(u32::MAX)) / by
 }
 
-/// Returns the time until every process may send after all have started at once.
+/// Returns the time from a simultaneous start of all processes until every one may send.
 fn start(run: &mut Simulation) -> Duration {
     let begin = run.now;
     while run.now < begin + Duration::from_secs(30) {
@@ -226,7 +226,7 @@
     }
 }
 
-/// Leaves one direct reader access to the service and cuts all others.
+/// Cuts all processes from the service except one direct reader, the one with the most calls.
 fn cut_all_but_one(run: &mut Simulation) {
     let mut calls: Vec<(u64, usize)> = Vec::new();
     for (index, node) in run.nodes.iter().enumerate() {
