--- a/crates/configuration/tests/all/support/mod.rs
+++ b/crates/configuration/tests/all/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small valid configuration that each test changes in one place.
+//! A small valid configuration, which the tests modify.
 
 pub(crate) mod simulation;
 
@@ -12,7 +12,7 @@
 use auburnline_core::published::Section;
 use serde_json::json;
 
-/// Sections as JSON, to be changed before they are published.
+/// Unpublished configuration whose sections are JSON values that can be modified.
 pub(crate) struct Draft {
     pub(crate) revision: u64,
     pub(crate) preset: String,
