--- a/crates/configuration/tests/all/support/simulation.rs
+++ b/crates/configuration/tests/all/support/simulation.rs
@@ -1,7 +1,8 @@
-//! A small exchange of messages between many processes and one configuration service.
+//! Deterministic simulation of many processes that exchange messages, and of one configuration
+//! service.
 //!
-//! Time is simulated, all randomness is seeded. Invariants are checked at every step, without
-//! trust in what the processes say of themselves.
+//! Time is simulated and all randomness is seeded. Invariants are checked at every step against the
+//! simulation's own records of what was published, asked and installed.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -30,10 +31,10 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Bytes of a head in its frame.
+/// Size of a framed head, in bytes.
 const HEAD_BYTES: usize = 96;
 
-/// What the simulation drives: a [`Spread`], or one with a planted fault.
+/// Process under simulation: a [`Spread`], a faulty wrapper of one, or a baseline policy.
 pub(crate) trait Process {
     fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action>;
     fn may_send(&self, now: Monotonic) -> bool;
@@ -54,7 +55,7 @@
     }
 }
 
-/// State of the configuration service.
+/// Behaviour of the configuration service; an index is that of an old published configuration.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Service {
     Up,
@@ -158,9 +159,9 @@
     pub(crate) rng: ChaCha8Rng,
     pub(crate) loss: f64,
     pub(crate) events: u64,
-    /// Calls of the configuration service by the second.
+    /// Number of calls of the configuration service in each second.
     pub(crate) calls: BTreeMap<u64, u64>,
-    /// Calls a second that the service answers; the others fail.
+    /// Calls per second that the service answers; the others fail.
     pub(crate) capacity: u64,
     maker: Maker,
     queue: BinaryHeap<Reverse<Scheduled>>,
@@ -224,7 +225,7 @@
         simulation
     }
 
-    /// Starts a process anew; it keeps nothing of what it was.
+    /// Restarts a process without any of its previous state.
     pub(crate) fn start(&mut self, index: usize) {
         let seed = self.rng.random();
         let live: Vec<Member> = self.nodes.iter().map(|node| node.member.clone()).collect();
@@ -249,7 +250,8 @@
         }
     }
 
-    /// Gives a process a list that is wrong both ways: live ones missing, dead ones listed.
+    /// Delivers a list of live processes in which some live ones are replaced by ones that don't
+    /// exist.
     pub(crate) fn deliver_wrong_live_list(&mut self, index: usize) {
         let mut live = Vec::new();
         for other in 0..self.nodes.len() {
@@ -262,7 +264,7 @@
         self.later(Duration::ZERO, index, Item::Deliver(Event::Live(live)));
     }
 
-    /// Freezes a process; what arrives meanwhile waits in its sockets.
+    /// Freezes a process; messages that arrive meanwhile are delivered when it resumes.
     pub(crate) fn freeze(&mut self, index: usize, length: Duration) {
         let node = &mut self.nodes[index];
         node.frozen_until = node.frozen_until.max(self.now + length);
@@ -321,7 +323,7 @@
         }));
     }
 
-    /// Runs until `end`, or until `done` holds.
+    /// Runs until `end`, or until `done` returns `true` after an event.
     pub(crate) fn run(&mut self, end: Monotonic, done: impl Fn(&Self) -> bool) {
         while let Some(Reverse(next)) = self.queue.pop() {
             if next.at > end {
@@ -381,12 +383,13 @@
         self.later(self.period(index), index, Item::Heartbeat);
     }
 
-    /// Returns the period of a process's heartbeats, as if all its sessions were idle.
+    /// Returns the period of a process's heartbeats if all its sessions are idle.
     pub(crate) fn period(&self, index: usize) -> Duration {
         beat::period(false, self.nodes[index].neighbours.len())
     }
 
-    /// Sends a message; `bytes` is `None` for what the session sends anyway.
+    /// Sends a message; `bytes` is `None` for heartbeats, which sessions send anyway and which
+    /// aren't counted as traffic.
     fn send(&mut self, from: usize, to: usize, event: Event, bytes: Option<usize>) {
         if let Some(bytes) = bytes {
             self.nodes[from].traffic.messages += 1;
@@ -467,7 +470,8 @@
         self.check_sending(to);
     }
 
-    /// No new work before a refresh that was asked for after the start or the wake.
+    /// Checks that a process sends new work only after an answer to a request that it made after
+    /// its start or its last pause.
     fn check_sending(&mut self, index: usize) {
         let node = &self.nodes[index];
         if node.process.may_send(self.now) && !node.is_refreshed {
@@ -529,7 +533,7 @@
         }
     }
 
-    /// Counts a call; returns whether the service still has room for it in this second.
+    /// Counts a call; returns whether it is within the service's capacity in this second.
     fn call(&mut self, index: usize) -> bool {
         self.nodes[index].traffic.calls += 1;
         let calls = self.calls.entry(self.now.as_secs()).or_default();
@@ -560,7 +564,7 @@
         self.nodes[index].installs.insert(head.revision, now);
     }
 
-    /// Returns the highest revision that may come into force.
+    /// Returns the highest valid revision published.
     pub(crate) fn highest(&self) -> Revision {
         let valid = self.published.iter().filter(|published| published.is_valid);
         valid
@@ -569,13 +573,13 @@
             .unwrap_or(0)
     }
 
-    /// Returns the highest revision that any process has in force.
+    /// Returns the highest revision that any process has put in force.
     pub(crate) fn highest_accepted(&self) -> Revision {
         let accepted = self.nodes.iter().flat_map(|node| node.installs.keys());
         accepted.copied().max().unwrap_or(0)
     }
 
-    /// Returns whether every process has the highest revision in force.
+    /// Returns whether every process has put the highest valid revision in force.
     pub(crate) fn is_spread(&self) -> bool {
         let highest = self.highest();
         self.nodes
@@ -583,7 +587,7 @@
             .all(|node| node.installs.contains_key(&highest))
     }
 
-    /// Adds a violation for each process that lacks `revision`.
+    /// Adds a violation for each process that hasn't put `revision` in force.
     pub(crate) fn check_spread(&mut self, revision: Revision) {
         for node in &self.nodes {
             if !node.installs.contains_key(&revision) {
@@ -595,7 +599,7 @@
     }
 }
 
-/// Returns a connected sparse graph: a ring, and `extra` random links of each process.
+/// Returns a connected sparse graph: a ring with `extra` random links added per process.
 pub(crate) fn links(count: usize, extra: usize, rng: &mut impl Rng) -> Vec<Vec<usize>> {
     let mut sets = vec![BTreeSet::new(); count];
     let mut join = |a: usize, b: usize| {
