--- a/crates/configuration/tests/all/spread.rs
+++ b/crates/configuration/tests/all/spread.rs
@@ -1,4 +1,4 @@
-//! Randomised runs of many processes, with all faults mixed.
+//! Randomised simulations of many processes under mixed faults, and tests of single exchanges.
 
 use std::time::Duration;
 
@@ -27,11 +27,11 @@
 use crate::support::simulation::links;
 use crate::support::simulation::make_spread;
 
-/// First seed of the runs, unless the environment gives one.
+/// First seed of the randomised runs, unless `AUBURNLINE_SEED` is set.
 const SEED: u64 = 1;
-/// Least events of the runs, unless the environment gives a number.
+/// Minimum number of events of the randomised runs, unless `AUBURNLINE_EVENTS` is set.
 const EVENTS: u64 = 300_000;
-/// Time in which all processes must have the highest revision after all faults end.
+/// Time within which all processes must have the highest revision after all faults end.
 const SPREAD_BOUND: Duration = Duration::from_secs(8);
 
 fn setting(name: &str, default: u64) -> u64 {
@@ -39,7 +39,7 @@
     value.map_or(default, |text| text.parse().expect("a number"))
 }
 
-/// Publishes something: the next revision, an invalid one, or a race under the last revision.
+/// Publishes the next revision, an invalid one, or another configuration under the last revision.
 fn publish(run: &mut Simulation) {
     let last = run
         .published
@@ -60,7 +60,7 @@
     run.publish(draft.source());
 }
 
-/// Brings about one fault, or ends some.
+/// Publishes, causes a random fault, or ends some faults.
 fn inject_fault(run: &mut Simulation) {
     let count = run.nodes.len();
     let index = run.rng.random_range(0..count);
@@ -99,7 +99,7 @@
     run.set_service(Service::Up);
 }
 
-/// Runs one fleet through faults and back; returns the run.
+/// Runs one fleet through random faults, ends them, and checks that all processes converge.
 fn run_with_faults(seed: u64, maker: Maker) -> Simulation {
     let mut run = fleet(seed, maker);
     for _ in 0..40 {
@@ -198,16 +198,16 @@
     expect_true!(run.is_spread());
 }
 
-/// What a planted fault does wrong.
+/// Deliberate fault of a process, which the invariants must detect.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
-    /// Takes any manifest of the service for the first one.
+    /// Accepts any manifest of the service as if it had none in force.
     Reverts,
-    /// Sends whatever it knows.
+    /// Sends new work whether or not it is ready.
     SendsAlways,
-    /// Hears no peer and no service after its first configuration.
+    /// Ignores peers and the service after its first configuration.
     IgnoresEvents,
-    /// Installs what nobody published.
+    /// Installs a configuration that was not published.
     InstallsUnpublished,
 }
 
@@ -280,7 +280,7 @@
     }
 }
 
-/// Returns the sections that `actions` read.
+/// Returns the sections that `actions` request from the service.
 fn reads(actions: &[Action]) -> Vec<Section> {
     let read = |action: &Action| match action {
         Action::ReadSection(section, _) => Some(*section),
