--- a/crates/configuration/tests/all/lookup.rs
+++ b/crates/configuration/tests/all/lookup.rs
@@ -1,4 +1,4 @@
-//! Look-ups and differences of a checked configuration.
+//! Lookups in a checked configuration, and differences between two.
 
 use auburnline_configuration::difference::diff;
 use auburnline_configuration::difference::preview;
