--- a/crates/configuration/tests/all/check.rs
+++ b/crates/configuration/tests/all/check.rs
@@ -1,4 +1,4 @@
-//! Each defect is refused with the path of its field.
+//! Tests that a configuration with a defect is refused with the path of the field.
 
 use auburnline_configuration::checked::Checked;
 use auburnline_configuration::source::Value;
