--- a/crates/configuration/tests/all/parcel.rs
+++ b/crates/configuration/tests/all/parcel.rs
@@ -1,4 +1,4 @@
-//! Pieces that carry sections between peers.
+//! Deltas of sections between peers.
 
 use auburnline_configuration::parcel::Piece;
 use auburnline_configuration::source::Value;
