--- a/crates/configuration/src/schedule.rs
+++ b/crates/configuration/src/schedule.rs
@@ -35,7 +35,7 @@
 /// Base of the backoff: the mean delay after `n` unproductive calls in a row is this times 2^n.
 const BACKOFF_BASE: Duration = Duration::from_millis(200);
 /// Upper bound of the mean delay after unproductive calls.
-const MAX_DELAY: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// Interval over which the first reads of processes that start together are spread.
 const START_SPREAD: Duration = Duration::from_millis(500);
 
@@ -252,7 +252,9 @@
     fn back_off(&self) -> Duration {
         match self.unproductive_calls {
             0 => MIN_GAP,
-            tries => BACKOFF_BASE.mul_f64(f64::from(tries).exp2()).min(MAX_DELAY),
+            tries => BACKOFF_BASE
+                .mul_f64(f64::from(tries).exp2())
+                .min(MAX_BACKOFF),
         }
     }
 
