--- a/crates/configuration/src/acceptance.rs
+++ b/crates/configuration/src/acceptance.rs
@@ -26,7 +26,7 @@
 /// Counters since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Configurations taken into force.
+    /// Configurations put in force.
     pub accepted: u64,
     /// Invalid configurations refused.
     pub refused: u64,
