--- a/crates/configuration/examples/spread/baseline.rs
+++ b/crates/configuration/examples/spread/baseline.rs
@@ -1,4 +1,5 @@
-//! Two simple ways to the same end: every process watches, or every process polls.
+//! Two simple policies to compare with: every process watches the service, or every process polls
+//! it.
 
 use std::time::Duration;
 
@@ -22,24 +23,24 @@
 
 use crate::support::simulation::Process;
 
-/// Period of every process's reads when all poll, for the aim of 1 s at p99.
+/// Period of each process's reads when all poll, for the target of 1 s at p99.
 pub(crate) const POLL_PERIOD: Duration = Duration::from_secs(1);
 
 /// Mean delay before the next read after a failed one.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A process that asks the service only, and no peer.
+/// Process that reads from the service only and asks no peer.
 pub(crate) struct Baseline {
     acceptance: Acceptance,
     source: Source,
     missing: Vec<Section>,
-    /// Time that a read waits for a change.
+    /// Maximum time that a read waits for a change.
     wait: Duration,
     /// Time between two reads.
     period: Duration,
     next: Monotonic,
     ticket: Ticket,
-    waits: bool,
+    is_waiting: bool,
     rng: ChaCha8Rng,
 }
 
@@ -54,16 +55,16 @@
             period,
             next: now + Duration::from_secs(1).mul_f64(rng.random()),
             ticket: 0,
-            waits: false,
+            is_waiting: false,
             rng,
         }
     }
 
     fn read(&mut self, now: Monotonic) -> Vec<Action> {
-        if self.waits || now < self.next || !self.missing.is_empty() {
+        if self.is_waiting || now < self.next || !self.missing.is_empty() {
             return Vec::new();
         }
-        self.waits = true;
+        self.is_waiting = true;
         self.ticket += 1;
         self.next = now + self.period;
         vec![Action::ReadManifest {
@@ -74,7 +75,7 @@
     }
 
     fn manifest(&mut self, bytes: &std::sync::Arc<[u8]>) -> Vec<Action> {
-        self.waits = false;
+        self.is_waiting = false;
         let Ok(manifest) = serde_json::from_slice::<Manifest>(bytes) else {
             return Vec::new();
         };
@@ -126,7 +127,7 @@
                 }
             }
             Event::ManifestFailed(_) | Event::SectionFailed(_) => {
-                self.waits = false;
+                self.is_waiting = false;
                 self.missing.clear();
                 self.next = now + RETRY_DELAY.mul_f64(self.rng.random_range(0.5..1.5));
                 Vec::new()
--- a/crates/configuration/examples/spread/main.rs
+++ b/crates/configuration/examples/spread/main.rs
@@ -1,4 +1,4 @@
-//! Spreading of configurations, measured in simulated fleets.
+//! Measures the distribution of configurations in simulated fleets.
 //!
 //! `cargo run --release -p auburnline-configuration --example spread [-- --csv] [SEED]`
 
@@ -24,30 +24,29 @@
 use crate::support::Draft;
 use crate::support::simulation::Maker;
 use crate::support::simulation::Simulation;
-use crate::support::simulation::sound;
+use crate::support::simulation::make_spread;
 
-/// Sizes of the fleets.
+/// Numbers of processes of the simulated fleets.
 const SIZES: [usize; 5] = [6, 24, 96, 384, 1060];
-/// Published changes a day at target size.
+/// Published changes per day at the target size.
 const CHANGES_A_DAY: f64 = 590.0;
 const SECONDS_A_DAY: f64 = 86_400.0;
-/// Slots of one group.
-const GROUP: usize = 8;
-/// Most groups that an entry keeps sessions to.
+const SLOTS_PER_GROUP: usize = 8;
+/// Maximum number of groups that an entry keeps sessions to.
 const MAX_GROUPS: usize = 90;
-/// Revisions that are published for the times to in force.
+/// Number of revisions published to measure the time until they are in force.
 const REVISIONS: u64 = 20;
-/// Time between two of them.
-const GAP: Duration = Duration::from_secs(10);
-/// Simulated time over which the calls without changes are counted: two followers' periods at
-/// target size.
-const QUIET: Duration = Duration::from_secs(1300);
-/// The same where the rate is plain.
-const SHORT_QUIET: Duration = Duration::from_secs(100);
-/// Calls a second that the service answers.
-const CAPACITY: u64 = 2000;
+/// Time between the publication of two revisions.
+const PUBLISH_INTERVAL: Duration = Duration::from_secs(10);
+/// Simulated time over which calls are counted while nothing is published: two periods of a
+/// follower at the target size.
+const IDLE_DURATION: Duration = Duration::from_secs(1300);
+/// The same for the other runs, in which a shorter time shows the rate of calls.
+const SHORT_IDLE_DURATION: Duration = Duration::from_secs(100);
+/// Calls per second that the service answers; it fails the others.
+const CALLS_PER_SECOND_CAPACITY: u64 = 2000;
 
-/// Who has access to the configuration service.
+/// Processes that can reach the configuration service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Access {
     All,
@@ -55,7 +54,7 @@
     One,
 }
 
-/// What one run gave.
+/// Results of one run.
 struct Row {
     size: usize,
     policy: &'static str,
@@ -74,7 +73,8 @@
     start_calls: u64,
 }
 
-/// Returns the sessions of a fleet: a third entries, the rest slots in groups.
+/// Returns the sessions of a fleet in which a third of the processes are entries and the rest slots
+/// in groups.
 fn sessions(size: usize, domains: usize) -> Vec<Vec<usize>> {
     let entries = (size / 3).max(1);
     let name = |index: usize| -> InstanceId { format!("p{index}").into() };
@@ -96,12 +96,12 @@
         for other in pick(&name(entry), &places) {
             join(entry, numbers[&other]);
         }
-        for group in (entries..size).step_by(GROUP).take(MAX_GROUPS) {
+        for group in (entries..size).step_by(SLOTS_PER_GROUP).take(MAX_GROUPS) {
             join(entry, group);
         }
     }
     for slot in entries..size {
-        let first = slot - (slot - entries) % GROUP;
+        let first = slot - (slot - entries) % SLOTS_PER_GROUP;
         if first != slot {
             join(first, slot);
         }
@@ -123,11 +123,11 @@
     let domains = if size < 96 { 3 } else { 6 };
     let links = sessions(size, domains);
     let mut run = Simulation::new(seed, domains, links, maker, draft(1).source());
-    run.capacity = CAPACITY;
+    run.capacity = CALLS_PER_SECOND_CAPACITY;
     run
 }
 
-fn part(sorted: &[Duration], share: f64) -> Duration {
+fn quantile(sorted: &[Duration], share: f64) -> Duration {
     let last = u32::try_from(sorted.len() - 1).expect("a small number");
     let index = (f64::from(last) * share).round();
     // Exact: the index is a small whole number.
@@ -143,7 +143,7 @@
     f64::from(u32::try_from(count).unwrap_or(u32::MAX)) / by
 }
 
-/// Returns the time until every process may send after all have started at once.
+/// Returns the time from a simultaneous start of all processes until every one may send.
 fn start(run: &mut Simulation) -> Duration {
     let begin = run.now;
     while run.now < begin + Duration::from_secs(30) {
@@ -161,13 +161,13 @@
     let start_calls = run.calls.values().copied().max().unwrap_or(0);
     run.run(Duration::from_secs(35), |_| false);
     let before = total_calls(&run);
-    let quiet = if policy == "spread" && access == Access::All {
-        QUIET
+    let idle = if policy == "spread" && access == Access::All {
+        IDLE_DURATION
     } else {
-        SHORT_QUIET
+        SHORT_IDLE_DURATION
     };
-    run.run(run.now + quiet, |_| false);
-    let calls = ratio(total_calls(&run) - before, quiet.as_secs_f64());
+    run.run(run.now + idle, |_| false);
+    let calls = ratio(total_calls(&run) - before, idle.as_secs_f64());
     if access == Access::One {
         cut_all_but_one(&mut run);
     }
@@ -181,7 +181,7 @@
     for revision in 2..2 + REVISIONS {
         let at = run.now;
         run.publish(draft(revision).source());
-        run.run(at + GAP, |_| false);
+        run.run(at + PUBLISH_INTERVAL, |_| false);
         for node in &run.nodes {
             match node.installs.get(&revision) {
                 Some(installed) => times.push(installed.saturating_sub(at)),
@@ -213,9 +213,9 @@
         access,
         calls,
         peak_calls: peak_calls.unwrap_or(0),
-        p50: part(&times, 0.5),
-        p99: part(&times, 0.99),
-        worst: part(&times, 1.0),
+        p50: quantile(&times, 0.5),
+        p99: quantile(&times, 0.99),
+        worst: quantile(&times, 1.0),
         missing,
         messages: ratio(all_messages, count) * per_second,
         bytes: ratio(all_bytes, count) * per_second,
@@ -226,7 +226,7 @@
     }
 }
 
-/// Leaves one direct reader access to the service and cuts all others.
+/// Cuts all processes from the service except one direct reader, the one with the most calls.
 fn cut_all_but_one(run: &mut Simulation) {
     let mut calls: Vec<(u64, usize)> = Vec::new();
     for (index, node) in run.nodes.iter().enumerate() {
@@ -238,7 +238,7 @@
     }
 }
 
-const HEAD: [&str; 15] = [
+const COLUMNS: [&str; 15] = [
     "processes",
     "   policy",
     "service",
@@ -289,7 +289,7 @@
     }
     let padded: Vec<String> = cells
         .iter()
-        .zip(HEAD)
+        .zip(COLUMNS)
         .map(|(cell, head)| format!("{cell:>width$}", width = head.len()))
         .collect();
     println!("{}", padded.join(separator(is_csv)));
@@ -301,11 +301,11 @@
     let seed = arguments.iter().find_map(|argument| argument.parse().ok());
     let seed = seed.unwrap_or(1);
     println!("seed {seed}, watch {} s", WATCH_WAIT.as_secs());
-    println!("{}", HEAD.join(separator(is_csv)));
+    println!("{}", COLUMNS.join(separator(is_csv)));
     for size in SIZES {
         let policies: [(&str, Maker, Access); 4] = [
-            ("spread", sound, Access::All),
-            ("spread", sound, Access::One),
+            ("spread", make_spread, Access::All),
+            ("spread", make_spread, Access::One),
             ("all watch", baseline::watches, Access::All),
             ("all poll", baseline::polls, Access::All),
         ];
--- a/crates/configuration/src/check/fleet.rs
+++ b/crates/configuration/src/check/fleet.rs
@@ -11,7 +11,7 @@
 use crate::defect::Cause;
 use crate::defect::Subject;
 
-/// Owners of what must stand in one place only, by path.
+/// Paths of values that must be unique in a fleet, by value.
 #[derive(Default)]
 struct Owners {
     addresses: BTreeMap<SocketAddr, String>,
@@ -34,8 +34,8 @@
     }
 }
 
-/// Records `path` as the owner of `name`, or adds a defect if it has one.
-fn own(owners: &mut BTreeMap<String, String>, name: &str, path: String, findings: &mut Findings) {
+/// Records `path` as the owner of `name`, or adds a defect if `name` already has an owner.
+fn claim(owners: &mut BTreeMap<String, String>, name: &str, path: String, findings: &mut Findings) {
     if let Some(other) = owners.get(name) {
         let cause = Cause::Repeated {
             name: name.to_owned(),
@@ -107,7 +107,7 @@
     for (name, group) in &pool.groups {
         let path = format!("{path}.groups.{name}");
         findings.name(&path, name);
-        own(&mut owners.groups, name, path.clone(), findings);
+        claim(&mut owners.groups, name, path.clone(), findings);
         check_group(fleet, &path, group, owners, findings);
     }
 }
@@ -135,6 +135,6 @@
         if !fleet.upstreams.contains_key(instance) {
             findings.unknown(&path, Subject::Upstream, instance);
         }
-        own(&mut owners.members, instance, path, findings);
+        claim(&mut owners.members, instance, path, findings);
     }
 }
--- a/crates/configuration/src/spread.rs
+++ b/crates/configuration/src/spread.rs
@@ -1,9 +1,9 @@
-//! Spreading of configurations: what a process reads, asks, answers and tells.
+//! Distribution of configurations between processes.
 //!
-//! Every process runs one [`Spread`]. Announcements are small (a [`Head`]); the bytes are asked
-//! for, from one peer at a time, so that a configuration travels once to each process. The peers
-//! are whoever has a session up, entries and slots alike; which sessions there are is not decided
-//! here. Heads also come with heartbeats and requests, and any of them starts the same exchange.
+//! Every process runs one [`Spread`]. Announcements are small (a [`Head`]). The bytes are requested
+//! from one peer at a time, so that each process receives a configuration once. All processes with
+//! a session up are peers, entries and slots alike; this module doesn't decide which sessions to
+//! open. Heads also arrive with heartbeats and requests, and have the same effect as announcements.
 
 mod event;
 mod peer;
@@ -33,13 +33,15 @@
 use crate::sessions::Sessions;
 use crate::source::Source;
 use crate::spread::peer::Allowance;
-use crate::spread::peer::Asking;
+use crate::spread::peer::Pending;
 use crate::staging::Staging;
 
 pub use crate::spread::event::Action;
 pub use crate::spread::event::Event;
 
-/// The spreading decisions of one process.
+/// State machine that decides on the distribution of configurations for one process.
+///
+/// It does no I/O: [`Spread::handle`] takes events and returns the actions to carry out.
 #[derive(Debug)]
 pub struct Spread {
     me: Member,
@@ -49,14 +51,14 @@
     schedule: Schedule,
     sessions: Sessions,
     versions: Versions,
-    asking: Option<Asking>,
+    pending: Option<Pending>,
     staging: Option<Staging>,
     allowance: Allowance,
     next_ticket: Ticket,
 }
 
 impl Spread {
-    /// Returns the state of a process that starts at `now`.
+    /// Returns the state of a process that starts at `now`; `seed` seeds its random choices.
     #[must_use]
     pub fn new(
         instance: InstanceId,
@@ -75,7 +77,7 @@
             schedule: Schedule::new(now, &mut rng),
             sessions: Sessions::default(),
             versions: Versions::default(),
-            asking: None,
+            pending: None,
             staging: None,
             allowance: Allowance::new(now),
             next_ticket: 1,
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Returns the acceptance, with what is in force and the counts.
+    /// Returns the acceptance, with the configuration in force and the counters.
     #[must_use]
     pub fn acceptance(&self) -> &Acceptance {
         &self.acceptance
@@ -95,7 +97,7 @@
         self.schedule.is_reader()
     }
 
-    /// Returns the number of sessions known.
+    /// Returns the number of sessions that are tracked.
     #[must_use]
     pub fn sessions(&self) -> usize {
         self.sessions.len()
@@ -110,11 +112,11 @@
         self.readiness.may_send(now)
     }
 
-    /// Decides what to do about `event`.
+    /// Handles `event`; returns the actions to carry out, in order.
     pub fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action> {
         let mut actions = Vec::new();
         if let Some(gap) = self.readiness.observe(self.next_ticket, now) {
-            self.wake(gap, now, &mut actions);
+            self.refresh_after_pause(gap, now, &mut actions);
         }
         match event {
             Event::Tick => self.tick(now, &mut actions),
@@ -129,15 +131,15 @@
             Event::ManifestFailed(ticket) => self.read_ended(ticket, Outcome::Failed, now),
             Event::SectionFailed(section) => self.section_failed(section, now),
         }
-        self.weigh(now, &mut actions);
+        self.update_readiness(now, &mut actions);
         actions
     }
 
-    /// Forgets what may have changed during a pause and asks anew.
-    fn wake(&mut self, gap: Duration, now: Monotonic, actions: &mut Vec<Action>) {
+    /// Discards state that may be outdated after a pause, and asks the service and a peer again.
+    fn refresh_after_pause(&mut self, gap: Duration, now: Monotonic, actions: &mut Vec<Action>) {
         actions.push(Action::Log(Note::Paused(gap)));
-        self.sessions.forget();
-        self.asking = None;
+        self.sessions.reset();
+        self.pending = None;
         self.staging = None;
         self.schedule.refresh(now);
         self.call(now, actions);
@@ -148,10 +150,10 @@
         if let Some(ticket) = self.schedule.late(now) {
             self.read_ended(ticket, Outcome::Failed, now);
         }
-        self.tend_staging(now, actions);
-        if let Some(asking) = self.asking.take_if(|asking| now >= asking.deadline) {
-            self.sessions.rest(&asking.peer, now);
-            let peer = asking.peer;
+        self.advance_staging(now, actions);
+        if let Some(pending) = self.pending.take_if(|pending| now >= pending.deadline) {
+            self.sessions.back_off(&pending.peer, now);
+            let peer = pending.peer;
             actions.push(Action::Log(Note::Unanswered { peer }));
         }
         self.wave(now, actions);
@@ -161,7 +163,7 @@
 
     fn session_down(&mut self, peer: &str) {
         self.sessions.down(peer);
-        self.asking.take_if(|asking| &*asking.peer == peer);
+        self.pending.take_if(|pending| &*pending.peer == peer);
     }
 
     fn live(&mut self, live: &[Member], now: Monotonic, actions: &mut Vec<Action>) {
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Offers bytes to acceptance and tells peers if they came into force.
+    /// Offers a configuration to acceptance; if it is put in force, starts to announce it to peers.
     fn offer(
         &mut self,
         source: Source,
@@ -195,28 +197,28 @@
                 actions.push(Action::Install(checked));
                 self.sessions.start_waves();
                 self.wave(now, actions);
-                Outcome::News
+                Outcome::Newer
             }
             Verdict::Refused(refusal) => {
                 let outcome = if refusal.is_final() {
-                    Outcome::Useless
+                    Outcome::Rejected
                 } else {
                     Outcome::Failed
                 };
                 actions.push(Action::Log(Note::Refused { origin, refusal }));
                 outcome
             }
-            Verdict::Same | Verdict::Older | Verdict::Conflict => Outcome::Useless,
+            Verdict::Same | Verdict::Older | Verdict::Conflict => Outcome::Rejected,
         }
     }
 
-    fn draw_ticket(&mut self) -> Ticket {
+    fn allocate_ticket(&mut self) -> Ticket {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         ticket
     }
 
-    fn weigh(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
+    fn update_readiness(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
         if self.readiness.is_ready() {
             return;
         }
@@ -224,7 +226,7 @@
             has_configuration: self.acceptance.in_force().is_some(),
             is_behind: self.staging.is_some() || self.sessions.any_ahead(&self.acceptance),
         };
-        if self.readiness.weigh(knowledge, now) {
+        if self.readiness.update(knowledge, now) {
             let verdict = self.readiness.may_send(now);
             actions.push(Action::Log(Note::Ready(verdict)));
         }
--- a/crates/configuration/src/spread/peer.rs
+++ b/crates/configuration/src/spread/peer.rs
@@ -1,12 +1,12 @@
-//! The exchange with peers: who is asked, what is answered, who is told.
+//! Exchange with peers: requests, answers and announcements.
 
 use std::time::Duration;
 
 use auburnline_core::id::InstanceId;
 use auburnline_core::time::Monotonic;
 
+use crate::head::Comparison;
 use crate::head::Head;
-use crate::head::Standing;
 use crate::note::Note;
 use crate::parcel;
 use crate::parcel::Ask;
@@ -18,22 +18,22 @@
 use crate::spread::Action;
 use crate::spread::Spread;
 
-/// Time that a peer gets to answer a question.
+/// Time that a peer has to answer a request.
 const ASK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes a second that a process sends to peers that ask.
+/// Average rate of bytes per second sent in answers to peers.
 const SERVED_BYTES_PER_SECOND: f64 = 4_000_000.0;
-/// Most bytes that a process sends at once to peers that ask.
-const SERVED_BURST: f64 = 8_000_000.0;
+/// Bytes that may be sent in answers to peers at once; the last answer may exceed it.
+const SERVED_BURST_BYTES: f64 = 8_000_000.0;
 
-/// A question that waits for its answer.
+/// Request to a peer that has not been answered yet.
 #[derive(Debug)]
-pub(super) struct Asking {
+pub(super) struct Pending {
     pub(super) peer: InstanceId,
     pub(super) ticket: Ticket,
     pub(super) deadline: Monotonic,
 }
 
-/// Allowance of bytes for peers that ask.
+/// Token bucket that limits the bytes sent in answers to peers.
 #[derive(Debug)]
 pub(super) struct Allowance {
     bytes: f64,
@@ -50,24 +50,24 @@
     ) {
         self.sessions.heard(peer, head.cloned(), now);
         if let Some(head) = head {
-            self.sight(head, actions);
+            self.observe_head(head, actions);
         }
         let in_force = self.acceptance.head().cloned();
         let Some(in_force) = in_force else {
             self.ask_next(now, actions);
             return;
         };
-        match in_force.standing(head) {
-            Standing::Newer if self.sessions.tell(peer, now) => {
+        match in_force.compare(head) {
+            Comparison::Newer if self.sessions.try_announce(peer, now) => {
                 actions.push(Action::Announce(vec![peer.clone()], in_force));
             }
-            Standing::Older => self.ask_next(now, actions),
+            Comparison::Older => self.ask_next(now, actions),
             _ => {}
         }
     }
 
-    pub(super) fn sight(&mut self, head: &Head, actions: &mut Vec<Action>) {
-        if self.acceptance.sight(head) {
+    pub(super) fn observe_head(&mut self, head: &Head, actions: &mut Vec<Action>) {
+        if self.acceptance.observe(head) {
             let head = head.clone();
             actions.push(Action::Log(Note::Conflict { head }));
         }
@@ -83,7 +83,7 @@
         self.sessions.heard(&peer, ask.head.clone(), now);
         let in_force = self.acceptance.in_force();
         let newer = in_force
-            .filter(|checked| Head::of(checked).standing(ask.head.as_ref()) == Standing::Newer);
+            .filter(|checked| Head::of(checked).compare(ask.head.as_ref()) == Comparison::Newer);
         let content = newer.map_or(Content::Nothing, |checked| self.versions.pack(checked, ask));
         let mut parcel = Parcel {
             ticket: ask.ticket,
@@ -106,16 +106,16 @@
     ) {
         self.sessions.heard(peer, parcel.head.clone(), now);
         if let Some(head) = &parcel.head {
-            self.sight(head, actions);
+            self.observe_head(head, actions);
         }
         let ticket = parcel.ticket;
-        self.asking.take_if(|asking| asking.ticket == ticket);
+        self.pending.take_if(|pending| pending.ticket == ticket);
         if parcel.head.is_some() {
             self.readiness.answered(Origin::Peer, ticket);
         }
         match parcel.content {
             Content::Nothing => {}
-            Content::Busy => self.sessions.rest(peer, now),
+            Content::Busy => self.sessions.back_off(peer, now),
             Content::Newer { manifest, pieces } => {
                 let in_force = self.acceptance.in_force().cloned();
                 let source = parcel::unpack(&manifest, &pieces, in_force.as_deref());
@@ -137,14 +137,15 @@
         }
     }
 
-    /// Asks a peer that is ahead; any peer if none has answered since the start or the wake.
+    /// Asks a peer that is ahead, or any peer if none has answered since the start or the last
+    /// pause. Does nothing while a request is pending.
     pub(super) fn ask_next(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
-        if self.asking.is_some() {
+        if self.pending.is_some() {
             return;
         }
         let ahead = self.sessions.ahead(&self.acceptance, now, &mut self.rng);
         let peer = match ahead {
-            None if self.readiness.needs_peer() => self.sessions.any(now, &mut self.rng),
+            None if self.readiness.needs_peer() => self.sessions.any_available(now, &mut self.rng),
             found => found,
         };
         if let Some(peer) = peer {
@@ -159,7 +160,7 @@
         now: Monotonic,
         actions: &mut Vec<Action>,
     ) {
-        let ticket = self.draw_ticket();
+        let ticket = self.allocate_ticket();
         let have = self.acceptance.in_force();
         let ask = Ask {
             ticket,
@@ -169,7 +170,7 @@
             }),
             whole,
         };
-        self.asking = Some(Asking {
+        self.pending = Some(Pending {
             peer: peer.clone(),
             ticket,
             deadline: now + ASK_TIMEOUT,
@@ -179,19 +180,19 @@
 }
 
 impl Allowance {
-    /// Returns the full allowance.
+    /// Returns a full bucket.
     pub(super) fn new(now: Monotonic) -> Self {
         Self {
-            bytes: SERVED_BURST,
+            bytes: SERVED_BURST_BYTES,
             at: now,
         }
     }
 
-    /// Takes `bytes` if the allowance has any left; the last answer may overdraw it.
+    /// Takes `bytes` if any bytes are left, even fewer than that; the balance may become negative.
     fn take(&mut self, bytes: usize, now: Monotonic) -> bool {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         self.at = now;
-        self.bytes = (self.bytes + passed * SERVED_BYTES_PER_SECOND).min(SERVED_BURST);
+        self.bytes = (self.bytes + passed * SERVED_BYTES_PER_SECOND).min(SERVED_BURST_BYTES);
         if self.bytes <= 0.0 {
             return false;
         }
--- a/crates/configuration/src/spread/platform.rs
+++ b/crates/configuration/src/spread/platform.rs
@@ -1,4 +1,4 @@
-//! The exchange with the configuration service.
+//! Exchange with the configuration service.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 use auburnline_core::published::Section;
 use auburnline_core::time::Monotonic;
 
+use crate::head::Comparison;
 use crate::head::Head;
-use crate::head::Standing;
 use crate::parcel::Ticket;
 use crate::parse;
 use crate::readiness::Origin;
@@ -19,8 +19,8 @@
 use crate::spread::Spread;
 use crate::staging::Staging;
 
-/// Time without a word from any peer after which a process counts itself isolated.
-const ISOLATION: Duration = Duration::from_secs(5);
+/// Time without a message from any peer after which a process considers itself isolated.
+const ISOLATION_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Spread {
     pub(super) fn manifest(
@@ -30,12 +30,12 @@
         now: Monotonic,
         actions: &mut Vec<Action>,
     ) {
-        let outcome = self.weigh_manifest(bytes, now, actions);
+        let outcome = self.evaluate_manifest(bytes, now, actions);
         self.readiness.answered(Origin::Platform, ticket);
         self.read_ended(ticket, outcome, now);
     }
 
-    fn weigh_manifest(
+    fn evaluate_manifest(
         &mut self,
         bytes: &Value,
         now: Monotonic,
@@ -47,22 +47,22 @@
                 ..Source::default()
             };
             self.offer(source, Origin::Platform, now, actions);
-            return Outcome::Useless;
+            return Outcome::Rejected;
         };
         let head = Head {
             revision: manifest.revision,
             digest: digest(bytes),
         };
-        self.sight(&head, actions);
-        if head.standing(self.acceptance.head()) == Standing::Same {
+        self.observe_head(&head, actions);
+        if head.compare(self.acceptance.head()) == Comparison::Same {
             return Outcome::Same;
         }
         if !self.acceptance.wants(&head) {
-            return Outcome::Useless;
+            return Outcome::Rejected;
         }
         match self.staging.as_ref().map(|staging| &staging.head) {
             Some(staged) if *staged == head => return Outcome::Same,
-            Some(staged) if staged.revision >= head.revision => return Outcome::Useless,
+            Some(staged) if staged.revision >= head.revision => return Outcome::Rejected,
             _ => {}
         }
         let in_force = self.acceptance.in_force().map(|checked| &**checked);
@@ -74,7 +74,7 @@
         }
         let reads = missing.into_iter();
         actions.extend(reads.map(|(section, key)| Action::ReadSection(section, key)));
-        Outcome::News
+        Outcome::Newer
     }
 
     pub(super) fn section(
@@ -88,7 +88,7 @@
             return;
         };
         if !staging.add(section, bytes) {
-            staging.lose(section, now, &mut self.rng);
+            staging.retry_later(section, now, &mut self.rng);
         } else if staging.missing().is_empty() {
             self.finish_staging(now, actions);
         }
@@ -96,12 +96,13 @@
 
     pub(super) fn section_failed(&mut self, section: Section, now: Monotonic) {
         if let Some(staging) = &mut self.staging {
-            staging.lose(section, now, &mut self.rng);
+            staging.retry_later(section, now, &mut self.rng);
         }
     }
 
-    /// Reads sections again whose read failed, or gives the whole up if it is late.
-    pub(super) fn tend_staging(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
+    /// Reads sections again whose read failed, or gives up the staged configuration past its
+    /// deadline.
+    pub(super) fn advance_staging(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
         let Some(staging) = &mut self.staging else {
             return;
         };
@@ -115,12 +116,12 @@
 
     fn finish_staging(&mut self, now: Monotonic, actions: &mut Vec<Action>) -> Outcome {
         let Some(staging) = self.staging.take() else {
-            return Outcome::Useless;
+            return Outcome::Rejected;
         };
         self.offer(staging.into_source(), Origin::Platform, now, actions)
     }
 
-    /// Gives up a configuration whose sections did not come; the manifest is read again.
+    /// Gives up the staged configuration because of missing sections; the manifest is read again.
     fn give_up_staging(&mut self, now: Monotonic) {
         if self.staging.take().is_some() {
             self.schedule.retry(now, &mut self.rng);
@@ -132,11 +133,11 @@
     }
 
     pub(super) fn call(&mut self, now: Monotonic, actions: &mut Vec<Action>) {
-        let is_isolated = !self.sessions.any_heard(now, ISOLATION);
+        let is_isolated = !self.sessions.any_heard(now, ISOLATION_TIMEOUT);
         let ticket = self.next_ticket;
         let call = self.schedule.due(ticket, is_isolated, now, &mut self.rng);
         let Some(call) = call else { return };
-        self.draw_ticket();
+        self.allocate_ticket();
         actions.push(Action::ReadManifest {
             ticket: call.ticket,
             known: self.known_digest(),
@@ -144,7 +145,7 @@
         });
     }
 
-    /// Returns the digest of the manifest that was read last, staged or in force.
+    /// Returns the digest of the newest known manifest: the staged one, otherwise the one in force.
     fn known_digest(&self) -> Option<Digest> {
         let staged = self.staging.as_ref().map(|staging| &staging.head);
         let head = staged.or(self.acceptance.head());
--- a/crates/configuration/src/staging.rs
+++ b/crates/configuration/src/staging.rs
@@ -1,4 +1,4 @@
-//! A configuration that is being read from the configuration service, section by section.
+//! Staging of a configuration while its sections are read from the configuration service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,25 +14,25 @@
 use crate::source::Source;
 use crate::source::Value;
 
-/// Time after which sections that did not come are given up.
+/// Time after which a staged configuration with missing sections is given up.
 const STAGING_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Mean delay before a section whose read failed is read again.
+/// Mean delay before a failed read of a section is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The manifest that was read and the sections so far.
+/// Manifest that was read, and the sections read so far.
 #[derive(Debug)]
 pub(crate) struct Staging {
     pub(crate) head: Head,
     manifest: Manifest,
     source: Source,
     deadline: Monotonic,
-    /// Sections whose read failed, with the time to read them again.
-    lost: BTreeMap<Section, Monotonic>,
+    /// Sections whose read failed, with the time of the next read.
+    retries: BTreeMap<Section, Monotonic>,
 }
 
 impl Staging {
-    /// Starts from a manifest; sections that are in force need no reading.
+    /// Starts from a manifest; sections that are the same as in force aren't read.
     pub(crate) fn new(
         head: Head,
         manifest: Manifest,
@@ -40,19 +40,20 @@
         in_force: Option<&Checked>,
         now: Monotonic,
     ) -> Self {
-        let mut source =
-            in_force.map_or_else(Source::default, |checked| parcel::kept(bytes, checked));
+        let mut source = in_force.map_or_else(Source::default, |checked| {
+            parcel::unchanged_sections(bytes, checked)
+        });
         source.manifest = bytes.clone();
         Self {
             head,
             manifest,
             source,
             deadline: now + STAGING_TIMEOUT,
-            lost: BTreeMap::new(),
+            retries: BTreeMap::new(),
         }
     }
 
-    /// Returns the sections still to be read, with their keys.
+    /// Returns the sections that have not been read yet, with their keys.
     pub(crate) fn missing(&self) -> Vec<(Section, String)> {
         let wanted = self.manifest.sections.iter();
         wanted
@@ -61,28 +62,28 @@
             .collect()
     }
 
-    /// Takes a section's bytes; returns whether they are the ones wanted.
+    /// Adds a section if its bytes match the manifest's digest; returns whether they do.
     pub(crate) fn add(&mut self, section: Section, bytes: Value) -> bool {
-        let named = parcel::is_named(&self.manifest, section, &bytes);
-        if named {
+        let matches = parcel::matches_manifest(&self.manifest, section, &bytes);
+        if matches {
             self.source.sections.insert(section, bytes);
         }
-        named
+        matches
     }
 
-    /// Has a section read again later; what came so far is kept.
-    pub(crate) fn lose(&mut self, section: Section, now: Monotonic, rng: &mut impl Rng) {
+    /// Schedules another read of a section; the sections read so far are kept.
+    pub(crate) fn retry_later(&mut self, section: Section, now: Monotonic, rng: &mut impl Rng) {
         let delay = RETRY_DELAY.mul_f64(rng.random_range(0.5..1.5));
-        self.lost.insert(section, now + delay);
+        self.retries.insert(section, now + delay);
     }
 
     /// Returns the sections that are due to be read again, with their keys.
     pub(crate) fn due(&mut self, now: Monotonic) -> Vec<(Section, String)> {
         let mut missing = self.missing();
-        let lost = &mut self.lost;
-        missing.retain(|(section, _)| lost.get(section).is_some_and(|&due| due <= now));
+        let retries = &mut self.retries;
+        missing.retain(|(section, _)| retries.get(section).is_some_and(|&due| due <= now));
         for (section, _) in &missing {
-            lost.remove(section);
+            retries.remove(section);
         }
         missing
     }
--- a/crates/configuration/tests/all/spread.rs
+++ b/crates/configuration/tests/all/spread.rs
@@ -1,11 +1,11 @@
-//! Randomised runs of many processes, with all faults mixed.
+//! Randomised simulations of many processes under mixed faults, and tests of single exchanges.
 
 use std::time::Duration;
 
 use auburnline_configuration::checked::Checked;
+use auburnline_configuration::head::Comparison;
 use auburnline_configuration::head::Head;
-use auburnline_configuration::head::MIN_DIGEST;
-use auburnline_configuration::head::Standing;
+use auburnline_configuration::head::MIN_DIGEST_CHARS;
 use auburnline_configuration::parcel::Ask;
 use auburnline_configuration::parcel::Content;
 use auburnline_configuration::schedule::Member;
@@ -25,13 +25,13 @@
 use crate::support::simulation::Service;
 use crate::support::simulation::Simulation;
 use crate::support::simulation::links;
-use crate::support::simulation::sound;
+use crate::support::simulation::make_spread;
 
-/// First seed of the runs, unless the environment gives one.
+/// First seed of the randomised runs, unless `AUBURNLINE_SEED` is set.
 const SEED: u64 = 1;
-/// Least events of the runs, unless the environment gives a number.
+/// Minimum number of events of the randomised runs, unless `AUBURNLINE_EVENTS` is set.
 const EVENTS: u64 = 300_000;
-/// Time in which all processes must have the highest revision after all faults end.
+/// Time within which all processes must have the highest revision after all faults end.
 const SPREAD_BOUND: Duration = Duration::from_secs(8);
 
 fn setting(name: &str, default: u64) -> u64 {
@@ -39,7 +39,7 @@
     value.map_or(default, |text| text.parse().expect("a number"))
 }
 
-/// Publishes something: the next revision, an invalid one, or a race under the last revision.
+/// Publishes the next revision, an invalid one, or another configuration under the last revision.
 fn publish(run: &mut Simulation) {
     let last = run
         .published
@@ -60,8 +60,8 @@
     run.publish(draft.source());
 }
 
-/// Brings about one fault, or ends some.
-fn disturb(run: &mut Simulation) {
+/// Publishes, causes a random fault, or ends some faults.
+fn inject_fault(run: &mut Simulation) {
     let count = run.nodes.len();
     let index = run.rng.random_range(0..count);
     let old = run.rng.random_range(0..run.published.len());
@@ -83,14 +83,14 @@
             }
         }
         13 => run.nodes.iter_mut().for_each(|node| node.side = 0),
-        14 | 15 => run.mislead(index),
+        14 | 15 => run.deliver_wrong_live_list(index),
         16 => run.nodes[index].is_cut_from_service ^= true,
         _ => run.loss = run.rng.random_range(0.0..0.3),
     }
 }
 
 /// Ends all faults.
-fn heal(run: &mut Simulation) {
+fn end_faults(run: &mut Simulation) {
     run.loss = 0.0;
     for node in &mut run.nodes {
         node.side = 0;
@@ -99,16 +99,16 @@
     run.set_service(Service::Up);
 }
 
-/// Runs one fleet through faults and back; returns the run.
-fn trial(seed: u64, maker: Maker) -> Simulation {
+/// Runs one fleet through random faults, ends them, and checks that all processes converge.
+fn run_with_faults(seed: u64, maker: Maker) -> Simulation {
     let mut run = fleet(seed, maker);
     for _ in 0..40 {
-        disturb(&mut run);
+        inject_fault(&mut run);
         let length = run.rng.random_range(10..4_000);
         let end = run.now + Duration::from_millis(length);
         run.run(end, |_| false);
     }
-    heal(&mut run);
+    end_faults(&mut run);
     // The longest freeze ends before the bound starts.
     let end = run.now + Duration::from_mins(1) + SPREAD_BOUND;
     run.run(end, |_| false);
@@ -135,7 +135,7 @@
     let mut events = 0;
     let mut seed = first;
     while events < least {
-        let run = trial(seed, sound);
+        let run = run_with_faults(seed, make_spread);
         events += run.events;
         assert_that!(run.violations, is_empty(), "seed {seed}");
         seed += 1;
@@ -145,7 +145,7 @@
 
 #[gtest]
 fn a_new_process_with_stale_reads_only_takes_its_peers_word() {
-    let mut run = fleet(SEED, sound);
+    let mut run = fleet(SEED, make_spread);
     run.run(Duration::from_secs(5), |_| false);
     run.publish(Draft::default().revision(7).source());
     run.run(Duration::from_secs(10), |_| false);
@@ -159,7 +159,7 @@
 
 #[gtest]
 fn a_new_process_with_neither_source_is_not_ready() {
-    let mut run = fleet(SEED, sound);
+    let mut run = fleet(SEED, make_spread);
     run.run(Duration::from_secs(5), |_| false);
     run.set_service(Service::Down);
     run.nodes[0].side = 1;
@@ -171,7 +171,7 @@
 
 #[gtest]
 fn a_frozen_process_with_neither_source_stays_unready() {
-    let mut run = fleet(SEED, sound);
+    let mut run = fleet(SEED, make_spread);
     run.run(Duration::from_secs(5), |_| false);
     expect_true!(run.nodes[0].process.may_send(run.now));
     run.freeze(0, Duration::from_mins(1));
@@ -180,7 +180,7 @@
     run.nodes[0].side = 1;
     run.run(Duration::from_secs(90), |_| false);
     expect_false!(run.nodes[0].process.may_send(run.now));
-    heal(&mut run);
+    end_faults(&mut run);
     run.run(Duration::from_secs(95), |_| false);
     expect_true!(run.nodes[0].process.may_send(run.now));
     expect_that!(run.violations, is_empty());
@@ -188,7 +188,7 @@
 
 #[gtest]
 fn peers_alone_spread_a_revision() {
-    let mut run = fleet(SEED, sound);
+    let mut run = fleet(SEED, make_spread);
     run.run(Duration::from_secs(5), |_| false);
     for (index, node) in run.nodes.iter_mut().enumerate() {
         node.is_cut_from_service = index % 3 != 0;
@@ -198,17 +198,17 @@
     expect_true!(run.is_spread());
 }
 
-/// What a planted fault does wrong.
+/// Deliberate fault of a process, which the invariants must detect.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
-    /// Takes any manifest of the service for the first one.
+    /// Accepts any manifest of the service as if it had none in force.
     Reverts,
-    /// Sends whatever it knows.
+    /// Sends new work whether or not it is ready.
     SendsAlways,
-    /// Hears no peer and no service after its first configuration.
-    Deaf,
-    /// Installs what nobody published.
-    Invents,
+    /// Ignores peers and the service after its first configuration.
+    IgnoresEvents,
+    /// Installs a configuration that was not published.
+    InstallsUnpublished,
 }
 
 struct Faulty {
@@ -221,16 +221,16 @@
     fn handle(&mut self, event: Event, now: Monotonic) -> Vec<Action> {
         let is_manifest = matches!(event, Event::Manifest(..));
         if self.fault == Fault::Reverts && is_manifest {
-            self.inner = sound(&self.member, 1, now);
+            self.inner = make_spread(&self.member, 1, now);
         }
         let is_set = self.inner.head().is_some();
-        if self.fault == Fault::Deaf && is_set && !matches!(event, Event::Tick) {
+        if self.fault == Fault::IgnoresEvents && is_set && !matches!(event, Event::Tick) {
             return Vec::new();
         }
         let mut actions = self.inner.handle(event, now);
-        if self.fault == Fault::Invents && is_manifest {
-            let invented = Draft::default().revision(1_000_000).source();
-            actions.extend(Checked::parse(invented).map(Action::Install));
+        if self.fault == Fault::InstallsUnpublished && is_manifest {
+            let unpublished = Draft::default().revision(1_000_000).source();
+            actions.extend(Checked::parse(unpublished).map(Action::Install));
         }
         actions
     }
@@ -244,8 +244,8 @@
     }
 }
 
-fn plant(fault: Fault, member: &Member, seed: u64, now: Monotonic) -> Box<dyn Process> {
-    let inner = sound(member, seed, now);
+fn make_faulty(fault: Fault, member: &Member, seed: u64, now: Monotonic) -> Box<dyn Process> {
+    let inner = make_spread(member, seed, now);
     if &*member.instance != "p0" {
         return inner;
     }
@@ -260,21 +260,27 @@
 #[gtest]
 fn each_planted_fault_is_caught() {
     let cases: [(Maker, &str); 4] = [
-        (|m, s, n| plant(Fault::Reverts, m, s, n), "goes back"),
+        (|m, s, n| make_faulty(Fault::Reverts, m, s, n), "goes back"),
         (
-            |m, s, n| plant(Fault::SendsAlways, m, s, n),
+            |m, s, n| make_faulty(Fault::SendsAlways, m, s, n),
             "sends before its refresh",
         ),
-        (|m, s, n| plant(Fault::Deaf, m, s, n), "lacks"),
-        (|m, s, n| plant(Fault::Invents, m, s, n), "installs unsound"),
+        (
+            |m, s, n| make_faulty(Fault::IgnoresEvents, m, s, n),
+            "lacks",
+        ),
+        (
+            |m, s, n| make_faulty(Fault::InstallsUnpublished, m, s, n),
+            "installs unsound",
+        ),
     ];
     for (maker, violation) in cases {
-        let run = trial(SEED, maker);
+        let run = run_with_faults(SEED, maker);
         expect_that!(run.violations, contains(contains_substring(violation)));
     }
 }
 
-/// Returns the sections that `actions` read.
+/// Returns the sections that `actions` request from the service.
 fn reads(actions: &[Action]) -> Vec<Section> {
     let read = |action: &Action| match action {
         Action::ReadSection(section, _) => Some(*section),
@@ -312,16 +318,16 @@
 fn a_head_with_a_short_digest_stands_for_the_whole() {
     let whole = Head::of(&Draft::default().checked());
     let short = whole.short();
-    expect_that!(short.standing(Some(&whole)), eq(Standing::Same));
+    expect_that!(short.compare(Some(&whole)), eq(Comparison::Same));
     let mut other = short.clone();
-    other.digest = "0".repeat(MIN_DIGEST);
-    expect_that!(other.standing(Some(&whole)), eq(Standing::Conflict));
+    other.digest = "0".repeat(MIN_DIGEST_CHARS);
+    expect_that!(other.compare(Some(&whole)), eq(Comparison::Conflict));
     other.digest.clear();
-    expect_that!(other.standing(Some(&whole)), eq(Standing::Conflict));
+    expect_that!(other.compare(Some(&whole)), eq(Comparison::Conflict));
 }
 
 /// Returns a process that has a configuration of nearly 1 MB in force.
-fn laden(now: Monotonic) -> Spread {
+fn with_large_configuration(now: Monotonic) -> Spread {
     let limits = json!({"tokens_per_second": 1, "burst_tokens": 1, "weight": 1});
     let all = (0..13_000).map(|index| (format!("workspace-{index:06}"), limits.clone()));
     let all: serde_json::Map<String, serde_json::Value> = all.collect();
@@ -339,10 +345,10 @@
 #[gtest]
 fn a_peer_that_has_sent_enough_is_busy_and_is_asked_again_later() {
     let mut now = Duration::from_secs(1);
-    let mut laden = laden(now);
+    let mut answerer = with_large_configuration(now);
     let mut asker = Spread::new("q".into(), "d".into(), SEED, now);
     let mut answer = |now: Monotonic, ask: &Ask| {
-        let actions = laden.handle(Event::Asked("q".into(), ask.clone()), now);
+        let actions = answerer.handle(Event::Asked("q".into(), ask.clone()), now);
         let parcel = actions.into_iter().find_map(|action| match action {
             Action::Answer(_, parcel) => Some(parcel),
             _ => None,
