--- a/crates/sidecar/src/leader.rs
+++ b/crates/sidecar/src/leader.rs
@@ -249,9 +249,7 @@
         Event::Resumed(version, phase) => {
             log::info!(target: "experts", group, version, phase:?; "map change resumed after restart");
         }
-        Event::Done(version) => {
-            log::info!(target: "experts", group, version; "map change completed");
-        }
+        Event::Done(version) => log::info!(target: "experts", group, version; "map change done"),
         Event::Aborted(version, reason) => {
             log::info!(target: "experts", group, version, reason; "map change aborted");
         }
