--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -1,7 +1,7 @@
-//! Parts of an answer on its way from an upstream to its caller.
+//! Parts of an answer as it is streamed from an upstream to its caller.
 //!
-//! The bytes of a draft are its text. The bytes of a plain service's answer are its [`Head`] in one
-//! line, then its body, so that resume, replay and checksum cover both alike.
+//! The bytes of a draft are its text. The bytes of a plain service's answer are its [`Head`] as one
+//! line, followed by its body, so that resume, replay and checksum cover both.
 
 use std::time::Duration;
 
@@ -14,37 +14,37 @@
 /// One part of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// Bytes at an offset.
+    /// Some bytes of the answer.
     Chunk {
-        /// Where the bytes stand in the answer.
+        /// Position of the first byte in the answer.
         offset: Offset,
-        /// The bytes.
+        /// Content from `offset` on.
         bytes: Bytes,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
-        /// Bytes in all.
+        /// Total length in bytes.
         length: u64,
-        /// Checksum of all bytes.
+        /// [`Checksum`](crate::hash::Checksum) of all bytes.
         checksum: u64,
     },
-    /// There is no whole answer.
+    /// The answer can't be completed.
     Failure(Failure),
 }
 
-/// Final answer of a request that has no whole one.
+/// Final result of a request that has no complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Row of the table of error kinds.
+    /// Error kind, which determines the HTTP status and the fate of the request.
     pub kind: Kind,
-    /// When to come back; `None` if the same request will fail again.
+    /// Delay before a retry; `None` if the same request would fail again.
     pub retry: Option<Duration>,
-    /// Explanation for people.
+    /// Human-readable explanation.
     pub detail: String,
 }
 
 impl Failure {
-    /// Makes the answer of a kind, to come back when its row says.
+    /// Returns a failure with the default retry delay of `kind`.
     #[must_use]
     pub fn new(kind: Kind, detail: impl Into<String>) -> Failure {
         let retry = match kind.row().retry {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Sets a better time to come back than the kind's row gives.
+    /// Replaces the kind's default retry delay.
     #[must_use]
     pub fn retry(mut self, retry: Duration) -> Failure {
         self.retry = Some(retry);
@@ -67,24 +67,24 @@
     }
 }
 
-/// Status and type of a plain service's answer.
+/// Status and media type of a plain service's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
     /// HTTP status.
     pub status: u16,
-    /// Media type.
+    /// Media type, the value of `Content-Type`.
     pub content_type: String,
 }
 
 impl Head {
-    /// Returns the line that stands before the body.
+    /// Returns the line that precedes the body, with its line feed.
     #[must_use]
     pub fn line(&self) -> String {
         let content_type = self.content_type.replace(['\n', '\r'], " ");
         format!("{} {content_type}\n", self.status)
     }
 
-    /// Splits the bytes of a whole answer into head and body; `None` if they have no head.
+    /// Splits a complete answer into head and body; `None` if it has no valid head.
     #[must_use]
     pub fn split(bytes: &Bytes) -> Option<(Head, Bytes)> {
         let end = bytes.iter().position(|&byte| byte == b'\n')?;
