--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! Shared types of all crates of auburnline.
+//! Types shared by all crates of auburnline.
 //!
-//! This crate holds what several decisions and several processes must agree upon: ids, the
-//! published shapes, the closed table of error kinds, hashing that is equal in every process, and
-//! the layout of an expert map. It is not a place for decisions, for input and output, or for
-//! clocks: time reaches every decision as a [`time::Monotonic`] argument.
+//! This crate defines what several crates and processes must agree on: identifiers, the schema of
+//! the published configuration, the closed table of error kinds, hashing that is equal in every
+//! process, and the layout of an expert map. It contains no decision logic, no I/O and no clocks:
+//! time is passed to decision logic as a [`time::Monotonic`] argument.
 
 pub mod answer;
 pub mod error;
