--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -1,9 +1,9 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! The closed list of error kinds, with the HTTP status, fate and retry delay of each.
 //!
-//! Every answer that is not a success has one [`Kind`]; [`Kind::row`] gives its HTTP status, whether
-//! the request ran, and when the caller may come back. A kind has one [`Fate`] only, so that a
-//! process can't say "not run" by choosing a status. Proof that a request was not run is the
-//! `auburnline-attempt` crate's business; this table only fixes the words.
+//! Every answer that is not a success has one [`Kind`]; [`Kind::row`] gives its HTTP status,
+//! whether the request ran, and when the caller may retry. Each kind has exactly one [`Fate`], so
+//! that a process can't claim "not run" by choosing a status. Proving that a request did not run is
+//! the task of `auburnline-attempt`; this table only defines what each kind states.
 
 use std::error::Error;
 use std::fmt::Display;
@@ -17,56 +17,56 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fate {
-    /// Proved not to have run, and never to run under this attempt.
+    /// Proven not to have run, and never to run under this attempt.
     NotRun,
-    /// Ran at an upstream, wholly or in part.
+    /// Ran at an upstream, completely or in part.
     Ran,
     /// May or may not have run.
     Unknown,
 }
 
-/// When a caller may come back.
+/// When a caller may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Return {
-    /// The same request will fail again.
+    /// Not at all: the same request would fail again.
     Never,
-    /// At once, through another entry if one is offered.
+    /// Immediately, through another entry if one is offered.
     Now,
-    /// After this default; a decision may give a better one.
+    /// After this default delay, unless the failure gives a better one.
     After(Duration),
 }
 
-/// One row of the table from kind to answer.
+/// What an error kind states in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Row {
     /// HTTP status of the answer.
     pub status: u16,
     /// Whether the request ran.
     pub fate: Fate,
-    /// When to come back.
+    /// When the caller may retry.
     pub retry: Return,
 }
 
-/// Why a request has no whole answer.
+/// Why a request has no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[repr(u16)]
 pub enum Kind {
-    /// The request can't be understood.
+    /// The request is malformed or invalid.
     BadRequest = 1,
     /// A body or header exceeds its limit.
     TooLarge = 2,
     /// The caller sent its request too slowly.
     SlowSender = 3,
-    /// The workspace is not published.
+    /// The workspace is not in the published configuration.
     UnknownWorkspace = 4,
     /// No pool serves the model.
     UnknownModel = 5,
     /// No plain service has this route.
     UnknownRoute = 6,
-    /// The deadline had passed before the request was sent on.
+    /// The deadline passed before the request was forwarded.
     DeadlinePassed = 7,
-    /// The workspace has used its limit.
+    /// The workspace has used up its limit.
     LimitExceeded = 8,
     /// A queue or ring is full, or the request can't meet its deadline.
     Overloaded = 9,
@@ -76,31 +76,31 @@
     NotReady = 11,
     /// No upstream of the pool can be reached.
     Unreachable = 12,
-    /// A later attempt has fenced this one off.
+    /// A later attempt of the request has fenced this one.
     Fenced = 13,
     /// The sender's configuration is older than the receiver's.
     StaleRevision = 14,
-    /// The preset in force takes no work for this pool.
+    /// The preset in force accepts no work for this pool.
     Maintenance = 15,
-    /// A send was made and its fate can't be known.
+    /// The request was sent, and whether it ran can't be determined.
     OutcomeUnknown = 16,
-    /// The upstream answered with a failure after it had started.
+    /// The upstream reported a failure after the request had started.
     UpstreamFailed = 17,
     /// The answer began and can't be completed.
     Incomplete = 18,
-    /// The caller cancelled the request after it had started.
+    /// The caller cancelled the request after the request had started.
     Cancelled = 19,
-    /// The answer is no longer kept.
+    /// The request ran, but its answer is no longer stored.
     Expired = 20,
-    /// No request of this id is known; a caller's resume or status finds nothing.
+    /// No request with this id is known, for a resume or a status query.
     UnknownRequest = 21,
-    /// The same key came with another request.
+    /// The idempotency key was already used for a different request.
     KeyReused = 22,
     /// The deadline passed while the request ran.
     Timeout = 23,
-    /// A defect of this process; the fate can't be told.
+    /// Internal error of this process; whether the request ran is unknown.
     Internal = 24,
-    /// The caller gave no valid token.
+    /// The caller presented no valid token.
     Unauthorized = 25,
     /// An order with an older fencing number was refused.
     StaleFence = 26,
@@ -108,7 +108,7 @@
     Quarantined = 27,
 }
 
-/// Default time to come back after an overload or a lack of upstreams.
+/// Default retry delay of the kinds that may be retried, but not immediately.
 const SOON: Duration = Duration::from_secs(1);
 
 impl Kind {
@@ -143,7 +143,7 @@
         Kind::Quarantined,
     ];
 
-    /// Returns this kind's row of the table.
+    /// Returns the HTTP status, fate and retry delay of this kind.
     #[must_use]
     pub const fn row(self) -> Row {
         use Fate::NotRun;
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Returns the fate that this kind tells.
+    /// Returns whether a request that failed with this kind ran.
     #[must_use]
     pub const fn fate(self) -> Fate {
         self.row().fate
