--- a/crates/core/src/expert.rs
+++ b/crates/core/src/expert.rs
@@ -1,7 +1,7 @@
 //! Layout of experts over the ranks of a group.
 //!
-//! Each rank holds the same number of places in each layer; a place holds one expert's weights. An
-//! expert may stand in several places (replicas), and each expert stands in at least one.
+//! Each rank has the same number of places in each layer; a place holds one expert's weights. An
+//! expert may occupy several places (replicas), and every expert occupies at least one.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,38 +10,39 @@
 use crate::id::Generation;
 use crate::id::Rank;
 
-/// Experts of one layer, rank by rank: place `p` of rank `r` is entry `r * places + p`.
+/// Experts of one layer in rank order: place `p` of rank `r` is entry `r * places + p`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Layer(pub Vec<Expert>);
 
-/// Map of all layers of a group.
+/// Assignment of experts to places in all layers of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Map {
-    /// Generation, unique and growing in a group.
+    /// Generation, unique within a group and increasing.
     pub generation: Generation,
     /// Number of ranks.
     pub ranks: Rank,
-    /// Experts in each layer.
+    /// Number of distinct experts in each layer.
     pub experts: Expert,
-    /// Layers in order.
+    /// Layers in model order, all of equal length.
     pub layers: Vec<Layer>,
 }
 
-/// Why a map can't be used.
+/// Why a map is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
     /// There are no ranks, experts or layers.
     Empty,
-    /// A layer's length is no multiple of the ranks, or differs from the other layers'.
+    /// A layer's length is 0, no multiple of the ranks or unequal to the first layer's.
     Uneven,
-    /// An expert's index is out of range.
+    /// An expert's index is not below [`Map::experts`].
     UnknownExpert,
-    /// An expert stands nowhere in a layer.
+    /// An expert has no place in a layer.
     MissingExpert,
 }
 
 impl Map {
-    /// Returns the first map of a group: experts in order, spare places filled from the first.
+    /// Returns the initial map of a group: experts in index order, repeated from the first until
+    /// all places are filled.
     #[must_use]
     pub fn initial(ranks: Rank, experts: Expert, layers: usize, places: usize) -> Map {
         let total = usize::from(ranks) * places;
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Returns the places of each rank in each layer.
+    /// Returns the number of places of each rank in each layer.
     #[must_use]
     pub fn places(&self) -> usize {
         self.layers
@@ -70,7 +71,7 @@
         &self.layers[layer].0[start..start + places]
     }
 
-    /// Checks that every expert of every layer stands somewhere.
+    /// Checks that the layers have equal shape and that each holds every expert.
     ///
     /// # Errors
     ///
