--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -1,4 +1,4 @@
-//! Load as an upstream reports it, always with its age.
+//! Load reported by upstreams, with the age of the measurement.
 
 use std::time::Duration;
 
@@ -8,23 +8,23 @@
 /// Load of one unit of routing at the moment it was measured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests that wait for a place in the batch.
+    /// Requests waiting to join the batch.
     pub queued: u32,
     /// Requests in the running batch.
     pub running: u32,
-    /// Tokens still to be generated or prefilled, queued and running.
+    /// Tokens still to be prefilled or generated for queued and running requests.
     pub backlog_tokens: u64,
-    /// Mean time of the last steps.
+    /// Mean duration of the most recent steps.
     pub step_time: Duration,
-    /// Largest over mean step time of the ranks, 1.0 when even.
+    /// Ratio of the largest to the mean step time of the ranks; 1.0 when balanced.
     pub skew: f32,
 }
 
-/// A load with the time since it was measured.
+/// A measured load and its age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// What was measured.
+    /// Load at the time of the measurement.
     pub load: Load,
-    /// How long ago.
+    /// Time since the measurement.
     pub age: Duration,
 }
