--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,7 +1,8 @@
-//! Time as the decisions see it.
+//! Time as passed to decision logic.
 //!
-//! Decisions never read a clock. They get the time since the start of their own process, which
-//! never goes back, and never compare it with another process's: times on the wire are durations.
+//! Decision logic never reads a clock. It receives the time since the start of its own process,
+//! which never goes back, and never compares it with another process's: times on the wire are
+//! durations.
 
 use std::time::Duration;
 
