--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -1,4 +1,4 @@
-//! A request as the decisions see it.
+//! Requests as passed to decision logic.
 
 use std::time::Duration;
 
@@ -15,13 +15,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Work {
-    /// Tokens drafted by a model.
+    /// Text generation by a model.
     Draft {
-        /// Model that drafts.
+        /// Model that generates the text.
         model: ModelId,
-        /// Text to continue.
+        /// Text that the model continues.
         prompt: String,
-        /// Most tokens to generate.
+        /// Maximum number of tokens to generate.
         max_tokens: u32,
     },
     /// One call of a plain service.
@@ -32,43 +32,43 @@
         method: String,
         /// Path and query below the service.
         path: String,
-        /// Body, passed on as it is.
+        /// Request body, forwarded unchanged.
         body: Vec<u8>,
     },
 }
 
-/// Order of service among waiting requests; the highest goes first.
+/// Priority among waiting requests; the highest is served first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// May wait behind all else.
+    /// Served after all other requests.
     Batch,
-    /// The usual priority.
+    /// Priority of a request that states none.
     #[default]
     Normal,
-    /// A person waits at the desk.
+    /// Interactive use: a person is waiting for the answer.
     Urgent,
 }
 
-/// A request that was read and checked.
+/// A request that was parsed and validated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
     /// Idempotency key.
     pub id: RequestId,
-    /// Attempt that the caller counts, from 1; `None` if it did not say.
+    /// Attempt number given by the caller, from 1; `None` if it gave none.
     pub attempt: Option<Attempt>,
-    /// Time since the caller's first send of this key; zero on a first attempt.
+    /// Time since the caller first sent this key; zero on a first attempt.
     pub age: Duration,
-    /// Workspace that asks.
+    /// Workspace that the request is charged to.
     pub workspace: WorkspaceId,
-    /// Order among waiting requests.
+    /// Priority among waiting requests.
     pub priority: Priority,
-    /// Time left until the answer is worthless.
+    /// Time left until the answer is of no more use to the caller.
     pub deadline: Duration,
     /// Whether the work may be repeated.
     pub idempotent: bool,
-    /// What is asked for.
+    /// Work to be done.
     pub work: Work,
 }
