--- a/crates/core/src/hash.rs
+++ b/crates/core/src/hash.rs
@@ -1,7 +1,8 @@
-//! Hashing that every process computes alike.
+//! Hashes that are equal in every process.
 //!
-//! XXH3 (64 and 128 bits) with a seed serves placement and integrity of answers; SHA-256 names
-//! published bytes. The standard library's default hasher is never used where processes must agree.
+//! Placement, fingerprints and answer checksums use 64-bit XXH3, seeded by purpose. Published
+//! bytes are identified by their SHA-256. The standard library's default hasher is never used where
+//! processes must agree.
 
 use std::cmp::Reverse;
 
@@ -10,7 +11,7 @@
 use xxhash_rust::xxh3::Xxh3;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Seed of rendezvous scores.
+/// Seed of rendezvous scores; all processes must use the same value.
 const RENDEZVOUS_SEED: u64 = 0x6175_6275_726e_0001;
 
 /// Lower-case hexadecimal SHA-256 of published bytes.
@@ -33,7 +34,7 @@
     xxh3_64_with_seed(bytes, seed)
 }
 
-/// Running checksum of an answer's bytes, equal at both ends of a stream.
+/// Incremental XXH3 checksum of an answer's bytes, computed at both ends of a stream.
 #[derive(Clone, Default)]
 pub struct Checksum(Xxh3);
 
