--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Body of an answer, read under a bound on silence and on size.
+//! Answer bodies, read with limits on idle time, total time and size.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 use crate::silence::bounded;
 use crate::timeouts::Timeouts;
 
-/// Body of an answer.
+/// Body of an answer, read part by part or as a whole.
 #[derive(Debug)]
 pub struct Body {
     incoming: Incoming,
     silence: Duration,
     whole: Duration,
-    /// Whether the end of the body can be told from a cut.
+    /// Whether the end of the body can be told from a lost connection.
     delimited: bool,
 }
 
@@ -37,14 +37,14 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::Lost`] after a cut, a silence or an end that can't be told from a cut, and [`Failure::Malformed`] if the
-    /// framing is broken.
+    /// Returns [`Failure::Lost`] if the connection is lost, no part arrives in time or the end
+    /// can't be told from a lost connection, and [`Failure::Malformed`] if the framing is broken.
     pub async fn next(&mut self) -> Option<Result<Bytes, Report<Failure>>> {
         loop {
             let frame = match bounded(self.silence, self.incoming.frame()).await {
                 Ok(Some(frame)) => frame,
                 Ok(None) => return self.end(),
-                Err(silent) => return Some(Err(silent).change_context(Failure::Lost)),
+                Err(elapsed) => return Some(Err(elapsed).change_context(Failure::Lost)),
             };
             match frame {
                 Ok(frame) => {
@@ -61,16 +61,19 @@
     }
 
     fn end(&self) -> Option<Result<Bytes, Report<Failure>>> {
-        let lost = || Report::new(Failure::Lost).attach("the body has no marked end");
+        let lost = || {
+            Report::new(Failure::Lost)
+                .attach("the body ended with neither content-length nor transfer-encoding")
+        };
         (!self.delimited).then(|| Err(lost()))
     }
 
-    /// Returns the whole body.
+    /// Reads the complete body.
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::Malformed`] if it exceeds `limit` bytes, and [`Failure::Lost`] if its
-    /// end did not come in time or can't be told from a cut.
+    /// Returns [`Failure::Malformed`] if the body exceeds `limit` bytes, and otherwise fails as
+    /// [`Body::next`] does. The time limit for the complete body also gives [`Failure::Lost`].
     pub async fn whole(self, limit: usize) -> Result<Bytes, Report<Failure>> {
         bounded(self.whole, self.collect(limit))
             .await
@@ -82,7 +85,9 @@
         while let Some(part) = self.next().await {
             let part = part?;
             if whole.len() + part.len() > limit {
-                return Err(Report::new(Failure::Malformed).attach("the body is too large"));
+                return Err(
+                    Report::new(Failure::Malformed).attach("the body exceeds its size limit")
+                );
             }
             whole.extend_from_slice(&part);
         }
