--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,9 +1,10 @@
-//! Client of one address.
+//! HTTP client for one address.
 //!
-//! A request whose fate or answer matters goes over a connection of its own
-//! ([`Connection::Fresh`]): one that was kept alive may have died or gone silent unnoticed, and a
-//! write into it tells nothing; or it may be an answer behind. [`Connection::Kept`] is for what is
-//! polled often and is only a hint. The library's own second send is off in both cases.
+//! A request whose fate or answer matters uses a connection of its own ([`Connection::Fresh`]). A
+//! connection that was kept alive may have been lost unnoticed, in which case a successful write
+//! proves nothing, or its answers may lag one behind its requests. [`Connection::Kept`] is for
+//! frequent polls whose results are only hints. Automatic retries of the HTTP library are disabled
+//! in both cases.
 
 use std::error::Error as _;
 use std::net::SocketAddr;
@@ -31,36 +32,36 @@
 use crate::silence::bounded;
 use crate::timeouts::Timeouts;
 
-/// Header by which an upstream says that it did not run the request.
+/// Header by which an upstream states that it did not run the request.
 pub const NOT_RUN: &str = "x-not-run";
-/// Largest JSON answer, in bytes.
+/// Size limit of a JSON answer in [`json`], in bytes.
 pub const MAX_JSON_BYTES: usize = 4 << 20;
-/// Most idle connections that are kept.
+/// Maximum number of idle connections kept for reuse.
 const MAX_IDLE: usize = 4;
 
 type Inner = legacy::Client<HttpConnector, Full<Bytes>>;
 
-/// Which connection carries a request.
+/// Which connection to use for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connection {
-    /// A new one, for this request only.
+    /// A new connection, used for this request only.
     Fresh,
-    /// One that was kept alive, if there is one.
+    /// An idle connection that was kept alive, or a new one if there is none.
     Kept,
 }
 
 /// Head of an answer and its body.
 #[derive(Debug)]
 pub struct Reply {
-    /// Status.
+    /// HTTP status of the answer.
     pub status: StatusCode,
-    /// Headers.
+    /// Headers of the answer.
     pub headers: HeaderMap,
     /// Body, still to be read.
     pub body: Body,
 }
 
-/// Client of one address.
+/// HTTP client for one address.
 #[derive(Clone, Debug)]
 pub struct Client {
     address: SocketAddr,
@@ -70,7 +71,7 @@
 }
 
 impl Client {
-    /// Returns a client of `address`; nothing is sent yet.
+    /// Returns a client for `address` without connecting to it.
     #[must_use]
     pub fn new(address: SocketAddr, timeouts: Timeouts) -> Self {
         Self {
@@ -81,20 +82,22 @@
         }
     }
 
-    /// Returns the longest wait for the head of an answer.
+    /// Returns the time limit for the head of an answer.
     #[must_use]
     pub const fn head_timeout(&self) -> Duration {
         self.timeouts.head
     }
 
-    /// Returns the address of `path` at this upstream.
+    /// Returns the URI of `path` at this upstream.
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::NotSent`] if `path` is no path.
+    /// Returns [`Failure::NotSent`] if `path` is not a valid absolute path.
     pub fn uri(&self, path: &str) -> Result<Uri, Report<Failure>> {
         if !path.starts_with('/') {
-            return Err(Report::new(Failure::NotSent).attach("the path has no root"));
+            return Err(
+                Report::new(Failure::NotSent).attach("the path does not start with a slash")
+            );
         }
         Uri::builder()
             .scheme("http")
@@ -108,8 +111,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the failure with the fate of the request. A refusal is a failure only if the
-    /// upstream said that it did not run the request.
+    /// Returns a failure that gives the fate of the request. An error status is a failure only if
+    /// the upstream stated, with [`NOT_RUN`], that it did not run the request.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -119,11 +122,11 @@
             .await
     }
 
-    /// Sends a request once and waits no longer than `head` for the head of the answer.
+    /// As [`Client::send`], with `head` as the time limit for the head of the answer.
     ///
     /// # Errors
     ///
-    /// Returns the failure with the fate of the request.
+    /// As [`Client::send`].
     pub async fn send_within(
         &self,
         request: Request<Full<Bytes>>,
@@ -158,17 +161,17 @@
     }
 }
 
-/// Reads a JSON answer of a success.
+/// Reads a successful JSON answer of at most [`MAX_JSON_BYTES`].
 ///
 /// # Errors
 ///
-/// Returns [`Failure::Failed`] on another status, and [`Failure::Malformed`] if the body is not
-/// what was asked for.
+/// Returns [`Failure::Failed`] if the status is not a success, [`Failure::Malformed`] if the body
+/// is too large or not a valid `T`, and otherwise fails as [`Body::whole`] does.
 pub async fn json<T: DeserializeOwned>(reply: Reply) -> Result<T, Report<Failure>> {
     json_within(reply, MAX_JSON_BYTES).await
 }
 
-/// Reads a JSON answer of a success with at most `limit` bytes.
+/// Reads a successful JSON answer of at most `limit` bytes.
 ///
 /// # Errors
 ///
@@ -201,10 +204,10 @@
     empty || headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// Returns the fate of a request whose head of answer did not come.
+/// Returns the failure for a request that got no answer head.
 ///
-/// The library cancels a request only while it still waits for its connection; once it took the
-/// request to write it, the error is another.
+/// The HTTP library reports a request as canceled only while the request waits for a connection.
+/// Once the library has taken the request for writing, it reports other errors.
 fn of_send(error: &legacy::Error) -> Failure {
     if error.is_connect() {
         return Failure::NotSent;
