--- a/crates/http/src/failure.rs
+++ b/crates/http/src/failure.rs
@@ -1,7 +1,7 @@
 //! The closed list of failures of one exchange, each with the fate of the request.
 //!
-//! Only two of them prove that the upstream did not run the request: nothing was sent, or the
-//! upstream itself said so. Whatever can't be proved is [`Failure::Lost`] or
+//! Only two failures prove that the upstream did not run the request: nothing was sent, or the
+//! upstream itself stated so. If nothing is proven, the failure is [`Failure::Lost`] or
 //! [`Failure::Malformed`], and the fate is unknown.
 
 use std::error::Error;
@@ -10,18 +10,18 @@
 
 use auburnline_core::error::Fate;
 
-/// Why an exchange has no whole answer.
+/// Why an exchange has no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Failure {
-    /// Not a byte of the request was sent.
+    /// No byte of the request was sent.
     NotSent,
-    /// The upstream answered with this status and said that it did not run the request.
+    /// The upstream answered with this status and stated that it did not run the request.
     Refused(u16),
-    /// The answer did not come or did not end.
+    /// The answer did not arrive, or not to its end, before a time limit or a lost connection.
     Lost,
-    /// The upstream said that the request failed after its start.
+    /// The upstream reported that the request failed after it had started.
     Failed,
-    /// The answer can't be understood.
+    /// The answer is invalid or exceeds its size limit.
     Malformed,
 }
 
