--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,9 +1,9 @@
-//! HTTP exchange with one upstream, with the fate of what was sent.
+//! HTTP client for one upstream that reports whether a failed request ran.
 //!
-//! A request goes out once: this package never sends again by itself. Every failure is one of the
-//! closed list [`Failure`], and tells whether the upstream may have run the request. Every wait has
-//! a bound, so that a connection that went silent ends in a failure. This is not a general HTTP
-//! client: there are no redirects, no names to resolve and no encryption.
+//! A request is sent once: this crate never retries by itself. Every failure is one of the closed
+//! list [`Failure`], which tells whether the upstream may have run the request. Every wait has a
+//! timeout, so that a connection on which nothing arrives ends in a failure. This is not a general
+//! HTTP client: it supports no redirects, no name resolution and no encryption.
 
 mod body;
 mod client;
