--- a/crates/http/src/silence.rs
+++ b/crates/http/src/silence.rs
@@ -1,7 +1,8 @@
-//! Silence that is not the process's own pause.
+//! Timeouts that tolerate a pause of this process.
 //!
-//! A process that was frozen, or starved of its core, wakes with its timers due and its sockets not
-//! yet read. What lies in them came in time, so it is looked at once more before the silence counts.
+//! A process that was frozen or got no CPU time resumes with its timers expired and its sockets not
+//! yet read. Data waiting in the sockets may have arrived in time, so it is read before a timeout
+//! counts.
 
 use std::future::Future;
 use std::pin::pin;
@@ -10,14 +11,14 @@
 use tokio::time::error::Elapsed;
 use tokio::time::timeout;
 
-/// Time to read what came in while the process did not run.
+/// Extra time to read data that arrived while the process did not run.
 const LOOK: Duration = Duration::from_millis(50);
 
-/// Waits for `future` no longer than `bound`, and a moment more for what has come already.
+/// Waits for `future` for at most `bound`, and then for [`LOOK`] to read what has already arrived.
 ///
 /// # Errors
 ///
-/// Returns the silence.
+/// Returns [`Elapsed`] if `future` is still pending after both.
 pub(crate) async fn bounded<F: Future>(bound: Duration, future: F) -> Result<F::Output, Elapsed> {
     let mut future = pin!(future);
     match timeout(bound, future.as_mut()).await {
