--- a/crates/http/src/timeouts.rs
+++ b/crates/http/src/timeouts.rs
@@ -1,30 +1,30 @@
-//! Bounds of the waits of an exchange.
+//! Timeouts of an exchange.
 
 use std::time::Duration;
 
-/// Longest wait for a connection.
+/// Default time limit for connecting.
 const CONNECT: Duration = Duration::from_secs(1);
-/// Longest wait for the head of the answer.
+/// Default time limit for the head of an answer.
 const HEAD: Duration = Duration::from_secs(10);
-/// Longest silence between two parts of a body.
+/// Default time limit for the next part of a body.
 const SILENCE: Duration = Duration::from_secs(5);
-/// Longest wait for a whole body, however it trickles.
+/// Default time limit for a complete body.
 const WHOLE: Duration = Duration::from_secs(10);
-/// Longest life of an idle connection.
+/// Default time after which an idle connection is closed.
 const IDLE: Duration = Duration::from_secs(2);
 
-/// Bounds of the waits of an exchange.
+/// Timeouts of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// Longest wait for a connection.
+    /// Time limit for connecting.
     pub(crate) connect: Duration,
-    /// Longest wait for the head of the answer.
+    /// Time limit for the head of an answer.
     pub(crate) head: Duration,
-    /// Longest silence between two parts of a body.
+    /// Time limit for the next part of a body.
     pub(crate) silence: Duration,
-    /// Longest wait for a whole body, however it trickles.
+    /// Time limit for a complete body, even while parts keep arriving.
     pub(crate) whole: Duration,
-    /// Longest life of an idle connection.
+    /// Time after which an idle connection is closed.
     pub(crate) idle: Duration,
 }
 
@@ -41,41 +41,41 @@
 }
 
 impl Timeouts {
-    /// Returns the default bounds.
+    /// Returns the default timeouts.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets the longest wait for a connection.
+    /// Sets the time limit for connecting.
     #[must_use]
     pub const fn connect(mut self, bound: Duration) -> Self {
         self.connect = bound;
         self
     }
 
-    /// Sets the longest wait for the head of the answer.
+    /// Sets the time limit for the head of an answer.
     #[must_use]
     pub const fn head(mut self, bound: Duration) -> Self {
         self.head = bound;
         self
     }
 
-    /// Sets the longest silence between two parts of a body.
+    /// Sets the time limit for the next part of a body.
     #[must_use]
     pub const fn silence(mut self, bound: Duration) -> Self {
         self.silence = bound;
         self
     }
 
-    /// Sets the longest wait for a whole body, however it trickles.
+    /// Sets the time limit for a complete body, even while parts keep arriving.
     #[must_use]
     pub const fn whole(mut self, bound: Duration) -> Self {
         self.whole = bound;
         self
     }
 
-    /// Sets the longest life of an idle connection.
+    /// Sets the time after which an idle connection is closed.
     #[must_use]
     pub const fn idle(mut self, bound: Duration) -> Self {
         self.idle = bound;
