--- a/crates/http/tests/exchange.rs
+++ b/crates/http/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Fates of exchanges with upstreams that fail in each way.
+//! The failure that the client reports for each kind of upstream fault.
 
 use std::io::Read as _;
 use std::io::Write as _;
@@ -21,13 +21,13 @@
 use http::Request;
 use tokio::runtime::Builder;
 
-/// Limit of the bodies that are read.
+/// Size limit of answer bodies, in bytes.
 const LIMIT: usize = 1000;
-/// Rounds of what might be a race.
+/// Repetitions of a test that would detect a race.
 const ROUNDS: usize = 200;
-/// Bound where an answer is to come.
+/// Timeout of tests in which an answer is expected.
 const LONG: Duration = Duration::from_secs(30);
-/// Bound where none will come.
+/// Timeout of tests in which the answer is not completed.
 const SHORT: Duration = Duration::from_millis(200);
 
 type Outcome = std::result::Result<Bytes, Failure>;
@@ -70,7 +70,7 @@
     answer_to(Method::POST, answer, then, LONG)
 }
 
-/// Returns the outcome where the end of the answer does not come.
+/// Returns the outcome of an answer that is expected not to complete.
 fn open_answer(answer: &str, then: Then) -> Outcome {
     answer_to(Method::POST, answer, then, SHORT)
 }
@@ -175,7 +175,7 @@
         let mut body = reply.expect("a head").body;
         let first = body.next().await.expect("a part").expect("the first part");
         assert_that!(first, eq(&Bytes::from_static(b"body")));
-        // The sleep holds the whole thread up, as a freeze of the process does.
+        // The sleep blocks the only thread of the runtime, as a frozen process would.
         let (rest, ()) = tokio::join!(body.next(), async { std::thread::sleep(SHORT * 3) });
         rest.expect("a part")
             .map_err(|report| *report.current_context())
