--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -109,7 +109,7 @@
 }
 
 /// Default retry delay of the kinds that may be retried, but not immediately.
-const SOON: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY: Duration = Duration::from_secs(1);
 
 impl Kind {
     /// All kinds, in the order of their numbers.
@@ -159,20 +159,22 @@
             Kind::UnknownWorkspace => row(403, NotRun, Never),
             Kind::UnknownModel | Kind::UnknownRoute => row(404, NotRun, Never),
             Kind::DeadlinePassed => row(408, NotRun, Never),
-            Kind::LimitExceeded => row(429, NotRun, After(SOON)),
-            Kind::Overloaded | Kind::NotReady | Kind::Unreachable => row(503, NotRun, After(SOON)),
+            Kind::LimitExceeded => row(429, NotRun, After(DEFAULT_RETRY)),
+            Kind::Overloaded | Kind::NotReady | Kind::Unreachable => {
+                row(503, NotRun, After(DEFAULT_RETRY))
+            }
             Kind::Leaving | Kind::StaleRevision => row(503, NotRun, Now),
             Kind::Fenced | Kind::StaleFence => row(409, NotRun, Never),
             Kind::Maintenance | Kind::Quarantined => {
                 row(503, NotRun, After(Duration::from_mins(1)))
             }
-            Kind::OutcomeUnknown | Kind::Incomplete => row(502, Unknown, After(SOON)),
+            Kind::OutcomeUnknown | Kind::Incomplete => row(502, Unknown, After(DEFAULT_RETRY)),
             Kind::UpstreamFailed => row(502, Ran, Never),
             Kind::Cancelled => row(499, Ran, Never),
             Kind::Expired => row(410, Ran, Never),
             Kind::UnknownRequest => row(404, Unknown, Never),
             Kind::KeyReused => row(422, NotRun, Never),
-            Kind::Timeout => row(504, Unknown, After(SOON)),
+            Kind::Timeout => row(504, Unknown, After(DEFAULT_RETRY)),
             Kind::Internal => row(500, Unknown, Never),
             Kind::Unauthorized => row(401, NotRun, Never),
         }
