--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -53,7 +53,7 @@
                     }
                 }
                 Err(error) => {
-                    let failure = of_body(&error);
+                    let failure = body_failure(&error);
                     return Some(Err(error).change_context(failure));
                 }
             }
@@ -95,7 +95,7 @@
     }
 }
 
-fn of_body(error: &hyper::Error) -> Failure {
+fn body_failure(error: &hyper::Error) -> Failure {
     if error.is_parse() {
         Failure::Malformed
     } else {
