--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -144,7 +144,7 @@
         let response = match sent {
             Ok(response) => response,
             Err(error) => {
-                let failure = of_send(&error);
+                let failure = send_failure(&error);
                 return Err(Report::new(error).change_context(failure));
             }
         };
@@ -208,7 +208,7 @@
 ///
 /// The HTTP library reports a request as canceled only while the request waits for a connection.
 /// Once the library has taken the request for writing, it reports other errors.
-fn of_send(error: &legacy::Error) -> Failure {
+fn send_failure(error: &legacy::Error) -> Failure {
     if error.is_connect() {
         return Failure::NotSent;
     }
