--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -37,7 +37,7 @@
 /// Size limit of a JSON answer in [`json`], in bytes.
 pub const MAX_JSON_BYTES: usize = 4 << 20;
 /// Maximum number of idle connections kept for reuse.
-const MAX_IDLE: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
 type Inner = legacy::Client<HttpConnector, Full<Bytes>>;
 
@@ -78,7 +78,7 @@
             address,
             timeouts,
             fresh: inner(&timeouts, 0),
-            kept: inner(&timeouts, MAX_IDLE),
+            kept: inner(&timeouts, MAX_IDLE_CONNECTIONS),
         }
     }
 
