--- a/crates/http/src/silence.rs
+++ b/crates/http/src/silence.rs
@@ -12,9 +12,9 @@
 use tokio::time::timeout;
 
 /// Extra time to read data that arrived while the process did not run.
-const LOOK: Duration = Duration::from_millis(50);
+const GRACE: Duration = Duration::from_millis(50);
 
-/// Waits for `future` for at most `bound`, and then for [`LOOK`] to read what has already arrived.
+/// Waits for `future` for at most `bound`, and then for [`GRACE`] to read what has already arrived.
 ///
 /// # Errors
 ///
@@ -23,6 +23,6 @@
     let mut future = pin!(future);
     match timeout(bound, future.as_mut()).await {
         Ok(output) => Ok(output),
-        Err(_) => timeout(LOOK, future).await,
+        Err(_) => timeout(GRACE, future).await,
     }
 }
