--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -10,8 +10,8 @@
 use hyper::body::Incoming;
 
 use crate::failure::Failure;
-use crate::silence::bounded;
 use crate::timeouts::Timeouts;
+use crate::wait::bounded;
 
 /// Body of an answer, read part by part or as a whole.
 #[derive(Debug)]
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -29,8 +29,8 @@
 
 use crate::body::Body;
 use crate::failure::Failure;
-use crate::silence::bounded;
 use crate::timeouts::Timeouts;
+use crate::wait::bounded;
 
 /// Header by which an upstream states that it did not run the request.
 pub const NOT_RUN: &str = "x-not-run";
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -8,8 +8,8 @@
 mod body;
 mod client;
 mod failure;
-mod silence;
 mod timeouts;
+mod wait;
 
 pub use crate::body::Body;
 pub use crate::client::Client;
