--- a/crates/http/src/timeouts.rs
+++ b/crates/http/src/timeouts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Default time limit for connecting.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Default time limit for the head of an answer.
 const HEAD: Duration = Duration::from_secs(10);
 /// Default time limit for the next part of a body.
@@ -31,7 +31,7 @@
 impl Default for Timeouts {
     fn default() -> Self {
         Self {
-            connect: CONNECT,
+            connect: CONNECT_TIMEOUT,
             head: HEAD,
             silence: SILENCE,
             whole: WHOLE,
