--- a/crates/http/src/timeouts.rs
+++ b/crates/http/src/timeouts.rs
@@ -5,7 +5,7 @@
 /// Default time limit for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Default time limit for the head of an answer.
-const HEAD: Duration = Duration::from_secs(10);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Default time limit for the next part of a body.
 const SILENCE: Duration = Duration::from_secs(5);
 /// Default time limit for a complete body.
@@ -32,7 +32,7 @@
     fn default() -> Self {
         Self {
             connect: CONNECT_TIMEOUT,
-            head: HEAD,
+            head: HEAD_TIMEOUT,
             silence: SILENCE,
             whole: WHOLE,
             idle: IDLE,
