--- a/crates/http/src/timeouts.rs
+++ b/crates/http/src/timeouts.rs
@@ -11,7 +11,7 @@
 /// Default time limit for a complete body.
 const WHOLE: Duration = Duration::from_secs(10);
 /// Default time after which an idle connection is closed.
-const IDLE: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Timeouts of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
             head: HEAD_TIMEOUT,
             silence: SILENCE,
             whole: WHOLE,
-            idle: IDLE,
+            idle: IDLE_TIMEOUT,
         }
     }
 }
