--- a/crates/http/src/timeouts.rs
+++ b/crates/http/src/timeouts.rs
@@ -7,7 +7,7 @@
 /// Default time limit for the head of an answer.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Default time limit for the next part of a body.
-const SILENCE: Duration = Duration::from_secs(5);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Default time limit for a complete body.
 const WHOLE: Duration = Duration::from_secs(10);
 /// Default time after which an idle connection is closed.
@@ -33,7 +33,7 @@
         Self {
             connect: CONNECT_TIMEOUT,
             head: HEAD_TIMEOUT,
-            silence: SILENCE,
+            silence: READ_TIMEOUT,
             whole: WHOLE,
             idle: IDLE_TIMEOUT,
         }
