--- a/crates/http/src/timeouts.rs
+++ b/crates/http/src/timeouts.rs
@@ -9,7 +9,7 @@
 /// Default time limit for the next part of a body.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Default time limit for a complete body.
-const WHOLE: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Default time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -34,7 +34,7 @@
             connect: CONNECT_TIMEOUT,
             head: HEAD_TIMEOUT,
             silence: READ_TIMEOUT,
-            whole: WHOLE,
+            whole: BODY_TIMEOUT,
             idle: IDLE_TIMEOUT,
         }
     }
