--- a/crates/http/tests/exchange.rs
+++ b/crates/http/tests/exchange.rs
@@ -22,7 +22,7 @@
 use tokio::runtime::Builder;
 
 /// Size limit of answer bodies, in bytes.
-const LIMIT: usize = 1000;
+const MAX_BODY_BYTES: usize = 1000;
 /// Repetitions of a test that would detect a race.
 const ROUNDS: usize = 200;
 /// Timeout of tests in which an answer is expected.
@@ -54,7 +54,7 @@
         .expect("a request");
     let whole = async {
         let reply = client.send(request, connection).await?;
-        reply.body.whole(LIMIT).await
+        reply.body.whole(MAX_BODY_BYTES).await
     };
     let result: std::result::Result<Bytes, Report<Failure>> = whole.await;
     result.map_err(|report| *report.current_context())
@@ -135,8 +135,8 @@
     let garbage = "SMTP ready\r\n\r\n";
     expect_that!(answer(garbage, Then::Hold), err(eq(&Failure::Malformed)));
     let large = format!(
-        "HTTP/1.1 200 OK\r\ncontent-length: {LIMIT}1\r\n\r\n{}",
-        "x".repeat(LIMIT + 1)
+        "HTTP/1.1 200 OK\r\ncontent-length: {MAX_BODY_BYTES}1\r\n\r\n{}",
+        "x".repeat(MAX_BODY_BYTES + 1)
     );
     expect_that!(answer(&large, Then::Hold), err(eq(&Failure::Malformed)));
 }
