--- a/crates/http/tests/exchange.rs
+++ b/crates/http/tests/exchange.rs
@@ -26,7 +26,7 @@
 /// Repetitions of a test that would detect a race.
 const ROUNDS: usize = 200;
 /// Timeout of tests in which an answer is expected.
-const LONG: Duration = Duration::from_secs(30);
+const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout of tests in which the answer is not completed.
 const SHORT: Duration = Duration::from_millis(200);
 
@@ -67,7 +67,7 @@
 }
 
 fn answer(answer: &str, then: Then) -> Outcome {
-    answer_to(Method::POST, answer, then, LONG)
+    answer_to(Method::POST, answer, then, LONG_TIMEOUT)
 }
 
 /// Returns the outcome of an answer that is expected not to complete.
@@ -80,7 +80,7 @@
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let client = client(address, LONG);
+    let client = client(address, LONG_TIMEOUT);
     for connection in [Connection::Fresh, Connection::Kept] {
         let outcome = run(send(&client, Method::POST, connection));
         expect_that!(outcome, err(eq(&Failure::NotSent)));
@@ -116,7 +116,12 @@
 fn an_answer_without_a_body_needs_no_marked_end() {
     let empty = "HTTP/1.1 204 No Content\r\n\r\n";
     expect_that!(answer(empty, Then::Hold), ok(eq(&Bytes::new())));
-    let head = answer_to(Method::HEAD, "HTTP/1.1 200 OK\r\n\r\n", Then::Hold, LONG);
+    let head = answer_to(
+        Method::HEAD,
+        "HTTP/1.1 200 OK\r\n\r\n",
+        Then::Hold,
+        LONG_TIMEOUT,
+    );
     expect_that!(head, ok(eq(&Bytes::new())));
 }
 
@@ -190,7 +195,7 @@
     for then in [Then::Close, Then::Reset] {
         let scripts = vec![Script::new(first, Then::Again), Script::new("", then)];
         let upstream = Scripted::start(scripts).expect("an upstream");
-        let client = client(upstream.address(), LONG);
+        let client = client(upstream.address(), LONG_TIMEOUT);
         let outcomes = run(async {
             let first = send(&client, Method::POST, Connection::Kept).await;
             (first, send(&client, Method::POST, Connection::Kept).await)
@@ -210,7 +215,7 @@
         Script::new(first, Then::Close),
     ];
     let upstream = Scripted::start(scripts).expect("an upstream");
-    let client = client(upstream.address(), LONG);
+    let client = client(upstream.address(), LONG_TIMEOUT);
     let second = run(async {
         let first = send(&client, Method::POST, Connection::Kept).await;
         expect_that!(first, ok(anything()));
@@ -234,7 +239,7 @@
         Script::new(first, Then::Again),
     ];
     let upstream = Scripted::start(scripts).expect("an upstream");
-    let client = client(upstream.address(), LONG);
+    let client = client(upstream.address(), LONG_TIMEOUT);
     run(async {
         for _ in 0..2 {
             let outcome = send(&client, Method::POST, Connection::Fresh).await;
@@ -249,7 +254,7 @@
     for then in [Then::Close, Then::Reset] {
         let scripts = vec![Script::new("", then); ROUNDS];
         let upstream = Scripted::start(scripts).expect("an upstream");
-        let client = client(upstream.address(), LONG);
+        let client = client(upstream.address(), LONG_TIMEOUT);
         for _ in 0..ROUNDS {
             let before = upstream.requests().len();
             let outcome = run(send(&client, Method::POST, Connection::Fresh));
