--- a/crates/http/tests/exchange.rs
+++ b/crates/http/tests/exchange.rs
@@ -28,7 +28,7 @@
 /// Timeout of tests in which an answer is expected.
 const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout of tests in which the answer is not completed.
-const SHORT: Duration = Duration::from_millis(200);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
 
 type Outcome = std::result::Result<Bytes, Failure>;
 
@@ -72,7 +72,7 @@
 
 /// Returns the outcome of an answer that is expected not to complete.
 fn open_answer(answer: &str, then: Then) -> Outcome {
-    answer_to(Method::POST, answer, then, SHORT)
+    answer_to(Method::POST, answer, then, SHORT_TIMEOUT)
 }
 
 #[gtest]
@@ -90,7 +90,7 @@
 #[gtest]
 fn a_connection_that_is_never_read_ends_as_lost() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
-    let client = client(listener.local_addr().expect("an address"), SHORT);
+    let client = client(listener.local_addr().expect("an address"), SHORT_TIMEOUT);
     let outcome = run(send(&client, Method::POST, Connection::Fresh));
     assert_that!(outcome, err(eq(&Failure::Lost)));
 }
@@ -171,8 +171,8 @@
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = listener.local_addr().expect("an address");
     let parts = ["HTTP/1.1 200 OK\r\ncontent-length: 8\r\n\r\nbody", "rest"];
-    let upstream = std::thread::spawn(move || answer_in_parts(&listener, parts, SHORT / 4));
-    let client = client(address, SHORT);
+    let upstream = std::thread::spawn(move || answer_in_parts(&listener, parts, SHORT_TIMEOUT / 4));
+    let client = client(address, SHORT_TIMEOUT);
     let rest = run(async {
         let request = Request::builder().uri(client.uri("/path").expect("a path"));
         let request = request.body(Bytes::new().into()).expect("a request");
@@ -181,7 +181,7 @@
         let first = body.next().await.expect("a part").expect("the first part");
         assert_that!(first, eq(&Bytes::from_static(b"body")));
         // The sleep blocks the only thread of the runtime, as a frozen process would.
-        let (rest, ()) = tokio::join!(body.next(), async { std::thread::sleep(SHORT * 3) });
+        let (rest, ()) = tokio::join!(body.next(), async { std::thread::sleep(SHORT_TIMEOUT * 3) });
         rest.expect("a part")
             .map_err(|report| *report.current_context())
     });
