--- a/crates/http/tests/exchange.rs
+++ b/crates/http/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Fates of exchanges with upstreams that fail in each way.
+//! The failure that the client reports for each kind of upstream fault.
 
 use std::io::Read as _;
 use std::io::Write as _;
@@ -21,14 +21,14 @@
 use http::Request;
 use tokio::runtime::Builder;
 
-/// Limit of the bodies that are read.
-const LIMIT: usize = 1000;
-/// Rounds of what might be a race.
+/// Size limit of answer bodies, in bytes.
+const MAX_BODY_BYTES: usize = 1000;
+/// Repetitions of a test that would detect a race.
 const ROUNDS: usize = 200;
-/// Bound where an answer is to come.
-const LONG: Duration = Duration::from_secs(30);
-/// Bound where none will come.
-const SHORT: Duration = Duration::from_millis(200);
+/// Timeout of tests in which an answer is expected.
+const LONG_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of tests in which the answer is not completed.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
 
 type Outcome = std::result::Result<Bytes, Failure>;
 
@@ -54,7 +54,7 @@
         .expect("a request");
     let whole = async {
         let reply = client.send(request, connection).await?;
-        reply.body.whole(LIMIT).await
+        reply.body.whole(MAX_BODY_BYTES).await
     };
     let result: std::result::Result<Bytes, Report<Failure>> = whole.await;
     result.map_err(|report| *report.current_context())
@@ -67,12 +67,12 @@
 }
 
 fn answer(answer: &str, then: Then) -> Outcome {
-    answer_to(Method::POST, answer, then, LONG)
+    answer_to(Method::POST, answer, then, LONG_TIMEOUT)
 }
 
-/// Returns the outcome where the end of the answer does not come.
+/// Returns the outcome of an answer that is expected not to complete.
 fn open_answer(answer: &str, then: Then) -> Outcome {
-    answer_to(Method::POST, answer, then, SHORT)
+    answer_to(Method::POST, answer, then, SHORT_TIMEOUT)
 }
 
 #[gtest]
@@ -80,7 +80,7 @@
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let client = client(address, LONG);
+    let client = client(address, LONG_TIMEOUT);
     for connection in [Connection::Fresh, Connection::Kept] {
         let outcome = run(send(&client, Method::POST, connection));
         expect_that!(outcome, err(eq(&Failure::NotSent)));
@@ -90,7 +90,7 @@
 #[gtest]
 fn a_connection_that_is_never_read_ends_as_lost() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
-    let client = client(listener.local_addr().expect("an address"), SHORT);
+    let client = client(listener.local_addr().expect("an address"), SHORT_TIMEOUT);
     let outcome = run(send(&client, Method::POST, Connection::Fresh));
     assert_that!(outcome, err(eq(&Failure::Lost)));
 }
@@ -116,7 +116,12 @@
 fn an_answer_without_a_body_needs_no_marked_end() {
     let empty = "HTTP/1.1 204 No Content\r\n\r\n";
     expect_that!(answer(empty, Then::Hold), ok(eq(&Bytes::new())));
-    let head = answer_to(Method::HEAD, "HTTP/1.1 200 OK\r\n\r\n", Then::Hold, LONG);
+    let head = answer_to(
+        Method::HEAD,
+        "HTTP/1.1 200 OK\r\n\r\n",
+        Then::Hold,
+        LONG_TIMEOUT,
+    );
     expect_that!(head, ok(eq(&Bytes::new())));
 }
 
@@ -135,8 +140,8 @@
     let garbage = "SMTP ready\r\n\r\n";
     expect_that!(answer(garbage, Then::Hold), err(eq(&Failure::Malformed)));
     let large = format!(
-        "HTTP/1.1 200 OK\r\ncontent-length: {LIMIT}1\r\n\r\n{}",
-        "x".repeat(LIMIT + 1)
+        "HTTP/1.1 200 OK\r\ncontent-length: {MAX_BODY_BYTES}1\r\n\r\n{}",
+        "x".repeat(MAX_BODY_BYTES + 1)
     );
     expect_that!(answer(&large, Then::Hold), err(eq(&Failure::Malformed)));
 }
@@ -166,8 +171,8 @@
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
     let address = listener.local_addr().expect("an address");
     let parts = ["HTTP/1.1 200 OK\r\ncontent-length: 8\r\n\r\nbody", "rest"];
-    let upstream = std::thread::spawn(move || answer_in_parts(&listener, parts, SHORT / 4));
-    let client = client(address, SHORT);
+    let upstream = std::thread::spawn(move || answer_in_parts(&listener, parts, SHORT_TIMEOUT / 4));
+    let client = client(address, SHORT_TIMEOUT);
     let rest = run(async {
         let request = Request::builder().uri(client.uri("/path").expect("a path"));
         let request = request.body(Bytes::new().into()).expect("a request");
@@ -175,8 +180,8 @@
         let mut body = reply.expect("a head").body;
         let first = body.next().await.expect("a part").expect("the first part");
         assert_that!(first, eq(&Bytes::from_static(b"body")));
-        // The sleep holds the whole thread up, as a freeze of the process does.
-        let (rest, ()) = tokio::join!(body.next(), async { std::thread::sleep(SHORT * 3) });
+        // The sleep blocks the only thread of the runtime, as a frozen process would.
+        let (rest, ()) = tokio::join!(body.next(), async { std::thread::sleep(SHORT_TIMEOUT * 3) });
         rest.expect("a part")
             .map_err(|report| *report.current_context())
     });
@@ -190,7 +195,7 @@
     for then in [Then::Close, Then::Reset] {
         let scripts = vec![Script::new(first, Then::Again), Script::new("", then)];
         let upstream = Scripted::start(scripts).expect("an upstream");
-        let client = client(upstream.address(), LONG);
+        let client = client(upstream.address(), LONG_TIMEOUT);
         let outcomes = run(async {
             let first = send(&client, Method::POST, Connection::Kept).await;
             (first, send(&client, Method::POST, Connection::Kept).await)
@@ -210,7 +215,7 @@
         Script::new(first, Then::Close),
     ];
     let upstream = Scripted::start(scripts).expect("an upstream");
-    let client = client(upstream.address(), LONG);
+    let client = client(upstream.address(), LONG_TIMEOUT);
     let second = run(async {
         let first = send(&client, Method::POST, Connection::Kept).await;
         expect_that!(first, ok(anything()));
@@ -234,7 +239,7 @@
         Script::new(first, Then::Again),
     ];
     let upstream = Scripted::start(scripts).expect("an upstream");
-    let client = client(upstream.address(), LONG);
+    let client = client(upstream.address(), LONG_TIMEOUT);
     run(async {
         for _ in 0..2 {
             let outcome = send(&client, Method::POST, Connection::Fresh).await;
@@ -249,7 +254,7 @@
     for then in [Then::Close, Then::Reset] {
         let scripts = vec![Script::new("", then); ROUNDS];
         let upstream = Scripted::start(scripts).expect("an upstream");
-        let client = client(upstream.address(), LONG);
+        let client = client(upstream.address(), LONG_TIMEOUT);
         for _ in 0..ROUNDS {
             let before = upstream.requests().len();
             let outcome = run(send(&client, Method::POST, Connection::Fresh));
