--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -14,7 +14,7 @@
 use crate::error::Reason;
 use crate::limits::Limits;
 use crate::read::Settings;
-use crate::read::verdict;
+use crate::read::into_result;
 use crate::timing::Timing;
 use crate::token::Token;
 
@@ -64,7 +64,7 @@
         check::overlaps(&places, &mut faults);
         self.timing.check(&mut faults);
         self.limits.check(&mut faults);
-        verdict(faults)
+        into_result(faults)
     }
 }
 
@@ -82,7 +82,7 @@
         }
         let Some(entry) = fleet.entries.get(&self.instance) else {
             faults.push(Fault::new("instance", Reason::UnknownInstance));
-            return verdict(faults);
+            return into_result(faults);
         };
         if entry.failure_domain != self.failure_domain {
             let reason = Reason::Differs(entry.failure_domain.to_string());
@@ -90,6 +90,6 @@
         }
         check::published("caller", self.caller, entry.caller, &mut faults);
         check::published("peer", self.peer, entry.peer, &mut faults);
-        verdict(faults)
+        into_result(faults)
     }
 }
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -63,7 +63,7 @@
     Error::single(path, Reason::Malformed(cause))
 }
 
-pub(crate) fn verdict(faults: Vec<Fault>) -> Result<(), Error> {
+pub(crate) fn into_result(faults: Vec<Fault>) -> Result<(), Error> {
     if faults.is_empty() {
         Ok(())
     } else {
--- a/crates/settings/src/slot.rs
+++ b/crates/settings/src/slot.rs
@@ -14,7 +14,7 @@
 use crate::error::Reason;
 use crate::limits::Limits;
 use crate::read::Settings;
-use crate::read::verdict;
+use crate::read::into_result;
 use crate::timing::Timing;
 use crate::token::Token;
 
@@ -81,7 +81,7 @@
         check::overlaps(&places, &mut faults);
         self.timing.check(&mut faults);
         self.limits.check(&mut faults);
-        verdict(faults)
+        into_result(faults)
     }
 }
 
@@ -109,13 +109,13 @@
         }
         let Some(upstream) = fleet.upstreams.get(&self.instance) else {
             faults.push(Fault::new("instance", Reason::UnknownInstance));
-            return verdict(faults);
+            return into_result(faults);
         };
         if upstream.failure_domain != self.failure_domain {
             let reason = Reason::Differs(upstream.failure_domain.to_string());
             faults.push(Fault::new("failure_domain", reason));
         }
         check::published("peer", self.peer, upstream.peer, &mut faults);
-        verdict(faults)
+        into_result(faults)
     }
 }
