--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,8 +1,9 @@
-//! Client of the product's own configuration service and instance list.
+//! Read-only client of the product's own configuration service and instance list.
 //!
-//! Both can only be read. A read is one call, and so is a watch that waits. What is read may be
-//! stale, old or missing; this package passes it on with its version and decides nothing. Each call
-//! has a connection of its own, since one that is kept may have gone silent.
+//! A read is a single call, and so is a watch, which long-polls. The returned data may be stale, out
+//! of date or missing; this crate returns it with its version and leaves the interpretation to the
+//! caller. Each call opens a new connection, because a kept-alive one may have stopped responding
+//! without being closed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,26 +22,26 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Header with the version of a value.
+/// Response header that carries the version of a value.
 pub const VERSION_HEADER: &str = "x-version";
-/// Longest silence of the platform's connection.
-const SILENCE: Duration = Duration::from_secs(2);
+/// Default limit on the wait for the head of a reply and between two parts of its body.
+const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A value with its version.
+/// A versioned value of the configuration service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Value {
-    /// Version, grows with each change of the value.
+    /// Version, increased by each change of the value.
     pub version: u64,
-    /// Content.
+    /// Content, at most [`MAX_VALUE_BYTES`] long.
     pub bytes: Bytes,
 }
 
-/// Live and leaving instances, as the platform believes.
+/// Live and leaving instances, as reported by the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instances {
-    /// Version of the list.
+    /// Version of the instance list.
     pub version: u64,
-    /// Instances that run.
+    /// Instances that are running.
     pub live: Vec<InstanceId>,
     /// Instances that are about to stop.
     pub leaving: Vec<InstanceId>,
@@ -51,35 +52,35 @@
 pub struct Client(auburnline_http::Client);
 
 impl Client {
-    /// Returns a client of the platform at `address`.
+    /// Creates a client of the platform at `address`, with a timeout of 2 s.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
-        let timeouts = Timeouts::new().head(SILENCE).silence(SILENCE);
+        let timeouts = Timeouts::new().head(TIMEOUT).silence(TIMEOUT);
         Self::with_timeouts(address, timeouts)
     }
 
-    /// Returns a client with other bounds.
+    /// Creates a client with the given timeouts.
     #[must_use]
     pub fn with_timeouts(address: SocketAddr, timeouts: Timeouts) -> Self {
         Self(auburnline_http::Client::new(address, timeouts))
     }
 
-    /// Reads the value of `key`, or `None` if there is none.
+    /// Reads the value of `key`, or `None` if it is not set.
     ///
     /// # Errors
     ///
-    /// Returns why the value could not be read.
+    /// Returns the failure of the call.
     pub async fn read(&self, key: &str) -> Result<Option<Value>, Report<Failure>> {
         let path = path(key)?;
         let reply = self.get(&path, self.0.head_timeout()).await?;
         value(reply).await
     }
 
-    /// Waits until the version of `key` passes `after`; `None` if it did not within `wait`.
+    /// Waits for a version of `key` greater than `after`; `None` if there is none within `wait`.
     ///
     /// # Errors
     ///
-    /// Returns why the value could not be read.
+    /// Returns the failure of the call.
     pub async fn watch(
         &self,
         key: &str,
@@ -96,7 +97,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why the list could not be read.
+    /// Returns the failure of the call.
     pub async fn instances(&self) -> Result<Instances, Report<Failure>> {
         let reply = self.get("/v1/instances", self.0.head_timeout()).await?;
         auburnline_http::json(reply).await
@@ -110,12 +111,15 @@
     }
 }
 
-/// Returns the path of a key, which may hold slashes but nothing that a path escapes or resolves.
+/// Returns the URL path of a key.
+///
+/// A key may contain slashes, but no character that needs escaping and no empty or dots-only segment,
+/// which URL resolution would remove.
 fn path(key: &str) -> Result<String, Report<Failure>> {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     let segment = |part: &str| !part.trim_matches('.').is_empty() && part.bytes().all(plain);
     if !key.split('/').all(segment) {
-        return Err(Report::new(Failure::NotSent).attach("the key can't stand in a path"));
+        return Err(Report::new(Failure::NotSent).attach("the key is not valid as a URL path"));
     }
     Ok(format!("/v1/values/{key}"))
 }
@@ -130,7 +134,10 @@
         .headers
         .get(VERSION_HEADER)
         .and_then(|version| version.to_str().ok()?.parse().ok())
-        .ok_or_else(|| Report::new(Failure::Malformed).attach("no version"))?;
+        .ok_or_else(|| {
+            Report::new(Failure::Malformed)
+                .attach("x-version header is missing or not an unsigned integer")
+        })?;
     let bytes = reply.body.whole(MAX_VALUE_BYTES).await?;
     Ok(Some(Value { version, bytes }))
 }
