--- a/crates/registry/tests/reads.rs
+++ b/crates/registry/tests/reads.rs
@@ -1,4 +1,4 @@
-//! Reads and watches of a platform that works, fails or talks nonsense.
+//! Reads and watches of a platform that works, fails or sends malformed replies.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,11 +20,11 @@
 use googletest::prelude::*;
 use tokio::runtime::Builder;
 
-/// Bound where an answer is to come.
+/// Timeout of calls that are expected to be answered.
 const LONG: Duration = Duration::from_secs(30);
-/// Bound where none will come.
+/// Timeout of calls that are expected to get no answer.
 const SHORT: Duration = Duration::from_millis(200);
-/// Key with a slash.
+/// Contains a slash, so that reads cover keys with several path segments.
 const KEY: &str = "section/fleet";
 
 type Outcome = std::result::Result<Option<Value>, Failure>;
@@ -115,8 +115,11 @@
         for _ in 0..4 {
             versions.push(version(outcome(client.read(KEY).await)));
         }
-        let flaps = [2, 3, 2, 3].map(Some);
-        expect_that!(versions, any!(eq(&flaps), eq(&[3, 2, 3, 2].map(Some))));
+        let alternating = [2, 3, 2, 3].map(Some);
+        expect_that!(
+            versions,
+            any!(eq(&alternating), eq(&[3, 2, 3, 2].map(Some)))
+        );
     });
 }
 
