--- a/crates/service/src/lib.rs
+++ b/crates/service/src/lib.rs
@@ -1,9 +1,9 @@
 //! Client of plain services.
 //!
-//! A call is passed on once, with its idempotency key, over a connection of its own: on one that is
-//! kept, an upstream that is an answer behind would hand one caller's record to the next. An answer is whole or it is a failure; a
-//! status that tells of the caller's mistake is the service's answer, a status that tells of the
-//! service's own failure is [`Failure::Failed`].
+//! A call is sent once, with its idempotency key, over a new connection. On a kept-alive connection,
+//! an upstream that lags by one response would return one caller's record to the next caller. The
+//! client returns complete answers only; a truncated one is a failure. A 4xx status is returned as
+//! the service's answer, a 5xx status is [`Failure::Failed`].
 
 use std::net::SocketAddr;
 
@@ -17,32 +17,32 @@
 use http::Request;
 use http::header::CONTENT_TYPE;
 
-/// Header with the idempotency key.
+/// Request header that carries the idempotency key.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Largest body of an answer, in bytes.
+/// Largest accepted body of an answer.
 pub const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// A call of a plain service.
+/// A call to a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Idempotency key.
+    /// Idempotency key, sent in [`KEY_HEADER`].
     pub id: RequestId,
     /// HTTP method, upper case.
     pub method: String,
-    /// Path and query.
+    /// Path and query, starting with a slash.
     pub path: String,
-    /// Body, passed on as it is.
+    /// JSON body, sent unchanged.
     pub body: Bytes,
 }
 
-/// Whole answer of a plain service.
+/// Complete answer of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status, never 5xx.
     pub status: u16,
-    /// Type of the body, if the service said it.
+    /// Value of the `content-type` header, if present and visible ASCII.
     pub content_type: Option<String>,
-    /// Body.
+    /// Complete body, at most [`MAX_ANSWER_BYTES`] long.
     pub body: Bytes,
 }
 
@@ -51,23 +51,23 @@
 pub struct Client(auburnline_http::Client);
 
 impl Client {
-    /// Returns a client of the service at `address`.
+    /// Creates a client of the service at `address`, with the default timeouts.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self::with_timeouts(address, Timeouts::default())
     }
 
-    /// Returns a client with other bounds.
+    /// Creates a client with the given timeouts.
     #[must_use]
     pub fn with_timeouts(address: SocketAddr, timeouts: Timeouts) -> Self {
         Self(auburnline_http::Client::new(address, timeouts))
     }
 
-    /// Sends a call once and returns the whole answer.
+    /// Sends a call once, without retries, and returns the complete answer.
     ///
     /// # Errors
     ///
-    /// Returns the failure with the fate of the call.
+    /// Returns the failure; [`Failure::fate`] tells whether the call ran.
     pub async fn call(&self, call: &Call) -> Result<Answer, Report<Failure>> {
         let request = Request::builder()
             .method(call.method.as_str())
