--- a/crates/service/examples/connections.rs
+++ b/crates/service/examples/connections.rs
@@ -1,7 +1,7 @@
-//! Cost of a connection of its own for each call, against one that is kept alive.
+//! Compares the latency of calls over a new connection each with calls over a kept-alive one.
 //!
-//! `cargo run --release -p auburnline-service --example connections -- [CALLS]` prints the times of
-//! calls to the stand-in over loopback.
+//! `cargo run --release -p auburnline-service --example connections -- [CALLS]` prints the median and
+//! 99th percentile latency of calls to the stand-in over loopback.
 
 use std::env;
 use std::time::Duration;
@@ -16,10 +16,9 @@
 use http::Request;
 use tokio::runtime::Builder;
 
-/// Calls in each measurement, unless the argument says otherwise.
-const CALLS: usize = 20_000;
-/// Largest answer.
-const LIMIT: usize = 1 << 16;
+/// Default number of calls in each measurement.
+const DEFAULT_CALLS: usize = 20_000;
+const MAX_ANSWER_BYTES: usize = 1 << 16;
 
 async fn call(client: &Client, connection: Connection) -> Duration {
     let start = Instant::now();
@@ -27,7 +26,11 @@
         .body(Bytes::new().into())
         .expect("a request");
     let reply = client.send(request, connection).await.expect("an answer");
-    reply.body.whole(LIMIT).await.expect("a whole body");
+    reply
+        .body
+        .whole(MAX_ANSWER_BYTES)
+        .await
+        .expect("a whole body");
     start.elapsed()
 }
 
@@ -50,7 +53,7 @@
     let calls = env::args()
         .nth(1)
         .and_then(|calls| calls.parse().ok())
-        .unwrap_or(CALLS);
+        .unwrap_or(DEFAULT_CALLS);
     let service = Service::start(Config::default()).expect("a service");
     let client = Client::new(service.address(), Timeouts::default());
     let runtime = Builder::new_current_thread().enable_all().build();
