--- a/crates/service/tests/calls.rs
+++ b/crates/service/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of a plain service that are answered whole, refused, cut or crossed.
+//! Calls to a plain service that are answered, refused, cut off or followed by a surplus response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,9 +20,9 @@
 use googletest::prelude::*;
 use tokio::runtime::Builder;
 
-/// Bound where an answer is to come.
+/// Timeout of calls that are expected to be answered.
 const LONG: Duration = Duration::from_secs(30);
-/// Bound where none will come.
+/// Timeout of calls that are expected to get no answer.
 const SHORT: Duration = Duration::from_millis(200);
 
 type Outcome = std::result::Result<Answer, Failure>;
@@ -59,8 +59,8 @@
     Service::start(Config::default()).expect("a service")
 }
 
-/// Makes one call under a fault; returns its outcome and the effects.
-fn under(fault: &Fault, method: &str, bound: Duration) -> (Outcome, usize) {
+/// Makes one call with `fault` injected; returns its outcome and the number of effects.
+fn call_with_fault(fault: &Fault, method: &str, bound: Duration) -> (Outcome, usize) {
     let service = service();
     let address = service.address();
     run(async {
@@ -120,7 +120,7 @@
         silent: true,
         ..Fault::default()
     };
-    let refused = under(&refuse, "POST", LONG);
+    let refused = call_with_fault(&refuse, "POST", LONG);
     expect_that!(refused.0, err(eq(&Failure::Refused(503))));
     expect_that!(refused.1, eq(0));
     let cases = [
@@ -129,7 +129,7 @@
         (silent, SHORT, Failure::Lost),
     ];
     for (fault, bound, failure) in cases {
-        let (outcome, effects) = under(&fault, "POST", bound);
+        let (outcome, effects) = call_with_fault(&fault, "POST", bound);
         expect_that!(outcome, err(eq(&failure)), "{fault:?}");
         expect_that!(effects, eq(1), "{fault:?}");
     }
