--- a/crates/service/tests/cuts.rs
+++ b/crates/service/tests/cuts.rs
@@ -1,4 +1,4 @@
-//! Random cuts between client and service: what the client tells must agree with the effects.
+//! Random connection cuts and service faults: the outcome of each call must agree with its effects.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,16 +23,16 @@
 use tokio::runtime::Builder;
 use tokio::time::sleep;
 
-/// Calls in each run, unless `AUBURNLINE_EVENTS` says otherwise.
-const CALLS: u64 = 2000;
-/// Calls that are made side by side.
-const WIDTH: u64 = 8;
-/// Bound of every wait.
-const BOUND: Duration = Duration::from_millis(100);
-/// Longest time between two faults, in microseconds.
-const PAUSE_US: u64 = 4000;
+/// Default number of calls in a run; `AUBURNLINE_EVENTS` overrides it.
+const DEFAULT_CALLS: u64 = 2000;
+/// Number of calls made concurrently.
+const CONCURRENCY: u64 = 8;
+/// Limit on every wait of the client.
+const TIMEOUT: Duration = Duration::from_millis(100);
+/// Upper bound of the random time between two faults.
+const MAX_FAULT_INTERVAL_US: u64 = 4000;
 
-/// Outcomes of all calls by their keys.
+/// Outcomes of the calls, by idempotency key.
 type Outcomes = BTreeMap<String, std::result::Result<Answer, Failure>>;
 
 fn number(name: &str, default: u64) -> u64 {
@@ -53,16 +53,16 @@
 
 async fn call_all(client: &Client, calls: u64) -> Outcomes {
     let mut outcomes = Outcomes::new();
-    for first in (0..calls).step_by(usize::try_from(WIDTH).expect("a width")) {
-        let keys = (first..calls.min(first + WIDTH)).map(|key| key.to_string());
+    for first in (0..calls).step_by(usize::try_from(CONCURRENCY).expect("a width")) {
+        let keys = (first..calls.min(first + CONCURRENCY)).map(|key| key.to_string());
         let calls = keys.map(|key| call(client, key));
         outcomes.extend(futures::future::join_all(calls).await);
     }
     outcomes
 }
 
-/// Sets one fault after the other, for as long as it is let.
-async fn disturb(relay: SocketAddr, service: SocketAddr, seed: u64) {
+/// Injects one random fault after another until it is cancelled.
+async fn inject_faults(relay: SocketAddr, service: SocketAddr, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     loop {
         let mode = match rng.random_range(0..12) {
@@ -79,12 +79,15 @@
         };
         control::set_relay(relay, mode).await.expect("a mode");
         control::set_fault(service, &fault).await.expect("a fault");
-        sleep(Duration::from_micros(rng.random_range(0..PAUSE_US))).await;
+        sleep(Duration::from_micros(
+            rng.random_range(0..MAX_FAULT_INTERVAL_US),
+        ))
+        .await;
     }
 }
 
-/// Returns what an outcome says that the effects do not.
-fn lie(
+/// Describes how an outcome contradicts the number of effects, or `None` if they agree.
+fn contradiction(
     key: &str,
     outcome: &std::result::Result<Answer, Failure>,
     effects: usize,
@@ -104,17 +107,20 @@
 #[gtest]
 fn what_is_told_of_a_call_agrees_with_its_effects() {
     let seed = number("AUBURNLINE_SEED", 1);
-    let calls = number("AUBURNLINE_EVENTS", CALLS);
+    let calls = number("AUBURNLINE_EVENTS", DEFAULT_CALLS);
     println!("AUBURNLINE_SEED={seed} AUBURNLINE_EVENTS={calls}");
     let service = Service::start(Config::default()).expect("a service");
     let relay = Relay::start_anywhere(service.address()).expect("a relay");
-    let timeouts = Timeouts::new().head(BOUND).silence(BOUND).whole(BOUND);
-    let client = Client::with_timeouts(relay.address(), timeouts.connect(BOUND));
+    let timeouts = Timeouts::new()
+        .head(TIMEOUT)
+        .silence(TIMEOUT)
+        .whole(TIMEOUT);
+    let client = Client::with_timeouts(relay.address(), timeouts.connect(TIMEOUT));
     let runtime = Builder::new_current_thread().enable_all().build();
     let (outcomes, effects) = runtime.expect("a runtime").block_on(async {
         let outcomes = tokio::select! {
             outcomes = call_all(&client, calls) => outcomes,
-            () = disturb(relay.control(), service.address(), seed) => Outcomes::new(),
+            () = inject_faults(relay.control(), service.address(), seed) => Outcomes::new(),
         };
         let effects = control::effects(service.address()).await;
         (outcomes, effects.expect("the effects"))
@@ -130,9 +136,9 @@
     }
     println!("{kinds:?}");
     let count = |key: &str| counts.get(key).copied().unwrap_or(0);
-    let lies = outcomes
+    let contradictions = outcomes
         .iter()
-        .filter_map(|(key, outcome)| lie(key, outcome, count(key)));
-    assert_that!(lies.collect::<Vec<_>>(), is_empty());
+        .filter_map(|(key, outcome)| contradiction(key, outcome, count(key)));
+    assert_that!(contradictions.collect::<Vec<_>>(), is_empty());
     assert_that!(outcomes.len() as u64, eq(calls));
 }
