--- a/crates/duty/examples/logging.rs
+++ b/crates/duty/examples/logging.rs
@@ -1,7 +1,7 @@
-//! Measures what one decision line costs the duty that logs it.
+//! Measures what one decision line costs the thread that logs it.
 //!
-//! The writing thread's output goes nowhere; what is measured is formatting, keeping and handing
-//! over. `--csv` prints CSV.
+//! The output is discarded; the figure covers formatting the line, storing it in the ring of decisions
+//! and passing it to the sink. `--csv` prints CSV.
 
 use std::hint::black_box;
 use std::io;
@@ -14,9 +14,9 @@
 use log::Log as _;
 use log::Record;
 
-/// Lines of one measurement.
+/// Number of lines in one measurement.
 const LINES: u32 = 200_000;
-/// Runners-up of a line.
+/// Numbers of runners-up in a line, one measurement each.
 const RUNNERS: [usize; 4] = [0, 2, 8, 32];
 
 fn line(runners: usize) -> String {
