--- a/crates/duty/src/clock.rs
+++ b/crates/duty/src/clock.rs
@@ -4,7 +4,7 @@
 
 use auburnline_core::time::Monotonic;
 
-/// Clock of one process, shared by its duties.
+/// Monotonic clock of one process, shared by its worker threads.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
@@ -15,7 +15,7 @@
         Clock(Instant::now())
     }
 
-    /// Returns the time since the start.
+    /// Returns the time since [`Clock::start`].
     #[must_use]
     pub fn now(&self) -> Monotonic {
         self.0.elapsed()
