--- a/crates/duty/src/decisions.rs
+++ b/crates/duty/src/decisions.rs
@@ -1,8 +1,8 @@
-//! The last decision lines, kept in memory for operators.
+//! The last decision lines, stored in memory for operators.
 //!
-//! Each routing or placement decision is one log record with the target [`TARGET`]. The ring keeps a
-//! bounded number of them, whatever the filter of the log says, so that an operator can ask why a
-//! request went where it went. It is no history: the oldest line leaves when a new one comes.
+//! Each routing or placement decision is one log record with the target [`TARGET`]. The ring stores a
+//! bounded number of them, independent of the log filter, so that an operator can find out why a
+//! request was routed to its upstream. A full ring evicts its oldest line.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -11,13 +11,13 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Target of the log records that are kept.
+/// Target of the log records that are stored.
 pub const TARGET: &str = "decision";
 /// Key of the request's id in a record.
 pub const REQUEST_KEY: &str = "request";
 /// Key of the group's name in a record.
 pub const GROUP_KEY: &str = "group";
-/// Most bytes of one value that are kept; the rest is cut.
+/// Largest stored value; longer ones are truncated.
 pub const MAX_VALUE_BYTES: usize = 1_024;
 
 /// A key with its value.
@@ -26,18 +26,18 @@
 /// One decision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
-    /// Number of the line in this process, from 0.
+    /// Sequence number in this process, from 0.
     pub number: u64,
-    /// How long ago it was logged.
+    /// Time since it was logged.
     pub age: Duration,
     /// What was decided, such as `route`.
     pub message: String,
-    /// The rest, in the order of the log record.
+    /// Key-value pairs, in the order of the log record.
     pub fields: Vec<Field>,
 }
 
 impl Line {
-    /// Returns the value of `key`.
+    /// Returns the first value of `key`.
     #[must_use]
     pub fn value(&self, key: &str) -> Option<&str> {
         self.fields
@@ -47,17 +47,17 @@
     }
 }
 
-/// Which lines an operator asks for; an empty filter takes all.
+/// Selects lines; an empty filter matches all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Filter {
-    /// Id of the request, or the caller's key alone.
+    /// Id of the request, or only the caller's key in it.
     pub request: Option<String>,
     /// Name of the group.
     pub group: Option<String>,
 }
 
 impl Filter {
-    fn takes(&self, fields: &[Field]) -> bool {
+    fn matches(&self, fields: &[Field]) -> bool {
         let any = |key: &str, agrees: &dyn Fn(&str) -> bool| {
             fields
                 .iter()
@@ -75,13 +75,13 @@
     }
 }
 
-/// Returns whether `wanted` is the id, or the caller's key in it: ids read `WORKSPACE/KEY`.
+/// Returns whether `wanted` is the id or the caller's key in it: an id has the form `WORKSPACE/KEY`.
 fn is_request(id: &str, wanted: &str) -> bool {
     id.strip_suffix(wanted)
         .is_some_and(|before| before.is_empty() || before.ends_with('/'))
 }
 
-struct Kept {
+struct Stored {
     number: u64,
     at: Instant,
     message: String,
@@ -91,17 +91,17 @@
 #[derive(Default)]
 struct State {
     next: u64,
-    kept: VecDeque<Kept>,
+    stored: VecDeque<Stored>,
 }
 
-/// Bounded ring of the last decisions.
+/// Ring buffer of the last decisions.
 pub struct Ring {
     capacity: usize,
     state: Mutex<State>,
 }
 
 impl Ring {
-    /// Returns an empty ring that keeps `capacity` lines.
+    /// Creates an empty ring for `capacity` lines.
     #[must_use]
     pub fn new(capacity: usize) -> Ring {
         Ring {
@@ -110,48 +110,48 @@
         }
     }
 
-    /// Keeps a line; the oldest leaves if the ring is full.
+    /// Appends a line and evicts the oldest one if the ring is full.
     pub fn push(&self, message: String, mut fields: Vec<Field>) {
         for (_, value) in &mut fields {
-            cut(value);
+            truncate(value);
         }
         let mut state = self.lock();
         let number = state.next;
         state.next += 1;
-        state.kept.push_back(Kept {
+        state.stored.push_back(Stored {
             number,
             at: Instant::now(),
             message,
             fields,
         });
-        while state.kept.len() > self.capacity {
-            state.kept.pop_front();
+        while state.stored.len() > self.capacity {
+            state.stored.pop_front();
         }
     }
 
-    /// Returns the last lines that `filter` takes, at most `most`, oldest first.
+    /// Returns the last `most` lines that match `filter`, oldest first.
     #[must_use]
     pub fn lines(&self, filter: &Filter, most: usize) -> Vec<Line> {
         let state = self.lock();
         let mut lines: Vec<Line> = state
-            .kept
+            .stored
             .iter()
             .rev()
-            .filter(|kept| filter.takes(&kept.fields))
+            .filter(|stored| filter.matches(&stored.fields))
             .take(most)
-            .map(Kept::line)
+            .map(Stored::line)
             .collect();
         lines.reverse();
         lines
     }
 
-    /// The state is whole after each change, so a panic elsewhere leaves it usable.
+    /// Ignores poisoning: each change leaves the state consistent, so it is usable after a panic.
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Kept {
+impl Stored {
     fn line(&self) -> Line {
         Line {
             number: self.number,
@@ -162,7 +162,7 @@
     }
 }
 
-fn cut(value: &mut String) {
+fn truncate(value: &mut String) {
     let mut end = value.len().min(MAX_VALUE_BYTES);
     while !value.is_char_boundary(end) {
         end -= 1;
