--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -1,10 +1,10 @@
-//! Threads for duties and the bounded rings that join them.
+//! Worker threads, the bounded channels between them, logs and metrics.
 //!
-//! A process of the system is a handful of duties. Each has a thread of its own with a
-//! single-threaded runtime ([`thread`]), and duties pass messages over rings of fixed capacity
-//! ([`ring`]): a full ring is an answer, never a wait without limit. [`clock`] gives the time that
-//! decisions see; [`logging`], [`decisions`] and [`metrics`] with [`scrape`] let operators look in. Nothing here
-//! decides anything.
+//! A process of the system consists of a few workers. Each runs on its own thread with a
+//! single-threaded runtime ([`thread`]), and they exchange messages over channels of fixed capacity
+//! ([`ring`]): sending to a full channel fails at once or after a bounded wait. [`clock`] provides the
+//! time that decisions use; [`logging`], [`decisions`] and [`metrics`] with [`scrape`] provide
+//! observability. This crate contains no decision logic.
 
 pub mod clock;
 pub mod decisions;
