--- a/crates/duty/src/logging.rs
+++ b/crates/duty/src/logging.rs
@@ -1,16 +1,17 @@
-//! Structured logs: one line a record, `key=value` throughout.
+//! Structured logs: one line of `key=value` pairs per record.
 //!
-//! A line reads `time=… level=… target=… msg=…` and then the record's own pairs in their order. The
-//! duties only format and hand over; a thread of its own writes, joined by a bounded ring, so that a
-//! reader of the log that stalls can't stall a duty. Lines that find the ring full, or that pass the
-//! bound on the lines of a second, are dropped and counted, and the count is written with the next line that gets through. A process calls
-//! `log::logger().flush()` before it ends; that waits for the lines on their way, within a bound.
+//! A line has the form `time=… level=… target=… msg=…`, followed by the record's own pairs in their
+//! order. The calling thread only formats the line and queues it in a bounded channel; a separate
+//! thread writes, so that a log reader that stalls can't block a worker. Lines that find the channel
+//! full, or that exceed the rate limit, are dropped and counted, and the count is written ahead of the
+//! next line. A process calls `log::logger().flush()` before it exits, which waits for the queued lines
+//! for a bounded time.
 //!
-//! Decision code without a logger prints its decision as pairs (`pool=p group=g`); a record passes that
-//! text on as its pair [`DETAIL_KEY`], and the pairs in it become the line's own.
+//! Decision code has no logger and formats its decision as pairs (`pool=p group=g`). A record carries
+//! that text as the value of [`DETAIL_KEY`], and its pairs are merged into the line.
 //!
-//! Records with the target [`decisions::TARGET`] go into a [`Ring`] as well, and are counted by their
-//! message; these messages are therefore fixed words of the code, and what varies stands in the pairs.
+//! Records with the target [`decisions::TARGET`] are also stored in a [`Ring`] and counted by message.
+//! Since the message is a metric label, it is a constant, and all variable data is in the pairs.
 
 use std::fmt::Write as _;
 use std::io;
@@ -45,29 +46,29 @@
 use crate::decisions::Field;
 use crate::decisions::Ring;
 
-/// Environment variable that holds the filter, in the form that `env_logger` reads.
+/// Environment variable with the filter, in the syntax of `env_logger`.
 pub const FILTER_VARIABLE: &str = "AUBURNLINE_LOG";
-/// Key of a pair whose value is itself a text of pairs.
+/// Key of a pair whose value is a list of pairs, to be merged into the line.
 pub const DETAIL_KEY: &str = "detail";
-/// Filter if the variable is not set.
+/// Filter used if [`FILTER_VARIABLE`] is not set.
 pub const DEFAULT_FILTER: &str = "info,dropshot=warn";
-/// Counter of decisions, by what was decided.
+/// Counter of decisions, by message.
 pub const DECISIONS_METRIC: &str = "auburnline_decisions_total";
 /// Counter of warnings and errors, by level and target.
 pub const TROUBLES_METRIC: &str = "auburnline_log_troubles_total";
-/// Counter of lines that were dropped.
+/// Counter of dropped lines.
 pub const DROPPED_METRIC: &str = "auburnline_log_dropped_total";
-/// Lines that wait for the writing thread.
-const WAITING_LINES: usize = 8_192;
-/// Lines of a second that are written at most: several times what a busy process writes, and little enough for a log reader
-/// of a fleet.
+/// Capacity of the channel to the writer thread.
+const QUEUE_CAPACITY: usize = 8_192;
+/// Largest number of lines written per second: several times the output of a busy process, and low
+/// enough for a collector that reads the logs of a fleet.
 pub const LINES_PER_SECOND: u32 = 4_000;
-/// Times that a flush looks whether all lines are written.
+/// Number of times that a flush checks whether all lines are written.
 const FLUSH_CHECKS: u32 = 100;
-/// Time between two such looks.
-const FLUSH_PAUSE: Duration = Duration::from_millis(10);
+/// Interval between these checks.
+const FLUSH_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Starts logging to standard error and returns the ring of the last `capacity` decisions.
+/// Starts logging to standard error; returns the ring that stores the last `capacity` decisions.
 ///
 /// # Errors
 ///
@@ -76,7 +77,7 @@
     start_on(capacity, io::stderr())
 }
 
-/// Starts logging to `out` and returns the ring of the last `capacity` decisions.
+/// Starts logging to `out`; returns the ring that stores the last `capacity` decisions.
 ///
 /// # Errors
 ///
@@ -95,12 +96,12 @@
     Ok(ring)
 }
 
-/// Returns the logger that passes `slog` records on, as `dropshot` asks for.
+/// Returns a logger that forwards `slog` records to `log`, as `dropshot` requires.
 pub fn bridge() -> slog::Logger {
     slog::Logger::root(slog_stdlog::StdLog.fuse(), slog::o!())
 }
 
-/// Logger that formats records, and keeps the decisions among them.
+/// Logger that formats records and stores those of decisions.
 pub struct Logger {
     lines: env_logger::Logger,
     ring: Arc<Ring>,
@@ -108,7 +109,7 @@
 }
 
 impl Logger {
-    /// Returns a logger that writes what `filter` takes to `sink`, one write a line.
+    /// Creates a logger that writes the records matching `filter` to `sink`, one write per line.
     #[must_use]
     pub fn new(filter: &str, sink: Box<dyn Write + Send>, ring: Arc<Ring>) -> Logger {
         let lines = env_logger::Builder::new()
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Makes this the process's logger.
+    /// Installs this as the logger of the process.
     fn install(self) -> Result<(), SetLoggerError> {
         let level = self.lines.filter().max(LevelFilter::Info);
         log::set_boxed_logger(Box::new(self))?;
@@ -157,7 +158,7 @@
             if self.counts.waiting.load(Ordering::Acquire) == 0 {
                 return;
             }
-            thread::sleep(FLUSH_PAUSE);
+            thread::sleep(FLUSH_CHECK_INTERVAL);
         }
     }
 }
@@ -175,7 +176,7 @@
     }
 }
 
-/// Returns the pairs of a text that holds nothing else.
+/// Parses a text of space-separated pairs; `None` if it contains anything else.
 fn pairs(text: &str) -> Option<Vec<Field>> {
     text.split(' ')
         .map(|pair| {
@@ -204,7 +205,7 @@
     out.write_all(line.as_bytes())
 }
 
-/// Adds ` key=value`; a value that could be misread is quoted and escaped.
+/// Appends ` key=value`; an ambiguous value is quoted and escaped.
 fn push_pair(line: &mut String, key: &str, value: &str) {
     let plain = |c: char| c.is_ascii_graphic() && !matches!(c, '"' | '=' | '\\');
     let _ = if !value.is_empty() && value.chars().all(plain) {
@@ -214,35 +215,35 @@
     };
 }
 
-/// Counts that both ends of the ring share.
+/// Counts shared by both ends of the channel.
 #[derive(Default)]
 struct Counts {
-    /// Lines handed over and not yet written.
+    /// Lines queued and not yet written.
     waiting: AtomicUsize,
-    /// Lines dropped and not yet told.
+    /// Lines dropped and not yet reported in the log.
     dropped: AtomicU64,
 }
 
-/// Lines that may still be written in this second.
+/// Rate limit: the lines that may still be written in the current window of one second.
 #[derive(Debug)]
 pub struct Allowance {
-    began: Instant,
+    window_start: Instant,
     left: u32,
 }
 
 impl Allowance {
-    /// Returns the allowance of the second that begins at `now`.
+    /// Returns the full allowance for a window that begins at `now`.
     #[must_use]
     pub const fn new(now: Instant) -> Allowance {
         Allowance {
-            began: now,
+            window_start: now,
             left: LINES_PER_SECOND,
         }
     }
 
-    /// Takes a line out; returns whether one was left.
+    /// Uses up one line; returns whether one was left. Opens a new window if the last has passed.
     pub fn take(&mut self, now: Instant) -> bool {
-        if now.duration_since(self.began) >= Duration::from_secs(1) {
+        if now.duration_since(self.window_start) >= Duration::from_secs(1) {
             *self = Allowance::new(now);
         }
         let is_left = self.left > 0;
@@ -251,21 +252,21 @@
     }
 }
 
-/// Sending end of the ring to the writing thread.
+/// Sending end of the channel to the writer thread.
 struct Sink {
     allowance: Allowance,
     lines: SyncSender<Vec<u8>>,
     counts: Arc<Counts>,
 }
 
-/// Receiving end of the ring.
+/// Receiving end of the channel.
 struct Lines {
     lines: Receiver<Vec<u8>>,
     counts: Arc<Counts>,
 }
 
 fn sink() -> (Sink, Lines) {
-    let (sender, receiver) = sync_channel(WAITING_LINES);
+    let (sender, receiver) = sync_channel(QUEUE_CAPACITY);
     let counts = Arc::<Counts>::default();
     let sink = Sink {
         allowance: Allowance::new(Instant::now()),
@@ -281,7 +282,7 @@
 
 impl Write for Sink {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        // Counted before it is handed over, so that the count never falls below the truth.
+        // Counted before sending, so that the count is never lower than the number of queued lines.
         self.counts.waiting.fetch_add(1, Ordering::AcqRel);
         let is_allowed = self.allowance.take(Instant::now());
         if !is_allowed || self.lines.try_send(line.to_vec()).is_err() {
@@ -297,7 +298,7 @@
     }
 }
 
-/// Writes until the logger is gone; a failed write loses its line only.
+/// Writes until the logger is dropped; a failed write loses only its own line.
 fn write_all(lines: &Lines, mut out: impl Write) {
     while let Ok(line) = lines.lines.recv() {
         let dropped = lines.counts.dropped.swap(0, Ordering::Relaxed);
