--- a/crates/duty/src/metrics.rs
+++ b/crates/duty/src/metrics.rs
@@ -1,8 +1,8 @@
 //! Metrics of the process, rendered as Prometheus text.
 //!
-//! The recorder has no listener of its own; operators read the text at the operator's address. A
-//! thread folds the samples of histograms together now and then, so that their memory stays bounded
-//! when nobody reads.
+//! The recorder has no listener of its own; the text is served at the operator's address. A thread
+//! periodically aggregates the samples of histograms, so that memory stays bounded when nothing
+//! scrapes the metrics.
 
 use std::io;
 use std::thread;
@@ -11,14 +11,14 @@
 use metrics_exporter_prometheus::PrometheusBuilder;
 use metrics_exporter_prometheus::PrometheusHandle;
 
-/// Time between two foldings of samples.
-const UPKEEP: Duration = Duration::from_secs(5);
-/// Upper bounds of a histogram's buckets, in seconds.
+/// Interval at which samples are aggregated.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
+/// Upper bounds of the buckets of all histograms, in seconds.
 const BUCKETS: [f64; 14] = [
     0.000_1, 0.000_25, 0.000_5, 0.001, 0.002_5, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0, 2.5, 10.0,
 ];
 
-/// Reader of the process's metrics; cheap to clone.
+/// Handle to the metrics of the process; cheap to clone.
 #[derive(Clone)]
 pub struct Handle(PrometheusHandle);
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Makes the Prometheus recorder the process's recorder.
+/// Installs the Prometheus recorder as the recorder of the process.
 ///
 /// # Errors
 ///
@@ -45,7 +45,7 @@
         .name("metrics".to_owned())
         .spawn(move || {
             loop {
-                thread::sleep(UPKEEP);
+                thread::sleep(UPKEEP_INTERVAL);
                 upkeep.run_upkeep();
             }
         })?;
