--- a/crates/duty/src/program.rs
+++ b/crates/duty/src/program.rs
@@ -1,8 +1,8 @@
-//! A program of one thread, from its start to its end.
+//! Runs a single-threaded program from start to exit.
 //!
-//! Where an instance has a part of one core, a change of thread costs more than it gains: all duties of
-//! a program are tasks of one runtime then. Only the log's writer and the metrics' upkeep have threads of
-//! their own.
+//! Where an instance has only a fraction of a core, switching threads costs more than it gains.
+//! Therefore all workers of such a program are tasks of one runtime. Only the log writer and the
+//! metrics' upkeep have their own threads.
 
 use std::io;
 
@@ -13,16 +13,16 @@
 use crate::metrics;
 use crate::metrics::Handle;
 
-/// Decisions kept for operators.
-const DECISIONS: usize = 64;
+/// Number of decisions stored for operators.
+const MAX_DECISIONS: usize = 64;
 
-/// Runs `main` with logs on standard output until it ends.
+/// Runs `main` to completion, with logs on standard output.
 ///
 /// # Errors
 ///
 /// Returns the error of `main`, or the system's if logs, metrics or the runtime can't start.
 pub fn run<F: Future<Output = io::Result<()>>>(main: impl FnOnce(Handle) -> F) -> io::Result<()> {
-    logging::start_on(DECISIONS, io::stdout())?;
+    logging::start_on(MAX_DECISIONS, io::stdout())?;
     let metrics = metrics::install()?;
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let outcome = LocalSet::new().block_on(&runtime, main(metrics));
