--- a/crates/duty/src/scrape.rs
+++ b/crates/duty/src/scrape.rs
@@ -1,4 +1,4 @@
-//! The process's metrics over HTTP, for whoever collects them.
+//! Serves the metrics of the process over HTTP for a scraper.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -21,21 +21,20 @@
 
 use crate::metrics::Handle;
 
-/// Path of the metrics.
-const PATH: &str = "/metrics";
-/// Longest time that a connection may stay idle.
-const IDLE: Duration = Duration::from_secs(10);
-/// Pause after a connection that could not be taken.
+const METRICS_PATH: &str = "/metrics";
+/// Longest wait for the headers of a request.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Serves the metrics, one connection after the other, for as long as it is polled.
+/// Serves the metrics, one connection at a time; never returns.
 pub async fn serve(listener: TcpListener, metrics: Handle) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => connection(stream, &metrics).await,
             Err(error) => {
                 let cause = error.to_string();
-                log::warn!(target: "metrics", cause = cause.as_str(); "connection not taken");
+                log::warn!(target: "metrics", cause = cause.as_str(); "accept failed");
                 sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -48,17 +47,17 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE)
+        .header_read_timeout(HEADER_TIMEOUT)
         .keep_alive(false)
         .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = connection.await {
         let cause = error.to_string();
-        log::debug!(target: "metrics", cause = cause.as_str(); "connection ended");
+        log::debug!(target: "metrics", cause = cause.as_str(); "connection failed");
     }
 }
 
 fn answer(path: &str, metrics: &Handle) -> Response<Full<Bytes>> {
-    if path != PATH {
+    if path != METRICS_PATH {
         let mut response = Response::new(Full::default());
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
