--- a/crates/duty/src/thread.rs
+++ b/crates/duty/src/thread.rs
@@ -1,4 +1,4 @@
-//! One thread for each duty, with a single-threaded runtime of its own.
+//! Worker threads, each with its own single-threaded runtime.
 
 use std::io;
 use std::thread;
@@ -6,7 +6,7 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-/// A running duty.
+/// A started worker thread.
 #[derive(Debug)]
 pub struct Thread {
     name: &'static str,
@@ -14,12 +14,12 @@
 }
 
 impl Thread {
-    /// Starts a thread called `name` that runs the future made by `duty` to its end.
+    /// Starts a thread called `name` that runs the future returned by `main` to completion.
     ///
     /// # Errors
     ///
-    /// The system's error if the runtime or the thread can't be made.
-    pub fn start<F, D>(name: &'static str, duty: D) -> io::Result<Thread>
+    /// The system's error if the runtime or the thread can't be created.
+    pub fn start<F, D>(name: &'static str, main: D) -> io::Result<Thread>
     where
         F: Future<Output = ()> + 'static,
         D: FnOnce() -> F + Send + 'static,
@@ -28,24 +28,24 @@
         let handle = thread::Builder::new()
             .name(name.to_owned())
             .spawn(move || {
-                LocalSet::new().block_on(&runtime, duty());
+                LocalSet::new().block_on(&runtime, main());
             })?;
         Ok(Thread { name, handle })
     }
 
-    /// Returns whether the duty has ended.
+    /// Returns whether the thread has finished, also by a panic.
     #[must_use]
     pub fn is_finished(&self) -> bool {
         self.handle.is_finished()
     }
 
-    /// Waits for the end of the duty; a panic there is logged and told as `false`.
+    /// Waits for the thread to finish; logs a panic in it and returns `false` then.
     #[must_use]
     pub fn join(self) -> bool {
-        let whole = self.handle.join().is_ok();
-        if !whole {
-            log::error!(target: "duty", duty = self.name; "duty panicked");
+        let finished = self.handle.join().is_ok();
+        if !finished {
+            log::error!(target: "duty", duty = self.name; "worker thread panicked");
         }
-        whole
+        finished
     }
 }
