--- a/crates/duty/tests/start.rs
+++ b/crates/duty/tests/start.rs
@@ -1,4 +1,4 @@
-//! The process's own logger, in a test binary of its own.
+//! The installed logger; a separate test binary, because a process can install only one.
 
 use auburnline_duty::decisions::Filter;
 use auburnline_duty::logging;
