--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -8,7 +8,7 @@
 use crate::token::Token;
 
 /// An address with the path of its field.
-pub(crate) type Place = (&'static str, SocketAddr);
+pub(crate) type NamedAddress = (&'static str, SocketAddr);
 
 /// Refuses an empty name and one that would break a log line or a key.
 pub(crate) fn name(path: &str, name: &str, faults: &mut Vec<Fault>) {
@@ -58,10 +58,10 @@
     }
 }
 
-/// Refuses each of `places` that can't be used beside one before it.
-pub(crate) fn overlaps(places: &[Place], faults: &mut Vec<Fault>) {
-    for (index, &(path, address)) in places.iter().enumerate() {
-        let before = places[..index]
+/// Refuses each of `addresses` that can't be used beside one before it.
+pub(crate) fn overlaps(addresses: &[NamedAddress], faults: &mut Vec<Fault>) {
+    for (index, &(path, address)) in addresses.iter().enumerate() {
+        let before = addresses[..index]
             .iter()
             .find(|(_, other)| overlap(*other, address));
         if let Some(&(other, _)) = before {
--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -55,13 +55,13 @@
         check::token("operator_token", &self.operator_token, &mut faults);
         check::target("platform", self.platform, &mut faults);
         check::seeds(&self.seeds, &mut faults);
-        let places = [
+        let addresses = [
             ("caller", self.caller),
             ("peer", self.peer),
             ("operator", self.operator),
             ("platform", self.platform),
         ];
-        check::overlaps(&places, &mut faults);
+        check::overlaps(&addresses, &mut faults);
         self.timing.check(&mut faults);
         self.limits.check(&mut faults);
         into_result(faults)
--- a/crates/settings/src/slot.rs
+++ b/crates/settings/src/slot.rs
@@ -71,14 +71,14 @@
         check::target("upstream", self.upstream, &mut faults);
         check::seeds(&self.seeds, &mut faults);
         check_lock(self.lock, &mut faults);
-        let places = [
+        let addresses = [
             ("peer", self.peer),
             ("operator", self.operator),
             ("platform", self.platform),
             ("upstream", self.upstream),
             ("lock", self.lock),
         ];
-        check::overlaps(&places, &mut faults);
+        check::overlaps(&addresses, &mut faults);
         self.timing.check(&mut faults);
         self.limits.check(&mut faults);
         into_result(faults)
