--- a/crates/settings/src/arguments.rs
+++ b/crates/settings/src/arguments.rs
@@ -43,7 +43,7 @@
 
 /// Why a command line is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Misuse {
+pub enum UsageError {
     /// An option is unknown, repeated or lacks its argument.
     Option(String),
     /// An argument belongs to no option.
@@ -52,17 +52,17 @@
     NoSettings,
 }
 
-impl Display for Misuse {
+impl Display for UsageError {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         match self {
-            Misuse::Option(cause) => f.write_str(cause),
-            Misuse::Stray(argument) => write!(f, "stray argument '{argument}'"),
-            Misuse::NoSettings => f.write_str("--settings FILE is missing"),
+            UsageError::Option(cause) => f.write_str(cause),
+            UsageError::Stray(argument) => write!(f, "stray argument '{argument}'"),
+            UsageError::NoSettings => f.write_str("--settings FILE is missing"),
         }
     }
 }
 
-impl std::error::Error for Misuse {}
+impl std::error::Error for UsageError {}
 
 fn options() -> Options {
     let mut options = Options::new();
@@ -82,14 +82,14 @@
 /// # Errors
 ///
 /// Returns why the command line is refused.
-pub fn parse<I>(program: Program, arguments: I) -> Result<Command, Misuse>
+pub fn parse<I>(program: Program, arguments: I) -> Result<Command, UsageError>
 where
     I: IntoIterator<Item = OsString>,
 {
     let options = options();
     let found = options
         .parse(arguments)
-        .map_err(|error| Misuse::Option(error.to_string()))?;
+        .map_err(|error| UsageError::Option(error.to_string()))?;
     if found.opt_present("help") {
         let brief = format!(
             "{}: {}\n\nUsage: {} --settings FILE [--check]",
@@ -102,9 +102,9 @@
         return Ok(Command::Version(version));
     }
     if let Some(stray) = found.free.first() {
-        return Err(Misuse::Stray(stray.clone()));
+        return Err(UsageError::Stray(stray.clone()));
     }
-    let path = found.opt_str("settings").ok_or(Misuse::NoSettings)?;
+    let path = found.opt_str("settings").ok_or(UsageError::NoSettings)?;
     let path = PathBuf::from(path);
     if found.opt_present("check") {
         Ok(Command::Check(path))
@@ -120,8 +120,8 @@
 /// Returns the code to exit with: 0 if all was printed, [`EXIT_REFUSED`] if anything was refused.
 pub fn start<T: Settings>(program: Program) -> Result<T, ExitCode> {
     let refused = ExitCode::from(EXIT_REFUSED);
-    let command = parse(program, std::env::args_os().skip(1)).map_err(|misuse| {
-        eprintln!("{}: {misuse}; try --help", program.name);
+    let command = parse(program, std::env::args_os().skip(1)).map_err(|error| {
+        eprintln!("{}: {error}; try --help", program.name);
         refused
     })?;
     let load = |path: &PathBuf| {
--- a/crates/settings/tests/refusal.rs
+++ b/crates/settings/tests/refusal.rs
@@ -10,8 +10,8 @@
 use auburnline_settings::Slot;
 use auburnline_settings::arguments;
 use auburnline_settings::arguments::Command;
-use auburnline_settings::arguments::Misuse;
 use auburnline_settings::arguments::Program;
+use auburnline_settings::arguments::UsageError;
 use auburnline_settings::parse;
 use googletest::prelude::*;
 use serde_json::Value;
@@ -201,7 +201,7 @@
     expect_that!(found, elements_are![eq("failure_domain"), eq("instance")]);
 }
 
-fn command(arguments: &[&str]) -> std::result::Result<Command, Misuse> {
+fn command(arguments: &[&str]) -> std::result::Result<Command, UsageError> {
     arguments::parse(PROGRAM, arguments.iter().map(OsString::from))
 }
 
@@ -223,10 +223,10 @@
             "--check"
         ))))
     );
-    expect_that!(command(&[]), err(eq(&Misuse::NoSettings)));
-    expect_that!(command(&["x"]), err(eq(&Misuse::Stray("x".to_owned()))));
+    expect_that!(command(&[]), err(eq(&UsageError::NoSettings)));
+    expect_that!(command(&["x"]), err(eq(&UsageError::Stray("x".to_owned()))));
     expect_that!(
         command(&["--what"]),
-        err(matches_pattern!(Misuse::Option(_)))
+        err(matches_pattern!(UsageError::Option(_)))
     );
 }
