--- a/crates/settings/src/arguments.rs
+++ b/crates/settings/src/arguments.rs
@@ -47,7 +47,7 @@
     /// An option is unknown, repeated or lacks its argument.
     Option(String),
     /// An argument belongs to no option.
-    Stray(String),
+    UnexpectedArgument(String),
     /// No settings file is named.
     NoSettings,
 }
@@ -56,7 +56,7 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         match self {
             UsageError::Option(cause) => f.write_str(cause),
-            UsageError::Stray(argument) => write!(f, "stray argument '{argument}'"),
+            UsageError::UnexpectedArgument(argument) => write!(f, "stray argument '{argument}'"),
             UsageError::NoSettings => f.write_str("--settings FILE is missing"),
         }
     }
@@ -102,7 +102,7 @@
         return Ok(Command::Version(version));
     }
     if let Some(stray) = found.free.first() {
-        return Err(UsageError::Stray(stray.clone()));
+        return Err(UsageError::UnexpectedArgument(stray.clone()));
     }
     let path = found.opt_str("settings").ok_or(UsageError::NoSettings)?;
     let path = PathBuf::from(path);
--- a/crates/settings/tests/refusal.rs
+++ b/crates/settings/tests/refusal.rs
@@ -224,7 +224,10 @@
         ))))
     );
     expect_that!(command(&[]), err(eq(&UsageError::NoSettings)));
-    expect_that!(command(&["x"]), err(eq(&UsageError::Stray("x".to_owned()))));
+    expect_that!(
+        command(&["x"]),
+        err(eq(&UsageError::UnexpectedArgument("x".to_owned())))
+    );
     expect_that!(
         command(&["--what"]),
         err(matches_pattern!(UsageError::Option(_)))
