--- a/crates/settings/src/arguments.rs
+++ b/crates/settings/src/arguments.rs
@@ -1,7 +1,7 @@
 //! The command line that all daemons share.
 //!
-//! [`parse`] is free of effects; [`start`] does what every daemon does first: it answers `--help`,
-//! `--version` and `--check`, and else returns the settings to run with.
+//! [`parse`] has no side effects. [`start`] is the first call of every daemon: it handles `--help`,
+//! `--version` and `--check`, and otherwise returns the settings to run with.
 
 use std::ffi::OsString;
 use std::fmt::Display;
@@ -14,30 +14,30 @@
 use crate::read::Settings;
 use crate::read::read;
 
-/// Exit code of a wrong command line or of refused settings.
+/// Exit code for a wrong command line and for refused settings.
 pub const EXIT_REFUSED: u8 = 2;
 
-/// Name, version and purpose of a daemon, for its help.
+/// Name, version and purpose of a daemon, for its help text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Program {
-    /// Name of the binary.
+    /// Name of the binary, also the prefix of its error messages.
     pub name: &'static str,
-    /// Version of the binary.
+    /// Version that `--version` prints.
     pub version: &'static str,
-    /// What it does, in one phrase.
+    /// Purpose of the daemon, in one phrase.
     pub purpose: &'static str,
 }
 
-/// What the command line asks for.
+/// Action requested by the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Print this help.
+    /// Print this help text.
     Help(String),
-    /// Print this version.
+    /// Print this name and version.
     Version(String),
-    /// Read and check the settings only.
+    /// Read and check the settings in this file, then exit.
     Check(PathBuf),
-    /// Run with these settings.
+    /// Run with the settings in this file.
     Run(PathBuf),
 }
 
@@ -46,9 +46,9 @@
 pub enum UsageError {
     /// An option is unknown, repeated or lacks its argument.
     Option(String),
-    /// An argument belongs to no option.
+    /// This argument belongs to no option.
     UnexpectedArgument(String),
-    /// No settings file is named.
+    /// The `--settings` option is missing.
     NoSettings,
 }
 
@@ -56,7 +56,9 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         match self {
             UsageError::Option(cause) => f.write_str(cause),
-            UsageError::UnexpectedArgument(argument) => write!(f, "stray argument '{argument}'"),
+            UsageError::UnexpectedArgument(argument) => {
+                write!(f, "unexpected argument '{argument}'")
+            }
             UsageError::NoSettings => f.write_str("--settings FILE is missing"),
         }
     }
@@ -77,7 +79,7 @@
     options
 }
 
-/// Reads a command line, without the program's own name.
+/// Parses a command line that doesn't include the program's own name.
 ///
 /// # Errors
 ///
@@ -101,8 +103,8 @@
         let version = format!("{} {}", program.name, program.version);
         return Ok(Command::Version(version));
     }
-    if let Some(stray) = found.free.first() {
-        return Err(UsageError::UnexpectedArgument(stray.clone()));
+    if let Some(unexpected) = found.free.first() {
+        return Err(UsageError::UnexpectedArgument(unexpected.clone()));
     }
     let path = found.opt_str("settings").ok_or(UsageError::NoSettings)?;
     let path = PathBuf::from(path);
@@ -113,11 +115,12 @@
     }
 }
 
-/// Returns the settings to run with, or prints what was asked for and returns the exit code.
+/// Handles the command line of the process; returns the settings if the daemon is to run.
 ///
 /// # Errors
 ///
-/// Returns the code to exit with: 0 if all was printed, [`EXIT_REFUSED`] if anything was refused.
+/// Returns the exit code: 0 after `--help`, `--version` or a passed `--check`, [`EXIT_REFUSED`] if
+/// the command line or the settings were refused.
 pub fn start<T: Settings>(program: Program) -> Result<T, ExitCode> {
     let refused = ExitCode::from(EXIT_REFUSED);
     let command = parse(program, std::env::args_os().skip(1)).map_err(|error| {
