--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks that several settings share.
+//! Checks shared by the settings of entries and slots.
 
 use std::net::SocketAddr;
 
@@ -7,10 +7,12 @@
 use crate::token::MIN_TOKEN_CHARACTERS;
 use crate::token::Token;
 
-/// An address with the path of its field.
+/// Path of a field and the address in it.
 pub(crate) type NamedAddress = (&'static str, SocketAddr);
 
-/// Refuses an empty name and one that would break a log line or a key.
+/// Refuses a name that is empty or has blanks, control or non-ASCII characters.
+///
+/// Such a character would break a log line or a key.
 pub(crate) fn name(path: &str, name: &str, faults: &mut Vec<Fault>) {
     if name.is_empty() {
         faults.push(Fault::new(path, Reason::Empty));
@@ -19,7 +21,7 @@
     }
 }
 
-/// Refuses a token that is short or that a header can't carry.
+/// Refuses a token that is too short or not valid in a header.
 pub(crate) fn token(path: &str, token: &Token, faults: &mut Vec<Fault>) {
     name(path, token.secret(), faults);
     let length = token.secret().chars().count();
@@ -28,16 +30,16 @@
     }
 }
 
-/// Refuses zero and what exceeds `most`.
-pub(crate) fn number(path: &str, value: u64, most: u64, faults: &mut Vec<Fault>) {
+/// Refuses zero and values above `max`.
+pub(crate) fn number(path: &str, value: u64, max: u64, faults: &mut Vec<Fault>) {
     if value == 0 {
         faults.push(Fault::new(path, Reason::Zero));
-    } else if value > most {
-        faults.push(Fault::new(path, Reason::TooLarge(most)));
+    } else if value > max {
+        faults.push(Fault::new(path, Reason::TooLarge(max)));
     }
 }
 
-/// Refuses an address that nothing can connect to.
+/// Refuses an address that can't be connected to: an unspecified IP address or port 0.
 pub(crate) fn target(path: &str, address: SocketAddr, faults: &mut Vec<Fault>) {
     if address.ip().is_unspecified() {
         faults.push(Fault::new(path, Reason::NoHost));
@@ -47,7 +49,7 @@
     }
 }
 
-/// Refuses seeds that nothing can connect to or that stand twice.
+/// Refuses seeds that can't be connected to and repeated ones.
 pub(crate) fn seeds(seeds: &[SocketAddr], faults: &mut Vec<Fault>) {
     for (index, &seed) in seeds.iter().enumerate() {
         let path = format!("seeds[{index}]");
@@ -58,25 +60,29 @@
     }
 }
 
-/// Refuses each of `addresses` that can't be used beside one before it.
+/// Refuses each of `addresses` that conflicts with an earlier one.
 pub(crate) fn overlaps(addresses: &[NamedAddress], faults: &mut Vec<Fault>) {
     for (index, &(path, address)) in addresses.iter().enumerate() {
-        let before = addresses[..index]
+        let earlier = addresses[..index]
             .iter()
             .find(|(_, other)| overlap(*other, address));
-        if let Some(&(other, _)) = before {
+        if let Some(&(other, _)) = earlier {
             faults.push(Fault::new(path, Reason::Overlap(other)));
         }
     }
 }
 
-/// Returns whether two addresses share a port; port 0 lets the kernel choose and shares none.
+/// Returns whether two addresses conflict: same port, and the same or an unspecified IP address.
+///
+/// Port 0 never conflicts, since the kernel chooses a free port for it.
 fn overlap(a: SocketAddr, b: SocketAddr) -> bool {
-    let hosts_meet = a.ip() == b.ip() || a.ip().is_unspecified() || b.ip().is_unspecified();
-    a.port() != 0 && a.port() == b.port() && hosts_meet
+    let hosts_overlap = a.ip() == b.ip() || a.ip().is_unspecified() || b.ip().is_unspecified();
+    a.port() != 0 && a.port() == b.port() && hosts_overlap
 }
 
-/// Refuses an address that others reach elsewhere, as published.
+/// Refuses an address that doesn't listen at the published one.
+///
+/// An unspecified IP address listens at every published one.
 pub(crate) fn published(
     path: &str,
     address: SocketAddr,
