--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -22,27 +22,27 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// Name of this instance.
+    /// Name of this instance, as published in the fleet.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// Failure domain of this instance, as published in the fleet.
     pub failure_domain: FailureDomainId,
-    /// Address for callers.
+    /// Address to listen on for callers.
     pub caller: SocketAddr,
-    /// Address for other processes of the system.
+    /// Address to listen on for other processes of the system.
     pub peer: SocketAddr,
-    /// Address for operators.
+    /// Address to listen on for operators.
     pub operator: SocketAddr,
-    /// Token that operators send.
+    /// Token that authenticates operators.
     pub operator_token: Token,
     /// Address of the configuration service and the instance list.
     pub platform: SocketAddr,
-    /// Peers to ask at start.
+    /// Addresses of peers to contact at start.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Times.
+    /// Intervals and timeouts.
     #[serde(default)]
     pub timing: Timing,
-    /// Bounds on what is taken in.
+    /// Limits on connections, sizes and requests.
     #[serde(default)]
     pub limits: Limits,
 }
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// Returns each field that the fleet doesn't know or tells otherwise.
+    /// Returns each field whose value is unknown to the fleet or differs from the published one.
     pub fn check_against(&self, fleet: &Fleet) -> Result<(), Error> {
         let mut faults = Vec::new();
         if !fleet.failure_domains.contains_key(&self.failure_domain) {
