--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,9 +1,9 @@
-//! Why settings are refused, by the path of the field.
+//! Reasons for refusing settings, with the path of the field.
 
 use std::fmt::Display;
 use std::fmt::Formatter;
 
-/// What is wrong with one field.
+/// Reason for refusing one field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// The file can't be read.
@@ -20,23 +20,23 @@
     TooLarge(u64),
     /// The token has fewer characters than this.
     ShortToken(usize),
-    /// The silence that ends a session is not longer than a heartbeat.
+    /// The silence that ends a session is not longer than the heartbeat interval.
     SilenceWithinHeartbeat,
-    /// Two addresses of this process can't both be bound.
+    /// The address conflicts with the one in this field of the same settings.
     Overlap(&'static str),
-    /// The address names no port.
+    /// The address has port 0.
     NoPort,
-    /// The address to connect to names no host.
+    /// The address to connect to has an unspecified IP address.
     NoHost,
-    /// The address must be one of this host only.
+    /// The address is not a loopback address.
     NotLocal,
-    /// The value stands twice in its list.
+    /// The value is already in the list.
     Repeated,
-    /// The published configuration doesn't know this failure domain.
+    /// The published fleet has no such failure domain.
     UnknownFailureDomain,
-    /// The published configuration doesn't know this instance in this role.
+    /// The published fleet has no such instance in this role.
     UnknownInstance,
-    /// The published configuration says otherwise.
+    /// The published fleet has this value instead.
     Differs(String),
 }
 
@@ -48,8 +48,8 @@
             Reason::Empty => f.write_str("must not be empty"),
             Reason::BadName => f.write_str("may hold visible ASCII characters only"),
             Reason::Zero => f.write_str("must be greater than zero"),
-            Reason::TooLarge(most) => write!(f, "must be at most {most}"),
-            Reason::ShortToken(least) => write!(f, "must have at least {least} characters"),
+            Reason::TooLarge(max) => write!(f, "must be at most {max}"),
+            Reason::ShortToken(min) => write!(f, "must have at least {min} characters"),
             Reason::SilenceWithinHeartbeat => {
                 f.write_str("must be greater than timing.heartbeat_ms")
             }
@@ -57,25 +57,25 @@
             Reason::NoPort => f.write_str("must name a port"),
             Reason::NoHost => f.write_str("must name a host to connect to"),
             Reason::NotLocal => f.write_str("must be a loopback address"),
-            Reason::Repeated => f.write_str("stands twice"),
-            Reason::UnknownFailureDomain => f.write_str("is no published failure domain"),
-            Reason::UnknownInstance => f.write_str("is no published instance of this role"),
+            Reason::Repeated => f.write_str("is listed more than once"),
+            Reason::UnknownFailureDomain => f.write_str("is not a published failure domain"),
+            Reason::UnknownInstance => f.write_str("is not a published instance of this role"),
             Reason::Differs(published) => write!(f, "differs from the published {published}"),
         }
     }
 }
 
-/// One field that is refused.
+/// A refused field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Path of the field, such as `timing.silence_ms` or `seeds[2]`; `.` is the whole file.
     pub path: String,
-    /// What is wrong with it.
+    /// Why the field is refused.
     pub reason: Reason,
 }
 
 impl Fault {
-    /// Returns the fault of the field at `path`.
+    /// Creates the fault of the field at `path`.
     #[must_use]
     pub fn new(path: impl Into<String>, reason: Reason) -> Fault {
         Fault {
@@ -91,12 +91,12 @@
     }
 }
 
-/// All faults found; at least one.
+/// All faults found in the settings; never empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error(pub Vec<Fault>);
 
 impl Error {
-    /// Returns the error of a single fault.
+    /// Creates an error with a single fault.
     #[must_use]
     pub fn single(path: impl Into<String>, reason: Reason) -> Error {
         Error(vec![Fault::new(path, reason)])
