--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,10 @@
 //! Settings of the processes, read from JSON.
 //!
-//! A process learns its addresses and its failure domain from one JSON file. [`read`] takes the file,
-//! refuses unknown fields and wrong types, and then checks what a type can't hold; each [`Fault`]
-//! names the path of its field. What operators publish for the whole fleet is not here but in
-//! `auburnline-configuration`; [`Entry::check_against`] and [`Slot::check_against`] compare the two once both are at hand.
+//! A process reads its addresses and its failure domain from one JSON file. [`read`] parses the file,
+//! refuses unknown fields and wrong types, and then checks constraints that the types can't express;
+//! each [`Fault`] has the path of its field. The configuration that operators publish for the whole
+//! fleet is in `auburnline-configuration`; [`Entry::check_against`] and [`Slot::check_against`]
+//! compare the settings with it once it is available.
 //!
 //! [`arguments`] holds the command line that all daemons share.
 
