--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on what a process takes in, with their defaults.
+//! Limits on connections, sizes and requests of a process, with their defaults.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,10 +6,10 @@
 use crate::check;
 use crate::error::Fault;
 
-/// Greatest count or size that any field may hold.
+/// Largest value of any field.
 const MAX_LIMIT: u64 = 1 << 32;
 
-/// Bounds on what a process takes in; each must be greater than zero.
+/// Limits of a process; each must be greater than zero and at most 2^32.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
@@ -17,17 +17,17 @@
     pub max_body_bytes: usize,
     /// Largest head of a request, in bytes.
     pub max_header_bytes: usize,
-    /// Most connections that a listener holds open.
+    /// Largest number of open connections per listener.
     pub max_connections: usize,
     /// Largest frame between processes, in bytes.
     pub max_frame_bytes: usize,
-    /// Most requests in flight.
+    /// Largest number of requests queued at a slot; running ones are not counted.
     pub max_in_flight: usize,
-    /// Most requests that run at an upstream at once; the others wait at its slot.
+    /// Largest number of requests running at an upstream; further ones are queued at its slot.
     pub max_running: usize,
-    /// Bytes of answers that are kept until they are acknowledged.
+    /// Largest total size of the answers that are kept until they are acknowledged, in bytes.
     pub max_answer_bytes: usize,
-    /// Decision lines that are kept for operators.
+    /// Number of decision lines stored for operators.
     pub max_decisions: usize,
 }
 
