--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,4 +1,4 @@
-//! From a file to checked settings.
+//! Reads, parses and checks settings.
 
 use std::fs;
 use std::path::Path;
@@ -9,9 +9,9 @@
 use crate::error::Fault;
 use crate::error::Reason;
 
-/// Settings that can be checked once they are read.
+/// Settings that can be checked after parsing.
 pub trait Settings: DeserializeOwned {
-    /// Checks what the types can't hold.
+    /// Checks the constraints that the types can't express.
     ///
     /// # Errors
     ///
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 ///
-/// Returns the fault of the file or of each field.
+/// Returns the fault of the file, or else as [`parse`].
 pub fn read<T: Settings>(path: impl AsRef<Path>) -> Result<T, Error> {
     let path = path.as_ref();
     let bytes = fs::read(path).map_err(|error| {
@@ -33,11 +33,11 @@
     parse(&bytes)
 }
 
-/// Reads and checks the settings in `bytes`.
+/// Parses and checks the settings in `bytes`.
 ///
 /// # Errors
 ///
-/// Returns the first fault of the form, or else the fault of each field.
+/// Returns the first fault of syntax or type, or else the faults of all fields that fail the check.
 pub fn parse<T: Settings>(bytes: &[u8]) -> Result<T, Error> {
     let mut json = serde_json::Deserializer::from_slice(bytes);
     let settings: T = serde_path_to_error::deserialize(&mut json).map_err(|error| {
@@ -49,7 +49,7 @@
     Ok(settings)
 }
 
-/// Returns the error of JSON that doesn't fit; a missing field is named by its own path.
+/// Converts a JSON error; for a missing field, the path is that of the field, not of its parent.
 fn malformed(path: &str, error: &serde_json::Error) -> Error {
     let cause = error.to_string();
     let missing = cause
