--- a/crates/settings/src/slot.rs
+++ b/crates/settings/src/slot.rs
@@ -18,7 +18,7 @@
 use crate::timing::Timing;
 use crate::token::Token;
 
-/// What kind of upstream stands beside a slot.
+/// Kind of the upstream that a slot serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -32,31 +32,32 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slot {
-    /// Name of the upstream instance that this slot serves.
+    /// Name of the upstream instance that this slot serves, as published in the fleet.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// Failure domain of the upstream instance, as published in the fleet.
     pub failure_domain: FailureDomainId,
-    /// Address for other processes of the system.
+    /// Address to listen on for other processes of the system.
     pub peer: SocketAddr,
-    /// Address for operators.
+    /// Address to listen on for operators.
     pub operator: SocketAddr,
-    /// Token that operators send.
+    /// Token that authenticates operators.
     pub operator_token: Token,
     /// Address of the configuration service and the instance list.
     pub platform: SocketAddr,
-    /// Peers to ask at start.
+    /// Addresses of peers to contact at start.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Address of the upstream.
+    /// Address of the upstream, to connect to.
     pub upstream: SocketAddr,
-    /// Kind of the upstream.
+    /// Kind of the upstream; selects how the slot talks to it.
     pub upstream_kind: Kind,
-    /// Local address that one slot holds while it lives, so that no second one sends.
+    /// Loopback address that a slot keeps bound while it runs, so that a second slot can't send to
+    /// the same upstream.
     pub lock: SocketAddr,
-    /// Times.
+    /// Intervals and timeouts.
     #[serde(default)]
     pub timing: Timing,
-    /// Bounds on what is taken in.
+    /// Limits on connections, sizes and requests.
     #[serde(default)]
     pub limits: Limits,
 }
@@ -85,7 +86,7 @@
     }
 }
 
-/// Refuses a lock that two slots of one host could both hold.
+/// Refuses a lock address that two slots of one host could bind at the same time.
 fn check_lock(lock: SocketAddr, faults: &mut Vec<Fault>) {
     if !lock.ip().is_loopback() {
         faults.push(Fault::new("lock", Reason::NotLocal));
@@ -100,7 +101,7 @@
     ///
     /// # Errors
     ///
-    /// Returns each field that the fleet doesn't know or tells otherwise.
+    /// Returns each field whose value is unknown to the fleet or differs from the published one.
     pub fn check_against(&self, fleet: &Fleet) -> Result<(), Error> {
         let mut faults = Vec::new();
         if !fleet.failure_domains.contains_key(&self.failure_domain) {
