--- a/crates/settings/src/timing.rs
+++ b/crates/settings/src/timing.rs
@@ -1,4 +1,4 @@
-//! Times of a process, in milliseconds, with their defaults.
+//! Intervals and timeouts of a process, in milliseconds, with their defaults.
 
 use std::time::Duration;
 
@@ -9,32 +9,32 @@
 use crate::error::Fault;
 use crate::error::Reason;
 
-/// Longest time that any field may hold: one day.
+/// Largest value of any field: one day.
 const MAX_MS: u64 = 24 * 60 * 60 * 1000;
 
-/// Times of a process; each must be greater than zero and at most one day.
+/// Intervals and timeouts of a process; each must be greater than zero and at most one day.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Timing {
-    /// Time between heartbeats of a session.
+    /// Interval between heartbeats of a session.
     pub heartbeat_ms: u64,
-    /// Silence after which a session is closed and opened anew.
+    /// Time without a message after which a session is closed and reopened.
     pub silence_ms: u64,
-    /// Time to open a connection.
+    /// Timeout for opening a connection.
     pub connect_ms: u64,
-    /// Time for which a caller may keep the addresses of a discovery.
+    /// Time for which a caller may use the addresses of a discovery.
     pub discovery_lifetime_ms: u64,
-    /// Time that work in flight gets to end once this process is told to stop.
+    /// Time allowed for work in flight to finish after this process was told to stop.
     pub drain_deadline_ms: u64,
-    /// Time that a caller gets to send its headers, and again its body.
+    /// Timeout for a caller to send its headers, and again to send its body.
     pub slow_sender_ms: u64,
-    /// Time for which an answer that was not acknowledged is kept.
+    /// Time for which an unacknowledged answer is kept.
     pub answer_lifetime_ms: u64,
-    /// Silence of an upstream after which its connection isn't trusted.
+    /// Time without data from an upstream after which its connection is considered broken.
     pub upstream_silence_ms: u64,
-    /// Time for which a call to the configuration service or the instance list may wait.
+    /// Timeout of calls to the configuration service and the instance list.
     pub platform_timeout_ms: u64,
-    /// Time between two readings of a group's expert counts.
+    /// Interval at which a group's expert counts are read.
     pub report_ms: u64,
 }
 
@@ -56,61 +56,61 @@
 }
 
 impl Timing {
-    /// Returns the time between heartbeats.
+    /// Returns `heartbeat_ms` as a duration.
     #[must_use]
     pub const fn heartbeat(&self) -> Duration {
         Duration::from_millis(self.heartbeat_ms)
     }
 
-    /// Returns the silence that ends a session.
+    /// Returns `silence_ms` as a duration.
     #[must_use]
     pub const fn silence(&self) -> Duration {
         Duration::from_millis(self.silence_ms)
     }
 
-    /// Returns the time to open a connection.
+    /// Returns `connect_ms` as a duration.
     #[must_use]
     pub const fn connect(&self) -> Duration {
         Duration::from_millis(self.connect_ms)
     }
 
-    /// Returns the lifetime of a discovery.
+    /// Returns `discovery_lifetime_ms` as a duration.
     #[must_use]
     pub const fn discovery_lifetime(&self) -> Duration {
         Duration::from_millis(self.discovery_lifetime_ms)
     }
 
-    /// Returns the time that work in flight gets to end.
+    /// Returns `drain_deadline_ms` as a duration.
     #[must_use]
     pub const fn drain_deadline(&self) -> Duration {
         Duration::from_millis(self.drain_deadline_ms)
     }
 
-    /// Returns the time that a caller gets to send.
+    /// Returns `slow_sender_ms` as a duration.
     #[must_use]
     pub const fn slow_sender(&self) -> Duration {
         Duration::from_millis(self.slow_sender_ms)
     }
 
-    /// Returns the time between two readings of expert counts.
+    /// Returns `report_ms` as a duration.
     #[must_use]
     pub const fn report(&self) -> Duration {
         Duration::from_millis(self.report_ms)
     }
 
-    /// Returns the time for which an answer is kept.
+    /// Returns `answer_lifetime_ms` as a duration.
     #[must_use]
     pub const fn answer_lifetime(&self) -> Duration {
         Duration::from_millis(self.answer_lifetime_ms)
     }
 
-    /// Returns the silence of an upstream that ends its connection.
+    /// Returns `upstream_silence_ms` as a duration.
     #[must_use]
     pub const fn upstream_silence(&self) -> Duration {
         Duration::from_millis(self.upstream_silence_ms)
     }
 
-    /// Returns the time that a call to the platform may wait.
+    /// Returns `platform_timeout_ms` as a duration.
     #[must_use]
     pub const fn platform_timeout(&self) -> Duration {
         Duration::from_millis(self.platform_timeout_ms)
