--- a/crates/settings/src/token.rs
+++ b/crates/settings/src/token.rs
@@ -1,4 +1,4 @@
-//! A secret that logs don't show.
+//! A secret that is redacted in logs.
 
 use std::fmt::Debug;
 use std::fmt::Formatter;
@@ -6,22 +6,22 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Fewest characters of a token.
+/// Smallest length of a token, in characters.
 pub(crate) const MIN_TOKEN_CHARACTERS: usize = 16;
 
-/// Token that operators send; its debug form hides it.
+/// Token that authenticates operators; its `Debug` output is redacted.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Token(String);
 
 impl Token {
-    /// Returns the token of this text.
+    /// Creates a token without checking its length.
     #[must_use]
     pub fn new(text: impl Into<String>) -> Token {
         Token(text.into())
     }
 
-    /// Returns the secret itself.
+    /// Returns the secret in plain text.
     #[must_use]
     pub fn secret(&self) -> &str {
         &self.0
