--- a/crates/settings/tests/random.rs
+++ b/crates/settings/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random JSON never stops the reader, and what it accepts is as it should be.
+//! Property tests: parsing random input never panics, and accepted settings are valid.
 
 use auburnline_settings::Entry;
 use auburnline_settings::Slot;
@@ -11,19 +11,19 @@
 use serde_json::Value;
 use serde_json::json;
 
-const FIXED_SEED: u64 = 7;
-const FIXED_CASES: u32 = 512;
+const DEFAULT_SEED: u64 = 7;
+const DEFAULT_CASES: u32 = 512;
 
-fn number(name: &str, fixed: u64) -> u64 {
+fn number(name: &str, default: u64) -> u64 {
     std::env::var(name)
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(fixed)
+        .unwrap_or(default)
 }
 
 fn config() -> Config {
-    let seed = number("AUBURNLINE_SEED", FIXED_SEED);
-    let cases = number("AUBURNLINE_EVENTS", FIXED_CASES.into());
+    let seed = number("AUBURNLINE_SEED", DEFAULT_SEED);
+    let cases = number("AUBURNLINE_EVENTS", DEFAULT_CASES.into());
     println!("AUBURNLINE_SEED={seed} AUBURNLINE_EVENTS={cases}");
     Config {
         cases: u32::try_from(cases).unwrap_or(u32::MAX),
