--- a/crates/settings/tests/refusal.rs
+++ b/crates/settings/tests/refusal.rs
@@ -1,4 +1,4 @@
-//! Each refusal of settings, by the path of its field.
+//! Refusals of settings, with the path of each refused field, and of command lines.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -48,7 +48,7 @@
     }
 }
 
-/// Returns the paths refused after `pointer` was set to `value`.
+/// Sets the JSON `pointer` to `value` and returns the paths of the refused fields.
 fn refused<T: Settings>(mut json: Value, pointer: &str, value: Value) -> Vec<String> {
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer");
     if json.pointer(parent).is_none() {
