--- a/crates/settings/src/arguments.rs
+++ b/crates/settings/src/arguments.rs
@@ -1,7 +1,7 @@
 //! The command line that all daemons share.
 //!
-//! [`parse`] is free of effects; [`start`] does what every daemon does first: it answers `--help`,
-//! `--version` and `--check`, and else returns the settings to run with.
+//! [`parse`] has no side effects. [`start`] is the first call of every daemon: it handles `--help`,
+//! `--version` and `--check`, and otherwise returns the settings to run with.
 
 use std::ffi::OsString;
 use std::fmt::Display;
@@ -14,55 +14,57 @@
 use crate::read::Settings;
 use crate::read::read;
 
-/// Exit code of a wrong command line or of refused settings.
+/// Exit code for a wrong command line and for refused settings.
 pub const EXIT_REFUSED: u8 = 2;
 
-/// Name, version and purpose of a daemon, for its help.
+/// Name, version and purpose of a daemon, for its help text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Program {
-    /// Name of the binary.
+    /// Name of the binary, also the prefix of its error messages.
     pub name: &'static str,
-    /// Version of the binary.
+    /// Version that `--version` prints.
     pub version: &'static str,
-    /// What it does, in one phrase.
+    /// Purpose of the daemon, in one phrase.
     pub purpose: &'static str,
 }
 
-/// What the command line asks for.
+/// Action requested by the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Print this help.
+    /// Print this help text.
     Help(String),
-    /// Print this version.
+    /// Print this name and version.
     Version(String),
-    /// Read and check the settings only.
+    /// Read and check the settings in this file, then exit.
     Check(PathBuf),
-    /// Run with these settings.
+    /// Run with the settings in this file.
     Run(PathBuf),
 }
 
 /// Why a command line is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Misuse {
+pub enum UsageError {
     /// An option is unknown, repeated or lacks its argument.
     Option(String),
-    /// An argument belongs to no option.
-    Stray(String),
-    /// No settings file is named.
+    /// This argument belongs to no option.
+    UnexpectedArgument(String),
+    /// The `--settings` option is missing.
     NoSettings,
 }
 
-impl Display for Misuse {
+impl Display for UsageError {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         match self {
-            Misuse::Option(cause) => f.write_str(cause),
-            Misuse::Stray(argument) => write!(f, "stray argument '{argument}'"),
-            Misuse::NoSettings => f.write_str("--settings FILE is missing"),
+            UsageError::Option(cause) => f.write_str(cause),
+            UsageError::UnexpectedArgument(argument) => {
+                write!(f, "unexpected argument '{argument}'")
+            }
+            UsageError::NoSettings => f.write_str("--settings FILE is missing"),
         }
     }
 }
 
-impl std::error::Error for Misuse {}
+impl std::error::Error for UsageError {}
 
 fn options() -> Options {
     let mut options = Options::new();
@@ -77,19 +79,19 @@
     options
 }
 
-/// Reads a command line, without the program's own name.
+/// Parses a command line that doesn't include the program's own name.
 ///
 /// # Errors
 ///
 /// Returns why the command line is refused.
-pub fn parse<I>(program: Program, arguments: I) -> Result<Command, Misuse>
+pub fn parse<I>(program: Program, arguments: I) -> Result<Command, UsageError>
 where
     I: IntoIterator<Item = OsString>,
 {
     let options = options();
     let found = options
         .parse(arguments)
-        .map_err(|error| Misuse::Option(error.to_string()))?;
+        .map_err(|error| UsageError::Option(error.to_string()))?;
     if found.opt_present("help") {
         let brief = format!(
             "{}: {}\n\nUsage: {} --settings FILE [--check]",
@@ -101,10 +103,10 @@
         let version = format!("{} {}", program.name, program.version);
         return Ok(Command::Version(version));
     }
-    if let Some(stray) = found.free.first() {
-        return Err(Misuse::Stray(stray.clone()));
+    if let Some(unexpected) = found.free.first() {
+        return Err(UsageError::UnexpectedArgument(unexpected.clone()));
     }
-    let path = found.opt_str("settings").ok_or(Misuse::NoSettings)?;
+    let path = found.opt_str("settings").ok_or(UsageError::NoSettings)?;
     let path = PathBuf::from(path);
     if found.opt_present("check") {
         Ok(Command::Check(path))
@@ -113,15 +115,16 @@
     }
 }
 
-/// Returns the settings to run with, or prints what was asked for and returns the exit code.
+/// Handles the command line of the process; returns the settings if the daemon is to run.
 ///
 /// # Errors
 ///
-/// Returns the code to exit with: 0 if all was printed, [`EXIT_REFUSED`] if anything was refused.
+/// Returns the exit code: 0 after `--help`, `--version` or a passed `--check`, [`EXIT_REFUSED`] if
+/// the command line or the settings were refused.
 pub fn start<T: Settings>(program: Program) -> Result<T, ExitCode> {
     let refused = ExitCode::from(EXIT_REFUSED);
-    let command = parse(program, std::env::args_os().skip(1)).map_err(|misuse| {
-        eprintln!("{}: {misuse}; try --help", program.name);
+    let command = parse(program, std::env::args_os().skip(1)).map_err(|error| {
+        eprintln!("{}: {error}; try --help", program.name);
         refused
     })?;
     let load = |path: &PathBuf| {
--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -14,7 +14,7 @@
 use crate::error::Reason;
 use crate::limits::Limits;
 use crate::read::Settings;
-use crate::read::verdict;
+use crate::read::into_result;
 use crate::timing::Timing;
 use crate::token::Token;
 
@@ -22,27 +22,27 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// Name of this instance.
+    /// Name of this instance, as published in the fleet.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// Failure domain of this instance, as published in the fleet.
     pub failure_domain: FailureDomainId,
-    /// Address for callers.
+    /// Address to listen on for callers.
     pub caller: SocketAddr,
-    /// Address for other processes of the system.
+    /// Address to listen on for other processes of the system.
     pub peer: SocketAddr,
-    /// Address for operators.
+    /// Address to listen on for operators.
     pub operator: SocketAddr,
-    /// Token that operators send.
+    /// Token that authenticates operators.
     pub operator_token: Token,
     /// Address of the configuration service and the instance list.
     pub platform: SocketAddr,
-    /// Peers to ask at start.
+    /// Addresses of peers to contact at start.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Times.
+    /// Intervals and timeouts.
     #[serde(default)]
     pub timing: Timing,
-    /// Bounds on what is taken in.
+    /// Limits on connections, sizes and requests.
     #[serde(default)]
     pub limits: Limits,
 }
@@ -55,16 +55,16 @@
         check::token("operator_token", &self.operator_token, &mut faults);
         check::target("platform", self.platform, &mut faults);
         check::seeds(&self.seeds, &mut faults);
-        let places = [
+        let addresses = [
             ("caller", self.caller),
             ("peer", self.peer),
             ("operator", self.operator),
             ("platform", self.platform),
         ];
-        check::overlaps(&places, &mut faults);
+        check::overlaps(&addresses, &mut faults);
         self.timing.check(&mut faults);
         self.limits.check(&mut faults);
-        verdict(faults)
+        into_result(faults)
     }
 }
 
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// Returns each field that the fleet doesn't know or tells otherwise.
+    /// Returns each field whose value is unknown to the fleet or differs from the published one.
     pub fn check_against(&self, fleet: &Fleet) -> Result<(), Error> {
         let mut faults = Vec::new();
         if !fleet.failure_domains.contains_key(&self.failure_domain) {
@@ -82,7 +82,7 @@
         }
         let Some(entry) = fleet.entries.get(&self.instance) else {
             faults.push(Fault::new("instance", Reason::UnknownInstance));
-            return verdict(faults);
+            return into_result(faults);
         };
         if entry.failure_domain != self.failure_domain {
             let reason = Reason::Differs(entry.failure_domain.to_string());
@@ -90,6 +90,6 @@
         }
         check::published("caller", self.caller, entry.caller, &mut faults);
         check::published("peer", self.peer, entry.peer, &mut faults);
-        verdict(faults)
+        into_result(faults)
     }
 }
--- a/crates/settings/tests/refusal.rs
+++ b/crates/settings/tests/refusal.rs
@@ -1,4 +1,4 @@
-//! Each refusal of settings, by the path of its field.
+//! Refusals of settings, with the path of each refused field, and of command lines.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -10,8 +10,8 @@
 use auburnline_settings::Slot;
 use auburnline_settings::arguments;
 use auburnline_settings::arguments::Command;
-use auburnline_settings::arguments::Misuse;
 use auburnline_settings::arguments::Program;
+use auburnline_settings::arguments::UsageError;
 use auburnline_settings::parse;
 use googletest::prelude::*;
 use serde_json::Value;
@@ -48,7 +48,7 @@
     }
 }
 
-/// Returns the paths refused after `pointer` was set to `value`.
+/// Sets the JSON `pointer` to `value` and returns the paths of the refused fields.
 fn refused<T: Settings>(mut json: Value, pointer: &str, value: Value) -> Vec<String> {
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer");
     if json.pointer(parent).is_none() {
@@ -201,7 +201,7 @@
     expect_that!(found, elements_are![eq("failure_domain"), eq("instance")]);
 }
 
-fn command(arguments: &[&str]) -> std::result::Result<Command, Misuse> {
+fn command(arguments: &[&str]) -> std::result::Result<Command, UsageError> {
     arguments::parse(PROGRAM, arguments.iter().map(OsString::from))
 }
 
@@ -223,10 +223,13 @@
             "--check"
         ))))
     );
-    expect_that!(command(&[]), err(eq(&Misuse::NoSettings)));
-    expect_that!(command(&["x"]), err(eq(&Misuse::Stray("x".to_owned()))));
+    expect_that!(command(&[]), err(eq(&UsageError::NoSettings)));
+    expect_that!(
+        command(&["x"]),
+        err(eq(&UsageError::UnexpectedArgument("x".to_owned())))
+    );
     expect_that!(
         command(&["--what"]),
-        err(matches_pattern!(Misuse::Option(_)))
+        err(matches_pattern!(UsageError::Option(_)))
     );
 }
