--- a/crates/configuration/src/readiness.rs
+++ b/crates/configuration/src/readiness.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use auburnline_core::time::Monotonic;
-use auburnline_membership::pause::Pause;
+use auburnline_membership::pause::Detector;
 
 use crate::parcel::Ticket;
 
@@ -52,7 +52,7 @@
 /// Readiness of one process, evaluated anew after each pause.
 #[derive(Clone, Debug)]
 pub struct Readiness {
-    pause: Pause,
+    pause: Detector,
     /// First ticket drawn since the start or the last pause; answers to earlier ones don't count.
     first_valid: Ticket,
     since: Monotonic,
@@ -65,7 +65,7 @@
     /// Returns the state of a process that starts at `now`.
     #[must_use]
     pub fn new(now: Monotonic) -> Self {
-        let mut pause = Pause::default();
+        let mut pause = Detector::default();
         pause.observe(now);
         Self {
             pause,
--- a/crates/configuration/tests/all/support/simulation.rs
+++ b/crates/configuration/tests/all/support/simulation.rs
@@ -24,7 +24,7 @@
 use auburnline_core::id::InstanceId;
 use auburnline_core::id::Revision;
 use auburnline_core::time::Monotonic;
-use auburnline_membership::beat;
+use auburnline_membership::heartbeat;
 use auburnline_membership::pause::PAUSE;
 use auburnline_membership::pause::TICK;
 use rand::Rng;
@@ -385,7 +385,7 @@
 
     /// Returns the period of a process's heartbeats if all its sessions are idle.
     pub(crate) fn period(&self, index: usize) -> Duration {
-        beat::period(false, self.nodes[index].neighbours.len())
+        heartbeat::period(false, self.nodes[index].neighbours.len())
     }
 
     /// Sends a message; `bytes` is `None` for heartbeats, which sessions send anyway and which
--- a/crates/entry/src/state/discover.rs
+++ b/crates/entry/src/state/discover.rs
@@ -34,18 +34,18 @@
 
     fn candidate(&self, name: &InstanceId, entry: &Entry, now: Monotonic) -> Candidate {
         let me = *name == self.settings.instance;
-        let standing = self.fleet.view().standing(name, now);
+        let status = self.fleet.view().status(name, now);
         Candidate {
             instance: name.clone(),
             address: entry.caller,
             failure_domain: entry.failure_domain.clone(),
             weight: 1,
-            is_up: me || standing.is_up,
-            is_live: me || standing.is_live,
+            is_up: me || status.is_up,
+            is_live: me || status.is_live,
             is_leaving: if me {
                 self.stay.is_leaving()
             } else {
-                standing.leaving.is_some()
+                status.leaving.is_some()
             },
         }
     }
--- a/crates/entry/src/state/fleet.rs
+++ b/crates/entry/src/state/fleet.rs
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Marks each group by the standing of all its instances.
+    /// Marks each group by the status of all its instances.
     pub(crate) fn mark_all(&mut self, now: Monotonic) {
         let Some(checked) = self.configurations.in_force() else {
             return;
@@ -174,7 +174,7 @@
         for group in self.admits.values() {
             let published = checked.group(group);
             let mut instances = published.iter().flat_map(|group| &group.instances);
-            let leaves = instances.any(|name| view.standing(name, now).leaving.is_some());
+            let leaves = instances.any(|name| view.status(name, now).leaving.is_some());
             self.router.mark(group, Mark::Leaving, leaves);
         }
     }
--- a/crates/entry/src/state/limit.rs
+++ b/crates/entry/src/state/limit.rs
@@ -284,7 +284,7 @@
         let published: BTreeSet<InstanceId> = checked.fleet().entries.keys().cloned().collect();
         let view = self.fleet.view();
         let me = &self.settings.instance;
-        let lives = |name: &&InstanceId| *name == me || view.standing(name, now).is_live;
+        let lives = |name: &&InstanceId| *name == me || view.status(name, now).is_live;
         let live: BTreeSet<InstanceId> = published.iter().filter(lives).cloned().collect();
         let entries = Some((published, live));
         if entries != self.limits.entries {
--- a/crates/membership/examples/cost.rs
+++ b/crates/membership/examples/cost.rs
@@ -12,9 +12,9 @@
 use std::time::Instant;
 
 use auburnline_core::id::InstanceId;
-use auburnline_membership::beat::Beat;
 use auburnline_membership::discovery;
 use auburnline_membership::discovery::Candidate;
+use auburnline_membership::heartbeat::Heartbeat;
 use auburnline_membership::list::List;
 use auburnline_membership::view::Event;
 use auburnline_membership::view::View;
@@ -43,7 +43,7 @@
     print(csv, &names.map(str::to_owned));
     for size in SIZES {
         let mut view = view(size);
-        let heard = Event::Heard(name(1), beat());
+        let heard = Event::Heartbeat(name(1), heartbeat());
         let micros = |nanos: f64| format!("{:.2}", nanos / 1e3);
         let cells = [
             size.to_string(),
@@ -88,8 +88,8 @@
     format!("instance-{index:04}").into()
 }
 
-const fn beat() -> Beat {
-    Beat {
+const fn heartbeat() -> Heartbeat {
+    Heartbeat {
         next: Duration::from_secs(1),
         is_leaving: false,
     }
--- a/crates/membership/src/beat.rs
+++ b/crates/membership/src/heartbeat.rs
@@ -27,7 +27,7 @@
 
 /// Content of a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Time until the sender's next heartbeat.
     pub next: Duration,
     /// Whether the sender is leaving; repeated in each heartbeat, since the notice may be lost.
@@ -49,7 +49,7 @@
 ///
 /// The period grows as in [`period`], to at most [`MAX_PERIOD`], or `least` if that is longer.
 #[must_use]
-pub fn paced(least: Duration, sessions: usize) -> Duration {
+pub fn period_at_least(least: Duration, sessions: usize) -> Duration {
     let sessions = u32::try_from(sessions).unwrap_or(u32::MAX);
     let shared = Duration::from_secs(1).saturating_mul(sessions) / IDLE_RATE;
     shared.clamp(least, MAX_PERIOD.max(least))
--- a/crates/membership/src/life.rs
+++ b/crates/membership/src/lifecycle.rs
@@ -59,7 +59,7 @@
 
 /// State of a process.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum Lifecycle {
     /// Requests are admitted and served.
     Serving(Serving),
     /// No request is admitted; those in flight may finish.
@@ -72,7 +72,7 @@
 
 /// Time limits of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct Limits {
     /// Minimum time that a leaving process answers callers which still use its address.
     pub linger: Duration,
     /// Time that requests in flight get to finish; set by the preset in force.
@@ -99,13 +99,13 @@
 
     /// Stops admitting at once; the owner must notify every session now.
     #[must_use]
-    pub fn leave(self, reason: Reason, patience: Patience, now: Monotonic) -> Leaving {
+    pub fn leave(self, reason: Reason, limits: Limits, now: Monotonic) -> Leaving {
         Leaving {
             in_flight: self.in_flight,
             reason,
             since: now,
-            linger: patience.linger,
-            deadline: patience.deadline,
+            linger: limits.linger,
+            deadline: limits.deadline,
         }
     }
 }
@@ -146,34 +146,34 @@
     /// A drain by preset does not end the process: it may serve again under a later revision, and
     /// no request in flight needs to be cut off until the process itself is told to stop.
     #[must_use]
-    pub fn tick(self, now: Monotonic) -> Life {
+    pub fn tick(self, now: Monotonic) -> Lifecycle {
         if matches!(self.reason, Reason::Preset(_)) {
-            return Life::Leaving(self);
+            return Lifecycle::Leaving(self);
         }
         let took = now.saturating_sub(self.since);
         let reason = self.reason;
         if self.in_flight == 0 && took >= self.linger.min(self.deadline) {
-            return Life::Drained(Drained { reason, took });
+            return Lifecycle::Drained(Drained { reason, took });
         }
         if took >= self.deadline {
-            return Life::Cut(Cut {
+            return Lifecycle::Cut(Cut {
                 reason,
                 requests: self.in_flight,
                 by_signal: false,
             });
         }
-        Life::Leaving(self)
+        Lifecycle::Leaving(self)
     }
 
     /// Ends the process now, on a second signal.
     #[must_use]
-    pub fn cut(self, now: Monotonic) -> Life {
+    pub fn cut(self, now: Monotonic) -> Lifecycle {
         let reason = self.reason;
         if self.in_flight == 0 {
             let took = now.saturating_sub(self.since);
-            return Life::Drained(Drained { reason, took });
+            return Lifecycle::Drained(Drained { reason, took });
         }
-        Life::Cut(Cut {
+        Lifecycle::Cut(Cut {
             reason,
             requests: self.in_flight,
             by_signal: true,
@@ -184,27 +184,27 @@
     ///
     /// Call it only for a `revision` that no longer drains the process.
     #[must_use]
-    pub fn resume(self, revision: Revision) -> Life {
+    pub fn resume(self, revision: Revision) -> Lifecycle {
         match self.reason {
-            Reason::Preset(before) if revision > before => Life::Serving(Serving {
+            Reason::Preset(before) if revision > before => Lifecycle::Serving(Serving {
                 in_flight: self.in_flight,
             }),
-            _ => Life::Leaving(self),
+            _ => Lifecycle::Leaving(self),
         }
     }
 }
 
-impl Default for Life {
+impl Default for Lifecycle {
     fn default() -> Self {
-        Life::Serving(Serving::default())
+        Lifecycle::Serving(Serving::default())
     }
 }
 
-impl Life {
+impl Lifecycle {
     /// Admits one request; returns whether it was admitted.
     #[must_use]
     pub fn admit(&mut self) -> bool {
-        let Life::Serving(serving) = self else {
+        let Lifecycle::Serving(serving) = self else {
             return false;
         };
         serving.admit();
@@ -214,9 +214,9 @@
     /// Records the end of one request.
     pub fn finish(&mut self) {
         match self {
-            Life::Serving(serving) => serving.finish(),
-            Life::Leaving(leaving) => leaving.finish(),
-            Life::Drained(_) | Life::Cut(_) => {}
+            Lifecycle::Serving(serving) => serving.finish(),
+            Lifecycle::Leaving(leaving) => leaving.finish(),
+            Lifecycle::Drained(_) | Lifecycle::Cut(_) => {}
         }
     }
 
@@ -225,14 +225,16 @@
     /// A process that drains for another reason leaves for good at its first signal, and its linger
     /// time and deadline start anew.
     #[must_use]
-    pub fn signal(self, patience: Patience, now: Monotonic) -> Self {
+    pub fn signal(self, limits: Limits, now: Monotonic) -> Self {
         match self {
-            Life::Serving(serving) => Life::Leaving(serving.leave(Reason::Signal, patience, now)),
-            Life::Leaving(leaving) if leaving.reason == Reason::Signal => leaving.cut(now),
-            Life::Leaving(leaving) => {
+            Lifecycle::Serving(serving) => {
+                Lifecycle::Leaving(serving.leave(Reason::Signal, limits, now))
+            }
+            Lifecycle::Leaving(leaving) if leaving.reason == Reason::Signal => leaving.cut(now),
+            Lifecycle::Leaving(leaving) => {
                 let in_flight = leaving.in_flight;
                 let serving = Serving { in_flight };
-                Life::Leaving(serving.leave(Reason::Signal, patience, now))
+                Lifecycle::Leaving(serving.leave(Reason::Signal, limits, now))
             }
             ended => ended,
         }
@@ -240,9 +242,9 @@
 
     /// Starts to leave for `reason`, unless the process is leaving already or has ended.
     #[must_use]
-    pub fn leave(self, reason: Reason, patience: Patience, now: Monotonic) -> Self {
+    pub fn leave(self, reason: Reason, limits: Limits, now: Monotonic) -> Self {
         match self {
-            Life::Serving(serving) => Life::Leaving(serving.leave(reason, patience, now)),
+            Lifecycle::Serving(serving) => Lifecycle::Leaving(serving.leave(reason, limits, now)),
             other => other,
         }
     }
@@ -251,7 +253,7 @@
     #[must_use]
     pub fn tick(self, now: Monotonic) -> Self {
         match self {
-            Life::Leaving(leaving) => leaving.tick(now),
+            Lifecycle::Leaving(leaving) => leaving.tick(now),
             other => other,
         }
     }
--- a/crates/membership/src/pause.rs
+++ b/crates/membership/src/pause.rs
@@ -15,11 +15,11 @@
 
 /// Detector of gaps between observations.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pause {
+pub struct Detector {
     last: Option<Monotonic>,
 }
 
-impl Pause {
+impl Detector {
     /// Records an observation at `now`, and returns the gap since the last one if it was a pause.
     ///
     /// The first observation has no gap, nor has one at a time before the last.
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -9,7 +9,7 @@
 use auburnline_core::id::InstanceId;
 use auburnline_core::time::Monotonic;
 
-use crate::beat;
+use crate::heartbeat;
 use crate::list::Listed;
 use crate::mark::Cause;
 use crate::mark::Rumour;
@@ -176,7 +176,7 @@
         self.attempts = 0;
         self.session = Some(Session {
             heard: now,
-            silent_at: beat::silent_at(now, next),
+            silent_at: heartbeat::silent_at(now, next),
         });
     }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -21,8 +21,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::beat;
-use crate::beat::Beat;
+use crate::heartbeat;
+use crate::heartbeat::Heartbeat;
 use crate::list::List;
 use crate::list::Listed;
 use crate::mark::Cause;
@@ -39,7 +39,7 @@
 
 /// Membership state of one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct Status {
     /// Whether a session to it is up and has not timed out.
     pub is_up: bool,
     /// Whether the instance is considered alive: up, or listed and not suspected by a quorum.
@@ -79,9 +79,9 @@
 
     /// Returns the state of an instance; an unknown one is neither up nor alive.
     #[must_use]
-    pub fn standing(&self, instance: &str, now: Monotonic) -> Standing {
+    pub fn status(&self, instance: &str, now: Monotonic) -> Status {
         let Some(record) = self.records.get(instance) else {
-            return Standing {
+            return Status {
                 is_up: false,
                 is_live: false,
                 leaving: None,
@@ -93,7 +93,7 @@
         // Until the first list arrives, the published configuration is the only source, so every
         // instance counts as listed.
         let is_listed = self.version.is_none() || record.listed != Listed::Absent;
-        Standing {
+        Status {
             is_up,
             is_live: is_up || (is_listed && !record.is_suspect(now)),
             leaving: record.leaving(),
@@ -104,14 +104,14 @@
     /// Returns whether an instance may get new work: a session is up and no mark says it leaves.
     #[must_use]
     pub fn may_get_work(&self, instance: &str, now: Monotonic) -> bool {
-        let standing = self.standing(instance, now);
-        standing.is_up && standing.leaving.is_none()
+        let status = self.status(instance, now);
+        status.is_up && status.leaving.is_none()
     }
 
     /// Returns the instances considered alive, including leaving ones, ordered by name.
     pub fn live(&self, now: Monotonic) -> impl Iterator<Item = &InstanceId> {
         let names = self.records.keys();
-        names.filter(move |name| self.standing(name, now).is_live)
+        names.filter(move |name| self.status(name, now).is_live)
     }
 
     /// Returns the last known incarnation of an instance.
@@ -137,7 +137,9 @@
                 self.session_up(&instance, incarnation, now, &mut actions);
             }
             Event::SessionDown(instance) => self.session_down(&instance, now),
-            Event::Heard(instance, beat) => self.heard(instance, beat, now, &mut actions),
+            Event::Heartbeat(instance, heartbeat) => {
+                self.heard(instance, heartbeat, now, &mut actions)
+            }
             Event::Notice(instance, incarnation) => {
                 self.notice(instance, incarnation, &mut actions);
             }
@@ -177,9 +179,9 @@
                 continue;
             };
             if record.session.is_none() && record.reopen_at <= now {
-                let delay = beat::reopen_delay(record.attempts, self.rng.random());
+                let delay = heartbeat::reopen_delay(record.attempts, self.rng.random());
                 record.attempts = record.attempts.saturating_add(1);
-                record.reopen_at = now + delay + beat::GRACE;
+                record.reopen_at = now + delay + heartbeat::GRACE;
                 actions.push(Action::Open(name.clone()));
             }
         }
@@ -269,7 +271,7 @@
         };
         let was_leaving = record.leaving().is_some();
         let is_replaced = record.confirm_incarnation(incarnation);
-        record.heard(beat::IDLE_PERIOD, now);
+        record.heard(heartbeat::IDLE_PERIOD, now);
         let leaving = record.leaving();
         let updates = record.rumours(instance);
         if is_replaced {
@@ -293,7 +295,7 @@
     fn heard(
         &mut self,
         instance: InstanceId,
-        beat: Beat,
+        heartbeat: Heartbeat,
         now: Monotonic,
         actions: &mut Vec<Action>,
     ) {
@@ -301,8 +303,8 @@
         let Some(record) = record.filter(|record| record.session.is_some()) else {
             return;
         };
-        record.heard(beat.next, now);
-        if let Some(incarnation) = record.incarnation().filter(|_| beat.is_leaving) {
+        record.heard(heartbeat.next, now);
+        if let Some(incarnation) = record.incarnation().filter(|_| heartbeat.is_leaving) {
             self.notice(instance, incarnation, actions);
         }
     }
@@ -311,7 +313,7 @@
         let jitter = self.rng.random();
         if let Some(record) = self.records.get_mut(instance) {
             record.session = None;
-            let reopen_at = now + beat::reopen_delay(record.attempts, jitter);
+            let reopen_at = now + heartbeat::reopen_delay(record.attempts, jitter);
             record.reopen_at = reopen_at;
         }
     }
--- a/crates/membership/src/view/event.rs
+++ b/crates/membership/src/view/event.rs
@@ -6,7 +6,7 @@
 use auburnline_core::id::InstanceId;
 use auburnline_core::id::Revision;
 
-use crate::beat::Beat;
+use crate::heartbeat::Heartbeat;
 use crate::list::List;
 use crate::mark::Cause;
 use crate::mark::Rumour;
@@ -37,7 +37,7 @@
     /// A session was lost or could not be opened.
     SessionDown(InstanceId),
     /// A heartbeat arrived over a session.
-    Heard(InstanceId, Beat),
+    Heartbeat(InstanceId, Heartbeat),
     /// An instance announced over its session that it leaves.
     Notice(InstanceId, Incarnation),
     /// Another entry sent rumours.
--- a/crates/membership/tests/all/main.rs
+++ b/crates/membership/tests/all/main.rs
@@ -1,7 +1,7 @@
 //! Tests of membership, discovery and drain decisions.
 
 mod discovery;
-mod life;
+mod lifecycle;
 mod neighbour;
 mod support;
 mod view;
--- a/crates/membership/tests/all/neighbour.rs
+++ b/crates/membership/tests/all/neighbour.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use auburnline_core::id::InstanceId;
-use auburnline_membership::beat;
+use auburnline_membership::heartbeat;
 use auburnline_membership::neighbour::BRIDGE_LINKS;
 use auburnline_membership::neighbour::BRIDGES;
 use auburnline_membership::neighbour::Place;
@@ -58,14 +58,20 @@
 
 #[gtest]
 fn idle_heartbeats_slow_down_with_the_number_of_sessions() {
-    expect_that!(beat::period(false, 10), eq(beat::IDLE_PERIOD));
-    expect_that!(beat::period(false, 340), gt(beat::IDLE_PERIOD));
-    expect_that!(beat::period(false, 100_000), eq(beat::MAX_PERIOD));
-    expect_that!(beat::period(true, 100_000), eq(beat::BUSY_PERIOD));
+    expect_that!(heartbeat::period(false, 10), eq(heartbeat::IDLE_PERIOD));
+    expect_that!(heartbeat::period(false, 340), gt(heartbeat::IDLE_PERIOD));
+    expect_that!(heartbeat::period(false, 100_000), eq(heartbeat::MAX_PERIOD));
+    expect_that!(heartbeat::period(true, 100_000), eq(heartbeat::BUSY_PERIOD));
     let least = Duration::from_millis(200);
-    expect_that!(beat::paced(least, 10), eq(least));
-    expect_that!(beat::paced(least, 85), eq(Duration::from_millis(500)));
-    expect_that!(beat::paced(least, 100_000), eq(beat::MAX_PERIOD));
-    let slow = 2 * beat::MAX_PERIOD;
-    expect_that!(beat::paced(slow, 100_000), eq(slow));
+    expect_that!(heartbeat::period_at_least(least, 10), eq(least));
+    expect_that!(
+        heartbeat::period_at_least(least, 85),
+        eq(Duration::from_millis(500))
+    );
+    expect_that!(
+        heartbeat::period_at_least(least, 100_000),
+        eq(heartbeat::MAX_PERIOD)
+    );
+    let slow = 2 * heartbeat::MAX_PERIOD;
+    expect_that!(heartbeat::period_at_least(slow, 100_000), eq(slow));
 }
--- a/crates/membership/tests/all/support/mod.rs
+++ b/crates/membership/tests/all/support/mod.rs
@@ -10,7 +10,7 @@
 use auburnline_core::id::InstanceId;
 use auburnline_core::id::Revision;
 use auburnline_core::time::Monotonic;
-use auburnline_membership::beat::Beat;
+use auburnline_membership::heartbeat::Heartbeat;
 use auburnline_membership::list::List;
 use auburnline_membership::neighbour::Place;
 use auburnline_membership::neighbour::pick;
@@ -339,11 +339,11 @@
         let is_same = truth.incarnation == link.incarnation;
         let is_dead = matches!(truth.state, State::Gone(_)) || !is_same;
         if !(link.is_silent || is_dead || self.is_partitioned(to, instance)) {
-            let beat = Beat {
+            let heartbeat = Heartbeat {
                 next: HEARTBEAT_PERIOD,
                 is_leaving: matches!(truth.state, State::Leaving(_)),
             };
-            self.handle(to, Event::Heard(instance.clone(), beat));
+            self.handle(to, Event::Heartbeat(instance.clone(), heartbeat));
         }
         self.schedule(HEARTBEAT_PERIOD, to, Item::Heartbeat(id, instance.clone()));
     }
--- a/crates/membership/tests/all/view.rs
+++ b/crates/membership/tests/all/view.rs
@@ -201,15 +201,13 @@
     }
 
     fn may_get_work(&self, instance: &str, now: Monotonic) -> bool {
-        let standing = self.inner.standing(instance, now);
+        let status = self.inner.status(instance, now);
         let is_listed = self.list.listed(instance) == Listed::Live;
         match self.fault {
             Fault::TrustsSilence => {
-                standing.leaving.is_none() && (standing.is_up || self.trusted.contains(instance))
-            }
-            Fault::ListOverridesNotice => {
-                standing.is_up && (is_listed || standing.leaving.is_none())
+                status.leaving.is_none() && (status.is_up || self.trusted.contains(instance))
             }
+            Fault::ListOverridesNotice => status.is_up && (is_listed || status.leaving.is_none()),
             _ => self.inner.may_get_work(instance, now),
         }
     }
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/node.rs
@@ -15,7 +15,7 @@
 use auburnline_core::id::Incarnation;
 use auburnline_core::id::InstanceId;
 use auburnline_duty::ring;
-use auburnline_membership::beat;
+use auburnline_membership::heartbeat;
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
@@ -217,7 +217,7 @@
 
     /// Returns the time between two heartbeats, longer the more sessions there are.
     pub(crate) fn period(&self) -> Duration {
-        beat::paced(self.config.heartbeat, self.sessions.borrow().len())
+        heartbeat::period_at_least(self.config.heartbeat, self.sessions.borrow().len())
     }
 
     /// Returns this side's greeting.
--- a/crates/peer/src/session.rs
+++ b/crates/peer/src/session.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use auburnline_membership::beat;
+use auburnline_membership::heartbeat;
 use bytes::BytesMut;
 use tokio::io::AsyncReadExt as _;
 use tokio::io::AsyncWriteExt as _;
@@ -156,7 +156,7 @@
                         return Reason::Malformed;
                     };
                     if let Frame::Heartbeat(beat) = &frame {
-                        silence = shared.config.silence.max(beat::allowance(beat.next));
+                        silence = shared.config.silence.max(heartbeat::allowance(beat.next));
                     }
                     shared.tell(Event::Frame { session, frame });
                 }
--- a/crates/process/src/fleet.rs
+++ b/crates/process/src/fleet.rs
@@ -15,13 +15,13 @@
 use auburnline_core::id::Incarnation;
 use auburnline_core::id::InstanceId;
 use auburnline_core::time::Monotonic;
-use auburnline_membership::beat::Beat;
+use auburnline_membership::heartbeat;
 use auburnline_membership::list::List;
 use auburnline_membership::mark::Cause;
 use auburnline_membership::mark::Rumour;
 use auburnline_membership::neighbour;
 use auburnline_membership::neighbour::Place;
-use auburnline_membership::pause::Pause;
+use auburnline_membership::pause::Detector;
 use auburnline_membership::view::Action;
 use auburnline_membership::view::Event;
 use auburnline_membership::view::View;
@@ -65,7 +65,7 @@
 pub struct Fleet {
     view: View,
     links: Links,
-    pause: Pause,
+    pause: Detector,
     addresses: BTreeMap<InstanceId, SocketAddr>,
     seeds: Vec<SocketAddr>,
     next_list: Monotonic,
@@ -79,7 +79,7 @@
         Fleet {
             view: View::new(me, incarnation),
             links: Links::new(),
-            pause: Pause::default(),
+            pause: Detector::default(),
             addresses: BTreeMap::new(),
             seeds,
             next_list: Duration::ZERO,
@@ -140,11 +140,11 @@
         let Some(link) = self.links.get(session) else {
             return Vec::new();
         };
-        let heard = Beat {
+        let heard = heartbeat::Heartbeat {
             next: beat.next,
             is_leaving: beat.leaving,
         };
-        let event = Event::Heard(link.instance.clone(), heard);
+        let event = Event::Heartbeat(link.instance.clone(), heard);
         self.handle(event, now)
     }
 
--- a/crates/process/src/stay.rs
+++ b/crates/process/src/stay.rs
@@ -1,15 +1,15 @@
 //! The life cycle of a process with what operators see of it.
 //!
-//! [`Stay`] holds the decisions of [`auburnline_membership::life`]: whether new work is taken, what
-//! is in flight, and when a process that leaves may end.
+//! [`Stay`] holds the decisions of [`auburnline_membership::lifecycle`]: whether new work is taken,
+//! what is in flight, and when a process that leaves may end.
 
 use std::time::Duration;
 
 use auburnline_configuration::checked::Checked;
 use auburnline_core::time::Monotonic;
-use auburnline_membership::life::Life;
-use auburnline_membership::life::Patience;
-use auburnline_membership::life::Reason;
+use auburnline_membership::lifecycle::Lifecycle;
+use auburnline_membership::lifecycle::Limits;
+use auburnline_membership::lifecycle::Reason;
 use auburnline_operator::shape;
 
 use crate::board::millis;
@@ -17,7 +17,7 @@
 /// Stay of a process in the fleet.
 #[derive(Debug)]
 pub struct Stay {
-    life: Life,
+    lifecycle: Lifecycle,
     linger: Duration,
     deadline: Duration,
     since: Option<Monotonic>,
@@ -30,7 +30,7 @@
     #[must_use]
     pub fn new(linger: Duration, deadline: Duration) -> Stay {
         Stay {
-            life: Life::default(),
+            lifecycle: Lifecycle::default(),
             linger,
             deadline,
             since: None,
@@ -42,7 +42,7 @@
     /// Admits one request; returns whether it was admitted.
     #[must_use]
     pub fn admit(&mut self, now: Monotonic) -> bool {
-        let admitted = self.life.admit();
+        let admitted = self.lifecycle.admit();
         if admitted {
             self.last_work = Some(now);
         }
@@ -51,40 +51,41 @@
 
     /// Ends one request.
     pub fn finish(&mut self) {
-        self.life.finish();
+        self.lifecycle.finish();
     }
 
     /// Returns whether new work is refused.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
-        !matches!(self.life, Life::Serving(_))
+        !matches!(self.lifecycle, Lifecycle::Serving(_))
     }
 
     /// Returns the requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> u64 {
-        match &self.life {
-            Life::Serving(serving) => serving.in_flight(),
-            Life::Leaving(leaving) => leaving.in_flight(),
-            Life::Drained(_) | Life::Cut(_) => 0,
+        match &self.lifecycle {
+            Lifecycle::Serving(serving) => serving.in_flight(),
+            Lifecycle::Leaving(leaving) => leaving.in_flight(),
+            Lifecycle::Drained(_) | Lifecycle::Cut(_) => 0,
         }
     }
 
     /// Returns whether the process may end.
     #[must_use]
     pub fn is_over(&self) -> bool {
-        matches!(self.life, Life::Drained(_) | Life::Cut(_))
+        matches!(self.lifecycle, Lifecycle::Drained(_) | Lifecycle::Cut(_))
     }
 
     /// Takes a signal: the first leaves, the second ends at once.
     pub fn signal(&mut self, now: Monotonic) {
-        let patience = self.patience();
-        self.change(now, |life| life.signal(patience, now));
+        let limits = self.limits();
+        self.change(now, |lifecycle| lifecycle.signal(limits, now));
     }
 
     /// Leaves at an operator's order; a stop that has begun goes on.
     pub fn order(&mut self, now: Monotonic) {
-        let begun = matches!(&self.life, Life::Leaving(it) if it.reason() == Reason::Signal);
+        let begun =
+            matches!(&self.lifecycle, Lifecycle::Leaving(it) if it.reason() == Reason::Signal);
         if !begun {
             self.signal(now);
         }
@@ -92,59 +93,59 @@
 
     /// Leaves since the published list says so.
     pub fn listed(&mut self, now: Monotonic) {
-        let patience = self.patience();
-        self.change(now, |life| life.leave(Reason::List, patience, now));
+        let limits = self.limits();
+        self.change(now, |lifecycle| lifecycle.leave(Reason::List, limits, now));
     }
 
     /// Takes what the preset in force says: leave, or serve again.
     pub fn configure(&mut self, now: Monotonic, checked: &Checked, drains: bool) {
         self.deadline = checked.preset().drain_deadline();
-        let patience = self.patience();
+        let limits = self.limits();
         let revision = checked.revision();
-        self.change(now, |life| match life {
-            life if drains => life.leave(Reason::Preset(revision), patience, now),
-            Life::Leaving(leaving) => leaving.resume(revision),
+        self.change(now, |lifecycle| match lifecycle {
+            lifecycle if drains => lifecycle.leave(Reason::Preset(revision), limits, now),
+            Lifecycle::Leaving(leaving) => leaving.resume(revision),
             other => other,
         });
     }
 
     /// Takes the passing of time.
     pub fn tick(&mut self, now: Monotonic) {
-        self.change(now, |life| life.tick(now));
+        self.change(now, |lifecycle| lifecycle.tick(now));
     }
 
-    fn patience(&self) -> Patience {
-        Patience {
+    fn limits(&self) -> Limits {
+        Limits {
             linger: self.linger,
             deadline: self.deadline,
         }
     }
 
-    fn change(&mut self, now: Monotonic, change: impl FnOnce(Life) -> Life) {
+    fn change(&mut self, now: Monotonic, change: impl FnOnce(Lifecycle) -> Lifecycle) {
         let was_over = self.is_over();
         let before = self.is_leaving();
-        self.life = change(std::mem::take(&mut self.life));
+        self.lifecycle = change(std::mem::take(&mut self.lifecycle));
         let after = self.is_leaving();
         if before != after {
             self.since = after.then_some(now);
             log::info!(target: "decision", leaving = after, cause = self.cause().unwrap_or("-"), in_flight = self.in_flight(); "life");
         }
         if !was_over && self.is_over() {
-            if let Life::Cut(cut) = &self.life {
+            if let Lifecycle::Cut(cut) = &self.lifecycle {
                 self.cut = cut.requests;
             }
-            log::info!(target: "decision", life:? = self.life; "end");
+            log::info!(target: "decision", life:? = self.lifecycle; "end");
         }
     }
 
     /// Returns why the process leaves.
     #[must_use]
     pub fn cause(&self) -> Option<&'static str> {
-        let reason = match &self.life {
-            Life::Serving(_) => return None,
-            Life::Leaving(leaving) => leaving.reason(),
-            Life::Drained(drained) => drained.reason,
-            Life::Cut(cut) => cut.reason,
+        let reason = match &self.lifecycle {
+            Lifecycle::Serving(_) => return None,
+            Lifecycle::Leaving(leaving) => leaving.reason(),
+            Lifecycle::Drained(drained) => drained.reason,
+            Lifecycle::Cut(cut) => cut.reason,
         };
         Some(match reason {
             Reason::Signal => "signal",
