--- a/crates/attempt/src/candidates.rs
+++ b/crates/attempt/src/candidates.rs
@@ -4,7 +4,8 @@
 //! that have been removed from the list since. An entry records the removals that it has observed,
 //! and a queried slot adds those that it has observed, so that an entry that has just started does
 //! not miss any. If the two are at different revisions, the slot adds its whole list
-//! ([`Candidates::also`]), because a slot that lags behind still lists a removed slot as current.
+//! ([`Candidates::unknown_to`]), because a slot that lags behind still lists a removed slot as
+//! current.
 //!
 //! After a slot joins the list, it gets no first attempt of non-idempotent work that was first sent
 //! less than [`SETTLING_TIME`] later, because a later attempt through an entry whose list lags
@@ -81,7 +82,7 @@
     /// Returns whether `slot` may get a first attempt of non-idempotent work that was first sent
     /// `age` ago.
     #[must_use]
-    pub fn first(&self, now: Monotonic, age: Duration, slot: &InstanceId) -> bool {
+    pub fn allows_first_attempt(&self, now: Monotonic, age: Duration, slot: &InstanceId) -> bool {
         match self.joined.get(slot) {
             Some(Some(joined)) => now.saturating_sub(*joined) >= age + SETTLING_TIME,
             Some(None) => true,
@@ -93,25 +94,25 @@
     ///
     /// Returns `None` if one of them may have been evicted from the removed slots.
     #[must_use]
-    pub fn cover(&self, now: Monotonic, age: Duration) -> Option<Vec<InstanceId>> {
+    pub fn reachable_slots(&self, now: Monotonic, age: Duration) -> Option<Vec<InstanceId>> {
         let since = now.saturating_sub(age + MAX_LIST_LAG);
         if self.horizon.is_some_and(|horizon| since <= horizon) {
             return None;
         }
-        let mut cover: Vec<InstanceId> = self.joined.keys().cloned().collect();
-        cover.extend(self.retired(now, age));
-        cover.sort();
-        Some(cover)
+        let mut reachable_slots: Vec<InstanceId> = self.joined.keys().cloned().collect();
+        reachable_slots.extend(self.retired(now, age));
+        reachable_slots.sort();
+        Some(reachable_slots)
     }
 
     /// Returns the slots that a claim from an entry at revision `asker` may be missing.
     #[must_use]
-    pub fn also(&self, now: Monotonic, asker: Revision) -> Vec<InstanceId> {
-        let mut also = self.retired(now, WINDOW);
+    pub fn unknown_to(&self, now: Monotonic, asker: Revision) -> Vec<InstanceId> {
+        let mut unknown = self.retired(now, WINDOW);
         if self.revision != Some(asker) {
-            also.extend(self.current().cloned());
+            unknown.extend(self.current().cloned());
         }
-        also
+        unknown
     }
 
     /// Returns the slots removed since [`MAX_LIST_LAG`] before a request of `age` was first sent.
--- a/crates/attempt/src/claim.rs
+++ b/crates/attempt/src/claim.rs
@@ -48,7 +48,7 @@
 
 /// Input of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Goal {
+pub struct Input {
     /// Id of the request to claim.
     pub id: RequestId,
     /// Fingerprint of its workspace and work; another one under the same id means key reuse.
@@ -56,7 +56,7 @@
     /// Upper bound of the time since the caller first sent the request; `None` if not stated.
     pub age: Option<Duration>,
     /// Every slot that an earlier attempt may have reached.
-    pub cover: Vec<InstanceId>,
+    pub reachable_slots: Vec<InstanceId>,
     /// Slots among them that currently admit work.
     pub admitting: Vec<InstanceId>,
     /// Time for which this process has known the pool's list, from
@@ -65,12 +65,12 @@
     /// Configuration revision that this process uses.
     pub revision: Revision,
     /// Whether to run the request or only to ensure that it never runs.
-    pub aim: Aim,
+    pub mode: Mode,
 }
 
 /// How to proceed with a request that no slot knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Aim {
+pub enum Mode {
     /// Fence it at every slot but one and run it there.
     Run,
     /// Fence it at every slot, which proves "not run".
@@ -79,7 +79,7 @@
 
 /// Query to a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Question {
+pub enum Query {
     /// Reports what the slot knows about the request.
     Locate {
         /// Id of the request to look up.
@@ -97,7 +97,7 @@
     /// Destination slot.
     pub slot: InstanceId,
     /// Query to send.
-    pub question: Question,
+    pub query: Query,
 }
 
 /// Next action of the claim's owner.
@@ -147,7 +147,7 @@
 /// State of a claim; `favoured` lists the distinct choices of earlier claims, `None` for no slot.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    goal: Goal,
+    input: Input,
     started_at: Monotonic,
     phase: Phase,
     slots: BTreeMap<InstanceId, State>,
@@ -160,9 +160,9 @@
 impl Claim {
     /// Starts a claim at `now` and returns its first step.
     #[must_use]
-    pub fn begin(now: Monotonic, goal: Goal) -> (Claim, Step) {
+    pub fn begin(now: Monotonic, input: Input) -> (Claim, Step) {
         let mut claim = Claim {
-            goal,
+            input,
             started_at: now,
             phase: Phase::Locate,
             slots: BTreeMap::new(),
@@ -171,7 +171,7 @@
             inconclusive_cause: None,
             witnessed: false,
         };
-        claim.witness(now, claim.goal.known_for);
+        claim.witness(now, claim.input.known_for);
         let step = claim.query_cover(now);
         (claim, step)
     }
@@ -188,7 +188,7 @@
                 attempt,
                 standing,
             } => {
-                if *fingerprint != self.goal.fingerprint {
+                if *fingerprint != self.input.fingerprint {
                     return self.key_reused();
                 }
                 return self.serve(from, finding.incarnation, *attempt, *standing);
@@ -206,7 +206,7 @@
             self.mark_inconclusive(from, Cause::Restarted);
         }
         self.witness(now, finding.uptime);
-        let asks = self.query_new(&finding.also);
+        let asks = self.query_new(&finding.other_candidates);
         self.advance(asks)
     }
 
@@ -230,8 +230,8 @@
     /// log line.
     #[must_use]
     pub fn preference(&self) -> Vec<InstanceId> {
-        let mut order = self.goal.admitting.clone();
-        rendezvous_order(&self.goal.id, &mut order);
+        let mut order = self.input.admitting.clone();
+        rendezvous_order(&self.input.id, &mut order);
         order
     }
 
@@ -239,17 +239,17 @@
         if self.age(now) > WINDOW {
             return self.unknown(Cause::TooOld);
         }
-        if self.goal.cover.is_empty() {
+        if self.input.reachable_slots.is_empty() {
             return self.unknown(Cause::NoSlot);
         }
-        let cover = std::mem::take(&mut self.goal.cover);
-        let asks = self.query_new(&cover);
+        let reachable_slots = std::mem::take(&mut self.input.reachable_slots);
+        let asks = self.query_new(&reachable_slots);
         self.advance(asks)
     }
 
     /// Returns the request's greatest possible age; [`WINDOW`] if the caller did not state it.
     fn age(&self, now: Monotonic) -> Duration {
-        match self.goal.age {
+        match self.input.age {
             Some(age) => age + now.saturating_sub(self.started_at),
             None => WINDOW,
         }
@@ -292,20 +292,20 @@
 
     fn ask(&mut self, slot: &InstanceId) -> Ask {
         self.slots.insert(slot.clone(), State::Asked);
-        let question = match self.phase {
-            Phase::Locate => Question::Locate {
-                id: self.goal.id.clone(),
-                revision: self.goal.revision,
+        let query = match self.phase {
+            Phase::Locate => Query::Locate {
+                id: self.input.id.clone(),
+                revision: self.input.revision,
             },
-            Phase::Fence | Phase::Done => Question::Fence(Fence {
-                id: self.goal.id.clone(),
+            Phase::Fence | Phase::Done => Query::Fence(Fence {
+                id: self.input.id.clone(),
                 favoured: self.target.as_ref().map(|(name, _)| name.clone()),
-                revision: self.goal.revision,
+                revision: self.input.revision,
             }),
         };
         Ask {
             slot: slot.clone(),
-            question,
+            query,
         }
     }
 
@@ -331,7 +331,7 @@
         self.phase = Phase::Fence;
         self.target = self.choose();
         let is_unassigned = self.target.is_none() && self.favoured.is_empty();
-        if is_unassigned && self.goal.aim == Aim::Run {
+        if is_unassigned && self.input.mode == Mode::Run {
             return self.unknown(Cause::NoSlot);
         }
         self.fence_clear()
@@ -351,7 +351,7 @@
     /// Chooses the target: the slot that all earlier claims favour, or the most preferred if there
     /// were none. Returns `None` if earlier claims disagree or the slot is not clear.
     fn choose(&self) -> Option<(InstanceId, Incarnation)> {
-        if self.goal.aim == Aim::Withdraw {
+        if self.input.mode == Mode::Withdraw {
             return None;
         }
         let clear = |name: &InstanceId| match self.slots.get(name) {
--- a/crates/attempt/src/ledger/mod.rs
+++ b/crates/attempt/src/ledger/mod.rs
@@ -400,7 +400,7 @@
             incarnation: self.incarnation,
             uptime: now.saturating_sub(self.started),
             presence,
-            also: Vec::<InstanceId>::new(),
+            other_candidates: Vec::<InstanceId>::new(),
         }
     }
 
--- a/crates/attempt/src/ledger/report.rs
+++ b/crates/attempt/src/ledger/report.rs
@@ -124,8 +124,8 @@
     /// What the slot knows about the id.
     pub presence: Presence,
     /// Other slots that may have run the request. The ledger leaves this empty; the slot fills it
-    /// from `Candidates::also`.
-    pub also: Vec<InstanceId>,
+    /// from `Candidates::unknown_to`.
+    pub other_candidates: Vec<InstanceId>,
 }
 
 /// Result of a cancellation.
--- a/crates/attempt/src/lib.rs
+++ b/crates/attempt/src/lib.rs
@@ -6,9 +6,9 @@
 //!   permanently refused, and holds the answer's bytes for resume and replay;
 //! - an entry's [`attempt::Attempt`] is one attempt of one request; its types allow "not run" only
 //!   with a proof;
-//! - a first attempt may go to any slot that [`candidates::Candidates::first`] allows; a later one
-//!   needs a [`claim::Claim`], which locates the id at every slot that an earlier attempt may have
-//!   reached, fences all but one, and only then runs it;
+//! - a first attempt may go to any slot that [`candidates::Candidates::allows_first_attempt`] allows; a
+//!   later one needs a [`claim::Claim`], which locates the id at every slot that an earlier attempt
+//!   may have reached, fences all but one, and only then runs it;
 //! - a [`stream::Receiver`] passes on only the frames of the caller's own answer, in order.
 //!
 //! The crate does no I/O, reads no clock and draws no random numbers: callers pass in the time and
--- a/crates/attempt/tests/model/entry.rs
+++ b/crates/attempt/tests/model/entry.rs
@@ -10,11 +10,11 @@
 use auburnline_attempt::attempt::Refusable;
 use auburnline_attempt::attempt::Sent;
 use auburnline_attempt::candidates::Candidates;
-use auburnline_attempt::claim::Aim;
 use auburnline_attempt::claim::Ask;
 use auburnline_attempt::claim::Claim;
-use auburnline_attempt::claim::Goal;
-use auburnline_attempt::claim::Question;
+use auburnline_attempt::claim::Input;
+use auburnline_attempt::claim::Mode;
+use auburnline_attempt::claim::Query;
 use auburnline_attempt::claim::Step;
 use auburnline_attempt::fingerprint;
 use auburnline_attempt::ledger::Finding;
@@ -173,7 +173,7 @@
             let session = *entry_state.sessions.get(&slot_index(name))?;
             let since = self.sessions[session].since;
             let before = since == 0 || op.first.is_some_and(|first| since <= first);
-            let settled = entry_state.candidates.first(now, age, name);
+            let settled = entry_state.candidates.allows_first_attempt(now, age, name);
             (op.request.idempotent || (before && settled)).then_some(session)
         };
         let subset = self.subset(&op.request.id, all);
@@ -223,23 +223,26 @@
         let age = op
             .first
             .map(|first| Duration::from_micros(self.now - first));
-        let Some(cover) = entry_state.candidates.cover(now, age.unwrap_or(WINDOW)) else {
+        let Some(reachable_slots) = entry_state
+            .candidates
+            .reachable_slots(now, age.unwrap_or(WINDOW))
+        else {
             let outcome = Outcome::Unknown(Unknown::new(Cause::UnknownPool));
             self.end(entry, call, &outcome, &[]);
             return;
         };
         let current: Vec<InstanceId> = entry_state.candidates.current().cloned().collect();
-        let goal = Goal {
+        let input = Input {
             id: id.clone(),
             fingerprint: fingerprint::of(&op.request),
             age,
-            cover: self.subset(&id, cover),
+            reachable_slots: self.subset(&id, reachable_slots),
             admitting: self.subset(&id, current),
             known_for: entry_state.candidates.known_for(now),
             revision: entry_state.revision,
-            aim: Aim::Run,
+            mode: Mode::Run,
         };
-        let (claim, step) = Claim::begin(now, goal);
+        let (claim, step) = Claim::begin(now, input);
         let incarnation = entry_state.incarnation;
         self.op(entry, call).stage = Stage::Claiming(attempt, claim);
         self.after(CLAIM_TIMEOUT_US, Event::ClaimTimeout { call, incarnation });
@@ -286,9 +289,9 @@
             return;
         };
         self.report.messages += 1;
-        let message = match ask.question {
-            Question::Locate { id, revision } => Message::Locate { call, id, revision },
-            Question::Fence(fence) => Message::Fence { call, fence },
+        let message = match ask.query {
+            Query::Locate { id, revision } => Message::Locate { call, id, revision },
+            Query::Fence(fence) => Message::Fence { call, fence },
         };
         self.post(session, true, message);
     }
--- a/crates/attempt/tests/model/slot.rs
+++ b/crates/attempt/tests/model/slot.rs
@@ -115,7 +115,7 @@
         mut finding: Finding,
     ) {
         let now = self.clock();
-        finding.also = self.slots[index].candidates.also(now, asker);
+        finding.other_candidates = self.slots[index].candidates.unknown_to(now, asker);
         self.post(session, false, Message::Finding { call, finding });
     }
 
--- a/crates/attempt/tests/unit/claim.rs
+++ b/crates/attempt/tests/unit/claim.rs
@@ -5,10 +5,10 @@
 
 use auburnline_attempt::attempt::Attempt;
 use auburnline_attempt::attempt::Refusable;
-use auburnline_attempt::claim::Aim;
 use auburnline_attempt::claim::Claim;
-use auburnline_attempt::claim::Goal;
-use auburnline_attempt::claim::Question;
+use auburnline_attempt::claim::Input;
+use auburnline_attempt::claim::Mode;
+use auburnline_attempt::claim::Query;
 use auburnline_attempt::claim::Step;
 use auburnline_attempt::ledger::Ledger;
 use auburnline_attempt::ledger::Refusal;
@@ -34,17 +34,17 @@
         .collect()
 }
 
-fn goal(slots: &Slots, age: Option<Duration>) -> Goal {
+fn input(slots: &Slots, age: Option<Duration>) -> Input {
     let all: Vec<InstanceId> = slots.keys().cloned().collect();
-    Goal {
+    Input {
         id: "a".into(),
         fingerprint: 1,
         age,
-        cover: all.clone(),
+        reachable_slots: all.clone(),
         admitting: all,
         known_for: seconds(100),
         revision: 0,
-        aim: Aim::Run,
+        mode: Mode::Run,
     }
 }
 
@@ -54,9 +54,9 @@
         step = Step::Ask(Vec::new());
         for ask in asks {
             let ledger = slots.get_mut(&ask.slot).expect("a known slot");
-            let finding = match &ask.question {
-                Question::Locate { id, .. } => ledger.locate(seconds(100), id),
-                Question::Fence(fence) => ledger.fence(seconds(100), fence),
+            let finding = match &ask.query {
+                Query::Locate { id, .. } => ledger.locate(seconds(100), id),
+                Query::Fence(fence) => ledger.fence(seconds(100), fence),
             };
             step = claim.answer(seconds(100), &ask.slot, &finding);
             if !matches!(step, Step::Ask(_)) {
@@ -67,16 +67,16 @@
     step
 }
 
-fn run(slots: &mut Slots, goal: Goal) -> Step {
-    let (mut claim, step) = Claim::begin(seconds(100), goal);
+fn run(slots: &mut Slots, input: Input) -> Step {
+    let (mut claim, step) = Claim::begin(seconds(100), input);
     drive(slots, &mut claim, step)
 }
 
 #[gtest]
 fn a_request_that_nobody_knows_runs_at_one_slot_and_is_fenced_at_the_others() {
     let mut slots = slots();
-    let goal = goal(&slots, Some(seconds(5)));
-    let Step::Run { slot, .. } = run(&mut slots, goal) else {
+    let input = input(&slots, Some(seconds(5)));
+    let Step::Run { slot, .. } = run(&mut slots, input) else {
         panic!("it does not run");
     };
     for (name, ledger) in &mut slots {
@@ -91,8 +91,8 @@
     let mut slots = slots();
     let ledger = slots.get_mut("s3").expect("a slot");
     let _ = ledger.submit(seconds(99), &submission("a"));
-    let goal = goal(&slots, Some(seconds(5)));
-    let served = matches!(run(&mut slots, goal), Step::Serve { slot, .. } if &*slot == "s3");
+    let input = input(&slots, Some(seconds(5)));
+    let served = matches!(run(&mut slots, input), Step::Serve { slot, .. } if &*slot == "s3");
     expect_true!(served);
 }
 
@@ -108,8 +108,8 @@
             ledger.fail(seconds(1), &"a".into(), Kind::Unreachable);
         }
     }
-    let goal = goal(&slots, Some(seconds(20)));
-    let step = run(&mut slots, goal);
+    let input = input(&slots, Some(seconds(20)));
+    let step = run(&mut slots, input);
     assert_that!(
         step,
         matches_pattern!(Step::Serve {
@@ -122,10 +122,10 @@
 #[gtest]
 fn a_slot_that_cant_be_asked_or_is_younger_leaves_the_fate_unknown_and_fences_nothing() {
     let mut slots = slots();
-    let older_than_slots = goal(&slots, Some(seconds(101)));
+    let older_than_slots = input(&slots, Some(seconds(101)));
     let unknown = run(&mut slots, older_than_slots);
     expect_true!(matches!(unknown, Step::Unknown(unknown) if unknown.cause == Cause::Restarted));
-    let (mut claim, _) = Claim::begin(seconds(100), goal(&slots, Some(seconds(5))));
+    let (mut claim, _) = Claim::begin(seconds(100), input(&slots, Some(seconds(5))));
     let waiting: Vec<InstanceId> = claim.awaited().cloned().collect();
     let mut last = Step::Ask(Vec::new());
     for slot in waiting {
@@ -138,9 +138,9 @@
 #[gtest]
 fn a_claim_without_a_witness_of_the_past_leaves_the_fate_unknown() {
     let mut slots = slots();
-    let recently_started = Goal {
+    let recently_started = Input {
         known_for: Duration::ZERO,
-        ..goal(&slots, Some(seconds(95)))
+        ..input(&slots, Some(seconds(95)))
     };
     let step = run(&mut slots, recently_started);
     expect_true!(matches!(step, Step::Unknown(unknown) if unknown.cause == Cause::UnknownPool));
@@ -149,11 +149,11 @@
 #[gtest]
 fn a_claim_that_meets_fences_for_another_slot_ends_not_run() {
     let mut slots = slots();
-    let first = goal(&slots, Some(seconds(5)));
+    let first = input(&slots, Some(seconds(5)));
     let Step::Run { slot, .. } = run(&mut slots, first) else {
         panic!("it does not run");
     };
-    let mut second = goal(&slots, Some(seconds(6)));
+    let mut second = input(&slots, Some(seconds(6)));
     second.admitting.retain(|name| *name != slot);
     let step = run(&mut slots, second);
     expect_true!(matches!(step, Step::NotRun(not_run) if not_run.kind() == Kind::Fenced));
--- a/crates/entry/src/state/claim.rs
+++ b/crates/entry/src/state/claim.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use auburnline_attempt::attempt::Attempt;
-use auburnline_attempt::claim::Aim;
 use auburnline_attempt::claim::Ask;
 use auburnline_attempt::claim::Claim;
-use auburnline_attempt::claim::Goal;
-use auburnline_attempt::claim::Question;
+use auburnline_attempt::claim::Input;
+use auburnline_attempt::claim::Mode;
+use auburnline_attempt::claim::Query;
 use auburnline_attempt::claim::Step;
 use auburnline_attempt::fingerprint;
 use auburnline_attempt::ledger::WINDOW;
@@ -40,11 +40,11 @@
         let Some(mut exchange) = self.exchanges.remove(&stream) else {
             return;
         };
-        let Some(goal) = self.goal(&exchange, now) else {
+        let Some(input) = self.input(&exchange, now) else {
             let unknown = Unknown::new(Cause::UnknownPool);
             return self.finish(exchange, Outcome::Unknown(unknown));
         };
-        let (claim, step) = Claim::begin(now, goal);
+        let (claim, step) = Claim::begin(now, input);
         exchange.phase = Phase::Claiming {
             claim: Box::new(claim),
             until: now + CLAIM_WAIT,
@@ -53,42 +53,47 @@
         self.step(stream, step);
     }
 
-    fn goal(&self, exchange: &Exchange, now: Monotonic) -> Option<Goal> {
+    fn input(&self, exchange: &Exchange, now: Monotonic) -> Option<Input> {
         let request = &exchange.request;
         let waited = now.saturating_sub(exchange.arrived);
         let age = request.attempt.map(|_| request.age + waited);
         let candidates = self.candidates.get(&exchange.pool)?;
-        let cover = self.cover(exchange, now, age.unwrap_or(WINDOW))?;
+        let reachable_slots = self.reachable_slots(exchange, now, age.unwrap_or(WINDOW))?;
         let admitting = candidates.current();
         let admitting = admitting.filter(|slot| self.admits_work(slot));
-        Some(Goal {
+        Some(Input {
             id: request.id.clone(),
             fingerprint: fingerprint::of(request),
             age,
             admitting: admitting.cloned().collect(),
-            cover,
+            reachable_slots,
             known_for: candidates.known_for(now),
             revision: self.revision(),
-            aim: Aim::Run,
+            mode: Mode::Run,
         })
     }
 
     /// Returns the slots that an earlier attempt can have reached, also before a preset moved its
     /// model to another pool.
-    fn cover(&self, exchange: &Exchange, now: Monotonic, age: Duration) -> Option<Vec<InstanceId>> {
+    fn reachable_slots(
+        &self,
+        exchange: &Exchange,
+        now: Monotonic,
+        age: Duration,
+    ) -> Option<Vec<InstanceId>> {
         let mut pools = BTreeSet::from([&exchange.pool]);
         if let Work::Draft { model, .. } = &exchange.request.work {
             let checked = self.configurations.in_force()?;
             pools.extend(checked.pools_of_model(model));
         }
-        let mut cover = Vec::new();
+        let mut reachable_slots = Vec::new();
         for pool in pools {
-            cover.extend(self.candidates.get(pool)?.cover(now, age)?);
+            reachable_slots.extend(self.candidates.get(pool)?.reachable_slots(now, age)?);
         }
-        Some(cover)
+        Some(reachable_slots)
     }
 
-    /// Takes a slot's answer to a question of a claim.
+    /// Takes a slot's answer to a query of a claim.
     pub(crate) fn claim_found(&mut self, stream: Stream, from: &InstanceId, found: &Found) {
         let now = self.clock.now();
         let Some(exchange) = self.exchanges.get_mut(&stream) else {
@@ -186,13 +191,13 @@
             return self.claim_unreachable(stream, &ask.slot);
         };
         let session = link.session;
-        let frame = match ask.question {
-            Question::Locate { id, revision } => Frame::Locate(Reference {
+        let frame = match ask.query {
+            Query::Locate { id, revision } => Frame::Locate(Reference {
                 id,
                 stream,
                 revision,
             }),
-            Question::Fence(fence) => Frame::Fence(stream, fence),
+            Query::Fence(fence) => Frame::Fence(stream, fence),
         };
         if !self.send(session, frame) {
             self.claim_unreachable(stream, &ask.slot);
--- a/crates/entry/src/state/submit.rs
+++ b/crates/entry/src/state/submit.rs
@@ -215,7 +215,7 @@
         };
         let new = candidates
             .current()
-            .filter(|slot| !candidates.first(now, age, slot));
+            .filter(|slot| !candidates.allows_first_attempt(now, age, slot));
         new.filter_map(|slot| self.admits.get(slot).cloned())
             .collect()
     }
--- a/crates/peer/src/codec/read.rs
+++ b/crates/peer/src/codec/read.rs
@@ -265,15 +265,15 @@
 }
 
 fn found(it: peer_capnp::found::Reader) -> Result<Found, Malformed> {
-    let mut also = Vec::new();
+    let mut other_candidates = Vec::new();
     for slot in it.get_also()? {
-        also.push(name(slot?)?);
+        other_candidates.push(name(slot?)?);
     }
     let finding = Finding {
         incarnation: it.get_incarnation(),
         uptime: Duration::from_millis(it.get_uptime_millis()),
         presence: presence(it.get_presence())?,
-        also,
+        other_candidates,
     };
     Ok(Found {
         id: name(it.get_id()?)?,
--- a/crates/peer/src/codec/write.rs
+++ b/crates/peer/src/codec/write.rs
@@ -227,7 +227,9 @@
     to.set_stream(it.stream);
     to.set_incarnation(it.finding.incarnation);
     to.set_uptime_millis(millis(it.finding.uptime));
-    names(&it.finding.also, |length| to.reborrow().init_also(length));
+    names(&it.finding.other_candidates, |length| {
+        to.reborrow().init_also(length)
+    });
     presence(&it.finding.presence, to.init_presence());
 }
 
--- a/crates/slot/src/state/work.rs
+++ b/crates/slot/src/state/work.rs
@@ -273,7 +273,7 @@
         asker: Revision,
         mut finding: Finding,
     ) {
-        finding.also = self.candidates.also(self.clock.now(), asker);
+        finding.other_candidates = self.candidates.unknown_to(self.clock.now(), asker);
         let found = Found {
             id,
             stream,
