--- a/crates/attempt/src/attempt.rs
+++ b/crates/attempt/src/attempt.rs
@@ -119,7 +119,7 @@
 
     /// Creates the only attempt of a request whose key this process has just generated.
     #[must_use]
-    pub fn minted(request: &Request) -> Self {
+    pub fn generated(request: &Request) -> Self {
         Attempt {
             order: Order::First,
             ..Attempt::new(request)
@@ -148,13 +148,13 @@
 
 /// Result of applying a refusal to a sent attempt.
 #[derive(Debug)]
-pub enum Refusable {
+pub enum Disposition {
     /// That slot did not run it. It may be sent to another slot or ended by [`Attempt::not_sent`].
-    Free(Attempt<Fresh>),
+    Resendable(Attempt<Fresh>),
     /// It must not be sent elsewhere.
     Ended(Outcome),
     /// The refusal does not match this send; the attempt is returned unchanged.
-    Foreign(Attempt<Sent>),
+    Unmatched(Attempt<Sent>),
 }
 
 impl Attempt<Sent> {
@@ -174,14 +174,14 @@
 
     /// Applies a refusal. One for another slot incarnation, id or attempt proves nothing.
     #[must_use]
-    pub fn refused(self, from: &InstanceId, refusal: &Refusal) -> Refusable {
+    pub fn refused(self, from: &InstanceId, refusal: &Refusal) -> Disposition {
         if !self.matches(from, refusal) {
-            return Refusable::Foreign(self);
+            return Disposition::Unmatched(self);
         }
         let permanent = matches!(refusal.kind, Kind::Fenced | Kind::KeyReused);
         let proves_not_run = self.order == Order::First && (self.state.copies == 1 || permanent);
         if !proves_not_run && !self.idempotent {
-            return Refusable::Ended(self.lost(Cause::Refused(refusal.kind)));
+            return Disposition::Ended(self.lost(Cause::Refused(refusal.kind)));
         }
         let order = if proves_not_run {
             self.order
@@ -192,9 +192,9 @@
             proof: Proof::Refused(Refused::new()),
         });
         if permanent {
-            return Refusable::Ended(fresh.not_sent(refusal.kind));
+            return Disposition::Ended(fresh.not_sent(refusal.kind));
         }
-        Refusable::Free(fresh)
+        Disposition::Resendable(fresh)
     }
 
     /// Returns a fresh later attempt after a loss, for idempotent work only.
--- a/crates/attempt/src/candidates.rs
+++ b/crates/attempt/src/candidates.rs
@@ -19,7 +19,7 @@
 use auburnline_core::id::Revision;
 use auburnline_core::time::Monotonic;
 
-use crate::ledger::WINDOW;
+use crate::ledger::RETRY_WINDOW;
 
 /// Greatest assumed delay between two processes in applying the same change of the list.
 pub const MAX_LIST_LAG: Duration = Duration::from_secs(10);
@@ -108,7 +108,7 @@
     /// Returns the slots that a claim from an entry at revision `asker` may be missing.
     #[must_use]
     pub fn unknown_to(&self, now: Monotonic, asker: Revision) -> Vec<InstanceId> {
-        let mut unknown = self.retired(now, WINDOW);
+        let mut unknown = self.retired(now, RETRY_WINDOW);
         if self.revision != Some(asker) {
             unknown.extend(self.current().cloned());
         }
@@ -133,7 +133,7 @@
     }
 
     fn prune(&mut self, now: Monotonic) {
-        let cutoff = now.saturating_sub(WINDOW + MAX_LIST_LAG);
+        let cutoff = now.saturating_sub(RETRY_WINDOW + MAX_LIST_LAG);
         self.retired.retain(|_, left| *left >= cutoff);
         while self.retired.len() > MAX_RETIRED {
             let oldest = self.retired.iter().min_by_key(|(_, left)| **left);
--- a/crates/attempt/src/claim.rs
+++ b/crates/attempt/src/claim.rs
@@ -34,8 +34,8 @@
 use crate::ledger::Fence;
 use crate::ledger::Finding;
 use crate::ledger::Presence;
+use crate::ledger::RETRY_WINDOW;
 use crate::ledger::Standing;
-use crate::ledger::WINDOW;
 use crate::outcome::Cause;
 use crate::outcome::Fenced;
 use crate::outcome::NotRun;
@@ -236,7 +236,7 @@
     }
 
     fn query_cover(&mut self, now: Monotonic) -> Step {
-        if self.age(now) > WINDOW {
+        if self.age(now) > RETRY_WINDOW {
             return self.unknown(Cause::TooOld);
         }
         if self.input.reachable_slots.is_empty() {
@@ -247,11 +247,12 @@
         self.advance(asks)
     }
 
-    /// Returns the request's greatest possible age; [`WINDOW`] if the caller did not state it.
+    /// Returns the request's greatest possible age; [`RETRY_WINDOW`] if the caller did not state
+    /// it.
     fn age(&self, now: Monotonic) -> Duration {
         match self.input.age {
             Some(age) => age + now.saturating_sub(self.started_at),
-            None => WINDOW,
+            None => RETRY_WINDOW,
         }
     }
 
--- a/crates/attempt/src/ledger/mod.rs
+++ b/crates/attempt/src/ledger/mod.rs
@@ -7,9 +7,9 @@
 //! upstreams: the slot reports events to it and acts on its results.
 //!
 //! An id of non-idempotent work is retained for [`ID_RETENTION`] of ledger time after the ledger
-//! first receives it. The fate of a submission older than [`WINDOW`] is reported as unknown
+//! first receives it. The fate of a submission older than [`RETRY_WINDOW`] is reported as unknown
 //! ([`Verdict::Unsure`]), so a duplicate finds its id as long as no session delays a frame by more
-//! than [`ID_RETENTION`] - [`WINDOW`]. Ledger time advances by at most [`MAX_CLOCK_STEP`]
+//! than [`ID_RETENTION`] - [`RETRY_WINDOW`]. Ledger time advances by at most [`MAX_CLOCK_STEP`]
 //! between two calls: frames wait in the sockets of a paused slot, and ids must not expire
 //! meanwhile.
 
@@ -44,8 +44,9 @@
 pub use self::report::Verdict;
 
 /// Greatest age since the first send at which a request is served, and so the life of a key.
-pub const WINDOW: Duration = Duration::from_mins(5);
-/// Ledger time for which an id is retained: [`WINDOW`] plus 1 min for frames delayed in sessions.
+pub const RETRY_WINDOW: Duration = Duration::from_mins(5);
+/// Ledger time for which an id is retained: [`RETRY_WINDOW`] plus 1 min for frames delayed in
+/// sessions.
 pub const ID_RETENTION: Duration = Duration::from_mins(6);
 /// Default of [`Bounds::answer`].
 pub const ANSWER_RETENTION: Duration = Duration::from_mins(1);
@@ -149,7 +150,7 @@
     }
 
     /// Raises the revision below which senders are refused. A lower `revision` has no effect.
-    pub fn revise(&mut self, revision: Revision) {
+    pub fn raise_min_revision(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
 
@@ -268,7 +269,7 @@
     }
 
     /// Marks a running request as lost: whether the upstream ran it is unknown.
-    pub fn lose(&mut self, now: Monotonic, id: &RequestId) {
+    pub fn mark_lost(&mut self, now: Monotonic, id: &RequestId) {
         self.end(now, id, |_| State::Lost);
     }
 
@@ -380,9 +381,9 @@
     }
 
     /// Returns whether this ledger has been recording since before a request's first send, and the
-    /// request is within [`WINDOW`].
+    /// request is within [`RETRY_WINDOW`].
     fn covers_history(&self, now: Monotonic, age: Duration) -> bool {
-        age <= WINDOW && age <= now.saturating_sub(self.started)
+        age <= RETRY_WINDOW && age <= now.saturating_sub(self.started)
     }
 
     fn refuse(&self, submission: &Submission, kind: Kind) -> Verdict {
--- a/crates/attempt/src/ledger/report.rs
+++ b/crates/attempt/src/ledger/report.rs
@@ -133,7 +133,7 @@
 pub enum Cancellation {
     /// It was queued and will never run here.
     NotRun,
-    /// It is running: cancel it at the upstream, then call `fail` or `lose`.
+    /// It is running: cancel it at the upstream, then call `fail` or `mark_lost`.
     Running,
     /// It had already ended or been refused.
     Ended,
--- a/crates/attempt/src/outcome.rs
+++ b/crates/attempt/src/outcome.rs
@@ -109,7 +109,7 @@
     Restarted,
     /// The slot lost its upstream during the run.
     UpstreamLost,
-    /// The first send is longer ago than [`crate::ledger::WINDOW`].
+    /// The first send is longer ago than [`crate::ledger::RETRY_WINDOW`].
     TooOld,
     /// No slot currently admits work.
     NoSlot,
--- a/crates/attempt/tests/model/entry.rs
+++ b/crates/attempt/tests/model/entry.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use auburnline_attempt::attempt::Attempt;
+use auburnline_attempt::attempt::Disposition;
 use auburnline_attempt::attempt::Fresh;
 use auburnline_attempt::attempt::Order;
-use auburnline_attempt::attempt::Refusable;
 use auburnline_attempt::attempt::Sent;
 use auburnline_attempt::candidates::Candidates;
 use auburnline_attempt::claim::Ask;
@@ -18,10 +18,10 @@
 use auburnline_attempt::claim::Step;
 use auburnline_attempt::fingerprint;
 use auburnline_attempt::ledger::Finding;
+use auburnline_attempt::ledger::RETRY_WINDOW;
 use auburnline_attempt::ledger::Standing;
 use auburnline_attempt::ledger::Submission;
 use auburnline_attempt::ledger::Verdict;
-use auburnline_attempt::ledger::WINDOW;
 use auburnline_attempt::outcome::Cause;
 use auburnline_attempt::outcome::Outcome;
 use auburnline_attempt::outcome::Unknown;
@@ -204,7 +204,7 @@
             attempt: attempt.number(),
             age: op
                 .first
-                .map_or(WINDOW, |first| Duration::from_micros(now - first)),
+                .map_or(RETRY_WINDOW, |first| Duration::from_micros(now - first)),
             idempotent: op.request.idempotent,
             fingerprint: fingerprint::of(&op.request),
             incarnation: attempt.target().1,
@@ -225,7 +225,7 @@
             .map(|first| Duration::from_micros(self.now - first));
         let Some(reachable_slots) = entry_state
             .candidates
-            .reachable_slots(now, age.unwrap_or(WINDOW))
+            .reachable_slots(now, age.unwrap_or(RETRY_WINDOW))
         else {
             let outcome = Outcome::Unknown(Unknown::new(Cause::UnknownPool));
             self.end(entry, call, &outcome, &[]);
@@ -479,9 +479,11 @@
             Verdict::Unsure => self.lose(entry, call, attempt, Cause::Restarted),
             Verdict::Dropped => {}
             Verdict::Refused(refusal) => match attempt.refused(slot, &refusal) {
-                Refusable::Free(fresh) => self.send_unclaimed(entry, call, fresh, refusal.kind),
-                Refusable::Ended(outcome) => self.end(entry, call, &outcome, &[]),
-                Refusable::Foreign(attempt) => {
+                Disposition::Resendable(fresh) => {
+                    self.send_unclaimed(entry, call, fresh, refusal.kind)
+                }
+                Disposition::Ended(outcome) => self.end(entry, call, &outcome, &[]),
+                Disposition::Unmatched(attempt) => {
                     self.op(entry, call).stage = Stage::Submitted(attempt, at);
                 }
             },
--- a/crates/attempt/tests/model/slot.rs
+++ b/crates/attempt/tests/model/slot.rs
@@ -182,7 +182,7 @@
         let now = self.clock();
         let ids: Vec<RequestId> = self.slots[slot].readers.keys().cloned().collect();
         for id in ids {
-            self.slots[slot].ledger.lose(now, &id);
+            self.slots[slot].ledger.mark_lost(now, &id);
             self.stream(slot, &id);
         }
     }
--- a/crates/attempt/tests/model/world.rs
+++ b/crates/attempt/tests/model/world.rs
@@ -617,7 +617,7 @@
         let view = self.published.clone();
         let mut restarted = Slot::new(name, incarnation, self.now, revision, &view);
         restarted.ledger = Ledger::new(self.clock(), incarnation, Bounds::default());
-        restarted.ledger.revise(revision);
+        restarted.ledger.raise_min_revision(revision);
         restarted.run = self.slots[slot].run;
         self.slots[slot] = restarted;
         for entry in 0..self.entries.len() {
@@ -726,7 +726,7 @@
             && slot.revision < new
         {
             slot.revision = new;
-            slot.ledger.revise(new);
+            slot.ledger.raise_min_revision(new);
             slot.candidates.observe(now, new, view);
         }
     }
--- a/crates/attempt/tests/unit/claim.rs
+++ b/crates/attempt/tests/unit/claim.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use auburnline_attempt::attempt::Attempt;
-use auburnline_attempt::attempt::Refusable;
+use auburnline_attempt::attempt::Disposition;
 use auburnline_attempt::claim::Claim;
 use auburnline_attempt::claim::Input;
 use auburnline_attempt::claim::Mode;
@@ -172,10 +172,10 @@
         revision: 0,
     };
     let sent = || Attempt::new(&request("a", Some(1))).send("s1".into(), 7);
-    let foreign = sent().refused(&"s2".into(), &refusal);
-    expect_true!(matches!(foreign, Refusable::Foreign(_)));
+    let unmatched = sent().refused(&"s2".into(), &refusal);
+    expect_true!(matches!(unmatched, Disposition::Unmatched(_)));
     expect_that!(sent().lost(Cause::SessionLost).fate(), eq(Fate::Unknown));
-    let Refusable::Free(fresh) = sent().refused(&"s1".into(), &refusal) else {
+    let Disposition::Resendable(fresh) = sent().refused(&"s1".into(), &refusal) else {
         panic!("the refusal is its own");
     };
     expect_that!(fresh.not_sent(Kind::Overloaded).fate(), eq(Fate::NotRun));
--- a/crates/entry/src/state/answer.rs
+++ b/crates/entry/src/state/answer.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use auburnline_attempt::attempt::Attempt;
+use auburnline_attempt::attempt::Disposition;
 use auburnline_attempt::attempt::Fresh;
-use auburnline_attempt::attempt::Refusable;
 use auburnline_attempt::attempt::Sent;
 use auburnline_attempt::ledger::Refusal;
 use auburnline_attempt::outcome::Cause;
@@ -131,12 +131,12 @@
             Fate::Unknown if offset > 0 => self.conclude(exchange, failure),
             Fate::Unknown => self.repeat(stream, exchange, attempt, failure),
             Fate::NotRun => match attempt.refused(&running.slot, refusal) {
-                Refusable::Free(fresh) => {
+                Disposition::Resendable(fresh) => {
                     self.record(&exchange, &running.slot, Some(failure.kind));
                     self.refused(stream, exchange, fresh, failure, refusal.revision);
                 }
-                Refusable::Ended(outcome) => self.finish(exchange, outcome),
-                Refusable::Foreign(attempt) => {
+                Disposition::Ended(outcome) => self.finish(exchange, outcome),
+                Disposition::Unmatched(attempt) => {
                     running.attempt = Some(attempt);
                     let mut exchange = exchange;
                     exchange.phase = Phase::Running(running);
--- a/crates/entry/src/state/claim.rs
+++ b/crates/entry/src/state/claim.rs
@@ -11,7 +11,7 @@
 use auburnline_attempt::claim::Query;
 use auburnline_attempt::claim::Step;
 use auburnline_attempt::fingerprint;
-use auburnline_attempt::ledger::WINDOW;
+use auburnline_attempt::ledger::RETRY_WINDOW;
 use auburnline_attempt::outcome::Cause;
 use auburnline_attempt::outcome::Outcome;
 use auburnline_attempt::outcome::Unknown;
@@ -58,7 +58,7 @@
         let waited = now.saturating_sub(exchange.arrived);
         let age = request.attempt.map(|_| request.age + waited);
         let candidates = self.candidates.get(&exchange.pool)?;
-        let reachable_slots = self.reachable_slots(exchange, now, age.unwrap_or(WINDOW))?;
+        let reachable_slots = self.reachable_slots(exchange, now, age.unwrap_or(RETRY_WINDOW))?;
         let admitting = candidates.current();
         let admitting = admitting.filter(|slot| self.admits_work(slot));
         Some(Input {
--- a/crates/entry/src/state/submit.rs
+++ b/crates/entry/src/state/submit.rs
@@ -42,7 +42,7 @@
     pub(crate) fn submit(&mut self, mut request: Box<Request>, key: Key, parts: Parts) {
         let now = self.clock.now();
         let attempt = match key {
-            Key::Minted => Attempt::minted(&request),
+            Key::Minted => Attempt::generated(&request),
             Key::Caller => Attempt::new(&request),
         };
         let pool = match self.admit(&mut request, now) {
--- a/crates/slot/src/state/fleet.rs
+++ b/crates/slot/src/state/fleet.rs
@@ -138,7 +138,7 @@
         if let Err(error) = self.settings.check_against(checked.fleet()) {
             log::error!(target: "slot", error:% = error; "settings are not as published");
         }
-        self.ledger.revise(checked.revision());
+        self.ledger.raise_min_revision(checked.revision());
         let pool = admitting(checked, &self.settings.instance);
         self.candidates.observe(now, checked.revision(), &pool);
         let wanted = self.wanted(checked);
--- a/crates/slot/src/state/work.rs
+++ b/crates/slot/src/state/work.rs
@@ -197,7 +197,7 @@
         } else if self.jobs.contains_key(id) {
             log::warn!(target: "slot", request = &**id; "no space for an answer");
             let _ = self.ways.upstream.push(upstream::Order::Cancel(id.clone()));
-            self.ledger.lose(now, id);
+            self.ledger.mark_lost(now, id);
             self.feed(id);
         }
     }
@@ -209,7 +209,7 @@
             End::Whole => self.ledger.finish(now, id),
             End::Failed(kind) => self.ledger.fail(now, id, kind),
             End::Cancelled => self.ledger.fail(now, id, Kind::Cancelled),
-            End::Lost => self.ledger.lose(now, id),
+            End::Lost => self.ledger.mark_lost(now, id),
         }
         if let Some(job) = self.jobs.remove(id) {
             self.queue.finish(now, id, job.tokens);
