--- a/crates/entry/src/state/limit.rs
+++ b/crates/entry/src/state/limit.rs
@@ -16,9 +16,9 @@
 use auburnline_core::id::InstanceId;
 use auburnline_core::id::WorkspaceId;
 use auburnline_core::time::Monotonic;
+use auburnline_limits::bucket::Admission;
 use auburnline_limits::bucket::Charge;
 use auburnline_limits::bucket::Holder;
-use auburnline_limits::bucket::Verdict;
 use auburnline_limits::lease::Ask;
 use auburnline_limits::lease::Grants;
 use auburnline_limits::lease::Home;
@@ -74,7 +74,7 @@
     pub(crate) fn new(now: Monotonic, me: InstanceId, incarnation: Incarnation) -> Limits {
         let settings = Settings::default();
         Limits {
-            view: View::new(now, me, settings.hold),
+            view: View::new(now, me, settings.hold_time),
             home: Home::new(settings),
             holder: Holder::new(settings, incarnation),
             reserve: Reserve::new(now, &settings),
@@ -91,7 +91,7 @@
 
     /// Returns whether this entry's view of the entries has stood long enough to grant anything.
     pub(crate) fn may_grant(&self) -> bool {
-        self.view.share() > 0
+        self.view.share_ppm() > 0
     }
 
     /// Returns the workspaces that were used here, as operators see them.
@@ -119,8 +119,8 @@
         };
         let tokens = exchange.query.tokens();
         let workspace = exchange.request.workspace.clone();
-        let verdict = self.limits.holder.charge(now, &workspace, tokens);
-        self.charged(stream, verdict);
+        let admission = self.limits.holder.charge(now, &workspace, tokens);
+        self.charged(stream, admission);
     }
 
     /// Pays a request that no home's grant covers out of this entry's own part of the limit.
@@ -145,24 +145,24 @@
         };
         let tokens = exchange.query.tokens();
         let (workspace, since) = (&exchange.request.workspace, exchange.arrived);
-        let verdict = self.limits.holder.resume(now, workspace, tokens, since);
-        self.charged(stream, verdict);
+        let admission = self.limits.holder.resume(now, workspace, tokens, since);
+        self.charged(stream, admission);
     }
 
-    fn charged(&mut self, stream: Stream, verdict: Verdict) {
+    fn charged(&mut self, stream: Stream, admission: Admission) {
         let Some(exchange) = self.exchanges.get_mut(&stream) else {
             return;
         };
         let workspace = exchange.request.workspace.clone();
         let tokens = exchange.query.tokens();
-        match verdict {
-            Verdict::Admitted(charge) => self.paid(stream, charge.tokens(), Some(charge)),
-            Verdict::Pending(_) => {}
-            Verdict::Refused(_) if self.pay_from_reserve(&workspace, tokens) => {
+        match admission {
+            Admission::Admitted(charge) => self.paid(stream, charge.tokens(), Some(charge)),
+            Admission::Pending(_) => {}
+            Admission::Refused(_) if self.pay_from_reserve(&workspace, tokens) => {
                 // Nothing of it goes back: the reserve fills by itself.
                 self.paid(stream, tokens, None);
             }
-            Verdict::Refused(refusal) => {
+            Admission::Refused(refusal) => {
                 self.limits.counts.entry(workspace).or_default().refused += 1;
                 let Some(mut exchange) = self.exchanges.remove(&stream) else {
                     return;
@@ -214,7 +214,7 @@
                 }
             }
             Ok(Message::Grants(grants)) => {
-                self.limits.holder.granted(now, &grants);
+                self.limits.holder.apply_grants(now, &grants);
                 self.pay_all();
             }
             Err(error) => log::warn!(target: "entry", error:% = error; "malformed limits"),
@@ -225,7 +225,7 @@
         let checked = self.configurations.in_force()?;
         let limit = |workspace: &WorkspaceId| limit(checked, workspace);
         let limits = &mut self.limits;
-        limits.home.ask(now, &limits.view, from, ask, limit)
+        limits.home.grant(now, &limits.view, from, ask, limit)
     }
 
     fn pay_all(&mut self) {
@@ -259,10 +259,10 @@
     pub(crate) fn ask_homes(&mut self, now: Monotonic) {
         let limits = &mut self.limits;
         let mut known = true;
-        for (home, ask) in limits.holder.asks(now, &limits.view) {
+        for (home, ask) in limits.holder.due_asks(now, &limits.view) {
             if home == self.settings.instance {
                 if let Some(grants) = self.grant(now, &home, &ask) {
-                    self.limits.holder.granted(now, &grants);
+                    self.limits.holder.apply_grants(now, &grants);
                 }
                 continue;
             }
--- a/crates/limits/examples/cost.rs
+++ b/crates/limits/examples/cost.rs
@@ -16,8 +16,8 @@
 use auburnline_core::id::InstanceId;
 use auburnline_core::id::WorkspaceId;
 use auburnline_core::request::Priority;
+use auburnline_limits::bucket::Admission;
 use auburnline_limits::bucket::Holder;
-use auburnline_limits::bucket::Verdict;
 use auburnline_limits::lease::Ask;
 use auburnline_limits::lease::Home;
 use auburnline_limits::lease::Limit;
@@ -114,7 +114,7 @@
 /// Returns a queue that holds one request of each workspace.
 fn full_queue(size: usize) -> Queue<u64> {
     let settings = queue::Settings::builder().max_queued(size + 1);
-    let settings = settings.pace(Duration::from_nanos(1)).build();
+    let settings = settings.token_time(Duration::from_nanos(1)).build();
     let mut queue = Queue::new(settings);
     for key in 0..size {
         let _ = queue.push(Duration::ZERO, waiting(key, size, Duration::ZERO));
@@ -147,7 +147,7 @@
 
 fn view() -> View {
     let entries: BTreeSet<InstanceId> = (0..ENTRIES).map(entry).collect();
-    let mut view = View::new(Duration::ZERO, entry(0), Settings::default().hold);
+    let mut view = View::new(Duration::ZERO, entry(0), Settings::default().hold_time);
     view.observe(Duration::ZERO, &entries, &entries);
     view.tick(Duration::from_mins(1));
     view
@@ -156,7 +156,7 @@
 /// Returns a view with a single entry, which is the home of every workspace.
 fn lone_view() -> View {
     let alone = BTreeSet::from([entry(0)]);
-    let mut view = View::new(Duration::ZERO, entry(0), Settings::default().hold);
+    let mut view = View::new(Duration::ZERO, entry(0), Settings::default().hold_time);
     view.observe(Duration::ZERO, &alone, &alone);
     view.tick(Duration::from_mins(1));
     view
@@ -174,9 +174,9 @@
             let _ = holder.charge(now, &workspace(index), 500);
         }
     }
-    for (_, ask) in holder.asks(now, &view) {
-        if let Some(grants) = home.ask(now, &view, &entry(0), &ask, |_| Some(LIMIT)) {
-            holder.granted(now, &grants);
+    for (_, ask) in holder.due_asks(now, &view) {
+        if let Some(grants) = home.grant(now, &view, &entry(0), &ask, |_| Some(LIMIT)) {
+            holder.apply_grants(now, &grants);
         }
     }
     holder
@@ -187,7 +187,7 @@
     let now = Duration::from_mins(2);
     let names: Vec<_> = (0..size).map(workspace).collect();
     time(ROUNDS, |round| {
-        if let Verdict::Admitted(charge) = holder.charge(now, &names[round % size], 100) {
+        if let Admission::Admitted(charge) = holder.charge(now, &names[round % size], 100) {
             holder.credit(now, charge, 0);
         }
     })
@@ -198,7 +198,7 @@
     let mut holder = full_holder(size);
     let now = Duration::from_mins(2);
     time(200, |_| {
-        black_box(holder.asks(now, &view));
+        black_box(holder.due_asks(now, &view));
     })
 }
 
@@ -220,7 +220,7 @@
     };
     let whole = time(200, |_| {
         ask.number += 1;
-        black_box(home.ask(now, &view, &entry(0), &ask, |_| Some(LIMIT)));
+        black_box(home.grant(now, &view, &entry(0), &ask, |_| Some(LIMIT)));
     });
     whole / f64::from(u32::try_from(size).unwrap_or(u32::MAX))
 }
@@ -243,7 +243,7 @@
             number: index as u64 + 1,
             wants: vec![want],
         };
-        let _ = home.ask(now, &view, &entry(0), &ask, |_| Some(LIMIT));
+        let _ = home.grant(now, &view, &entry(0), &ask, |_| Some(LIMIT));
     }
     home
 }
--- a/crates/limits/examples/table/overload.rs
+++ b/crates/limits/examples/table/overload.rs
@@ -96,7 +96,7 @@
         match pushed {
             Pushed::Refused(refused) => self.give_up(now, &[refused]),
             Pushed::Queued { displaced, .. } => self.give_up(now, displaced.as_slice()),
-            Pushed::Present => {}
+            Pushed::Duplicate => {}
         }
     }
 
--- a/crates/limits/examples/table/world.rs
+++ b/crates/limits/examples/table/world.rs
@@ -6,9 +6,9 @@
 
 use auburnline_core::id::InstanceId;
 use auburnline_core::id::WorkspaceId;
+use auburnline_limits::bucket::Admission;
 use auburnline_limits::bucket::Charge;
 use auburnline_limits::bucket::Holder;
-use auburnline_limits::bucket::Verdict;
 use auburnline_limits::lease::Ask;
 use auburnline_limits::lease::Grants;
 use auburnline_limits::lease::Home;
@@ -227,8 +227,8 @@
         for reference in &self.references {
             let up = self.nodes.iter().filter(|node| node.up);
             let homes =
-                up.filter(|node| node.view.share() > 0 && node.view.is_home(&reference.name));
-            let share_ppm = homes.map(|node| node.view.share()).sum();
+                up.filter(|node| node.view.share_ppm() > 0 && node.view.is_home(&reference.name));
+            let share_ppm = homes.map(|node| node.view.share_ppm()).sum();
             self.max_share_ppm = self.max_share_ppm.max(share_ppm);
         }
     }
@@ -325,12 +325,12 @@
         let sender = self.nodes[from].id.clone();
         let node = &mut self.nodes[to];
         match body {
-            Body::Grants(grants) => node.holder.granted(self.now, grants),
+            Body::Grants(grants) => node.holder.apply_grants(self.now, grants),
             Body::Ask(ask) => {
                 let references = &self.references;
                 let limit = |name: &WorkspaceId| Some(references[index_of(name)].limit);
                 node.view.tick(self.now);
-                let grants = node.home.ask(self.now, &node.view, &sender, ask, limit);
+                let grants = node.home.grant(self.now, &node.view, &sender, ask, limit);
                 if let Some(grants) = &grants {
                     self.count_grants(ask, grants);
                 }
@@ -436,25 +436,25 @@
             return self.request_local(index, workspace, cost);
         }
         let name = self.references[workspace].name.clone();
-        let verdict = self.nodes[index].holder.charge(self.now, &name, cost);
-        self.handle_verdict(index, workspace, cost, self.now, verdict);
+        let admission = self.nodes[index].holder.charge(self.now, &name, cost);
+        self.handle_admission(index, workspace, cost, self.now, admission);
     }
 
-    fn handle_verdict(
+    fn handle_admission(
         &mut self,
         index: usize,
         workspace: usize,
         cost: u64,
         since: Duration,
-        verdict: Verdict,
+        admission: Admission,
     ) {
-        match verdict {
-            Verdict::Admitted(charge) => self.spend(index, workspace, Paid::Leased(charge), cost),
-            Verdict::Pending(_) => self.nodes[index].pending.push((workspace, cost, since)),
-            Verdict::Refused(_) if self.spend_reserve(index, workspace, cost) => {
+        match admission {
+            Admission::Admitted(charge) => self.spend(index, workspace, Paid::Leased(charge), cost),
+            Admission::Pending(_) => self.nodes[index].pending.push((workspace, cost, since)),
+            Admission::Refused(_) if self.spend_reserve(index, workspace, cost) => {
                 self.spend(index, workspace, Paid::Reserved(cost), cost);
             }
-            Verdict::Refused(_) => self.references[workspace].refused += cost,
+            Admission::Refused(_) => self.references[workspace].refused += cost,
         }
     }
 
@@ -525,11 +525,11 @@
         node.home.tick(now, &node.view);
         for (workspace, cost, since) in std::mem::take(&mut node.pending) {
             let name = &self.references[workspace].name;
-            let verdict = self.nodes[index].holder.resume(now, name, cost, since);
-            self.handle_verdict(index, workspace, cost, since, verdict);
+            let admission = self.nodes[index].holder.resume(now, name, cost, since);
+            self.handle_admission(index, workspace, cost, since, admission);
         }
         let node = &mut self.nodes[index];
-        for (home, ask) in node.holder.asks(now, &node.view) {
+        for (home, ask) in node.holder.due_asks(now, &node.view) {
             let to = home.trim_start_matches("entry-").parse().unwrap_or(0);
             self.send(index, to, Body::Ask(ask));
         }
@@ -571,7 +571,7 @@
             id: id.clone(),
             up: true,
             partition: 0,
-            view: View::new(now, id.clone(), plan.settings.hold),
+            view: View::new(now, id.clone(), plan.settings.hold_time),
             home: Home::new(plan.settings),
             holder: Holder::new(plan.settings, incarnation),
             reserve: Reserve::new(now, &plan.settings),
--- a/crates/limits/src/bucket.rs
+++ b/crates/limits/src/bucket.rs
@@ -61,7 +61,7 @@
 /// Outcome of a charge.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
-pub enum Verdict {
+pub enum Admission {
     /// The request was charged.
     Admitted(Charge),
     /// A grant is needed: call [`Holder::resume`] when it arrives, or after this time.
@@ -95,7 +95,7 @@
     }
 
     /// Charges a request that has just arrived.
-    pub fn charge(&mut self, now: Monotonic, workspace: &WorkspaceId, tokens: u64) -> Verdict {
+    pub fn charge(&mut self, now: Monotonic, workspace: &WorkspaceId, tokens: u64) -> Admission {
         if !self.buckets.contains_key(workspace) && self.buckets.len() >= MAX_BUCKETS {
             return refused(GRANT_TIMEOUT);
         }
@@ -105,11 +105,12 @@
             .entry(workspace.clone())
             .or_insert_with(|| Bucket::new(now));
         bucket.demand.record(now, tokens, lease_time);
-        let verdict = self.resume(now, workspace, tokens, now);
-        if let (Verdict::Pending(_), Some(bucket)) = (&verdict, self.buckets.get_mut(workspace)) {
+        let admission = self.resume(now, workspace, tokens, now);
+        if let (Admission::Pending(_), Some(bucket)) = (&admission, self.buckets.get_mut(workspace))
+        {
             bucket.add_pending(tokens);
         }
-        verdict
+        admission
     }
 
     /// Retries the charge of a request that has been pending since `since`.
@@ -119,12 +120,12 @@
         workspace: &WorkspaceId,
         tokens: u64,
         since: Monotonic,
-    ) -> Verdict {
+    ) -> Admission {
         let Some(bucket) = self.buckets.get_mut(workspace) else {
             return refused(GRANT_TIMEOUT);
         };
         if bucket.take(now, tokens) {
-            return Verdict::Admitted(Charge {
+            return Admission::Admitted(Charge {
                 workspace: workspace.clone(),
                 tokens,
             });
@@ -136,7 +137,7 @@
         match (since + GRANT_TIMEOUT).checked_sub(now) {
             Some(left) if left > Duration::ZERO => {
                 bucket.require(tokens);
-                Verdict::Pending(left)
+                Admission::Pending(left)
             }
             _ => refused(GRANT_TIMEOUT),
         }
@@ -156,7 +157,7 @@
     }
 
     /// Returns the asks that are due, one for each home. Must be called every few milliseconds.
-    pub fn asks(&mut self, now: Monotonic, view: &View) -> Vec<(InstanceId, Ask)> {
+    pub fn due_asks(&mut self, now: Monotonic, view: &View) -> Vec<(InstanceId, Ask)> {
         let mut wants: BTreeMap<InstanceId, Vec<Want>> = BTreeMap::new();
         for (workspace, bucket) in &mut self.buckets {
             let Some((need, want, returned)) =
@@ -183,7 +184,7 @@
 
     /// Applies a home's answer. One that matches no unanswered ask of this process, or repeats an earlier one, is
     /// ignored.
-    pub fn granted(&mut self, now: Monotonic, grants: &Grants) {
+    pub fn apply_grants(&mut self, now: Monotonic, grants: &Grants) {
         if grants.incarnation != self.incarnation {
             return;
         }
@@ -231,8 +232,8 @@
     }
 }
 
-fn refused(retry_after: Duration) -> Verdict {
-    Verdict::Refused(Refusal {
+fn refused(retry_after: Duration) -> Admission {
+    Admission::Refused(Refusal {
         kind: Kind::LimitExceeded,
         retry_after: retry_after.max(MIN_RETRY_AFTER),
     })
--- a/crates/limits/src/lease/home.rs
+++ b/crates/limits/src/lease/home.rs
@@ -48,7 +48,7 @@
     /// Applies a view that was ticked or changed: refills all buckets and drops those of workspaces whose home
     /// is another entry now. Must be called after each tick of the view.
     pub fn tick(&mut self, now: Monotonic, view: &View) {
-        let grantable_ppm = reserve::grantable(view.share());
+        let grantable_ppm = reserve::grantable(view.share_ppm());
         let share_ppm = self.share_ppm.min(grantable_ppm);
         for account in self.accounts.values_mut() {
             account.refill(now, share_ppm);
@@ -69,7 +69,7 @@
     /// published.
     ///
     /// Returns none for an ask that is not newer than the last one of the same process.
-    pub fn ask(
+    pub fn grant(
         &mut self,
         now: Monotonic,
         view: &View,
@@ -128,19 +128,19 @@
             scarce,
         };
         let max_request_tokens = self.settings.max_request_tokens;
-        let hold = view.hold();
+        let hold_time = view.hold_time();
         let share_ppm = self.share_ppm;
         let full = self.accounts.len() >= MAX_ACCOUNTS;
         let Some(account) = limit.and_then(|limit| self.account(now, view, want, limit, full))
         else {
-            return (want.need > 0).then(|| grant(0, hold, true));
+            return (want.need > 0).then(|| grant(0, hold_time, true));
         };
         account.put_back(want.returned, share_ppm);
         if want.need == 0 {
             return None;
         }
         if want.need > max_request_tokens {
-            return Some(grant(0, hold, true));
+            return Some(grant(0, hold_time, true));
         }
         match account.take(want.need, want.want, share_ppm) {
             Ok(tokens) => Some(grant(tokens, Duration::ZERO, account.is_scarce(share_ppm))),
--- a/crates/limits/src/lease/mod.rs
+++ b/crates/limits/src/lease/mod.rs
@@ -41,7 +41,7 @@
     pub lease_time: Duration,
     /// Hold time: how long a view must be unchanged before a home grants more because of it. Covers a lease and
     /// the time by which the entries' views may differ.
-    pub hold: Duration,
+    pub hold_time: Duration,
     /// Maximum tokens of one request; a home refuses a larger need.
     pub max_request_tokens: u64,
 }
@@ -50,7 +50,7 @@
     fn default() -> Self {
         Settings {
             lease_time: Duration::from_secs(2),
-            hold: Duration::from_secs(4),
+            hold_time: Duration::from_secs(4),
             max_request_tokens: 1 << 17,
         }
     }
--- a/crates/limits/src/lease/reserve.rs
+++ b/crates/limits/src/lease/reserve.rs
@@ -44,7 +44,7 @@
     #[must_use]
     pub fn new(now: Monotonic, settings: &Settings) -> Reserve {
         Reserve {
-            share: Share::new(now, settings.hold),
+            share: Share::new(now, settings.hold_time),
             share_ppm: 0,
             steady_since: now,
             accounts: BTreeMap::new(),
--- a/crates/limits/src/lease/share.rs
+++ b/crates/limits/src/lease/share.rs
@@ -13,16 +13,16 @@
 /// Smallest visible part of the published entries within the hold time.
 #[derive(Clone, Debug)]
 pub(super) struct Share {
-    hold: Duration,
+    hold_time: Duration,
     /// Shares in millionths, each with the time from which it was seen, oldest first.
     steps: VecDeque<(Monotonic, u64)>,
 }
 
 impl Share {
     /// Starts with a share of zero, which applies until the hold time has passed.
-    pub(super) fn new(now: Monotonic, hold: Duration) -> Self {
+    pub(super) fn new(now: Monotonic, hold_time: Duration) -> Self {
         Share {
-            hold,
+            hold_time,
             steps: VecDeque::from([(now, 0)]),
         }
     }
@@ -41,7 +41,7 @@
 
     /// Drops steps that ended at least the hold time ago.
     pub(super) fn expire(&mut self, now: Monotonic) {
-        while self.steps.len() > 1 && self.steps[1].0 + self.hold <= now {
+        while self.steps.len() > 1 && self.steps[1].0 + self.hold_time <= now {
             self.steps.pop_front();
         }
     }
--- a/crates/limits/src/lease/view.rs
+++ b/crates/limits/src/lease/view.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct View {
     me: InstanceId,
-    hold: Duration,
+    hold_time: Duration,
     seen: BTreeMap<InstanceId, Liveness>,
     share: Share,
     /// Incremented when homes or the share may have changed.
@@ -35,12 +35,12 @@
 impl View {
     /// Returns the view of an entry that starts now and knows no entries.
     #[must_use]
-    pub fn new(now: Monotonic, me: InstanceId, hold: Duration) -> Self {
+    pub fn new(now: Monotonic, me: InstanceId, hold_time: Duration) -> Self {
         View {
             me,
-            hold,
+            hold_time,
             seen: BTreeMap::new(),
-            share: Share::new(now, hold),
+            share: Share::new(now, hold_time),
             epoch: 0,
             steady_since: now,
         }
@@ -71,10 +71,10 @@
     /// before the view is queried.
     pub fn tick(&mut self, now: Monotonic) {
         let before = (self.seen.len(), self.share.ppm());
-        let hold = self.hold;
+        let hold_time = self.hold_time;
         self.seen.retain(|_, seen| match *seen {
             Liveness::Live => true,
-            Liveness::GoneSince(since) => now < since + hold,
+            Liveness::GoneSince(since) => now < since + hold_time,
         });
         self.share.expire(now);
         if before != (self.seen.len(), self.share.ppm()) {
@@ -117,7 +117,7 @@
     /// Returns the share of limits that this entry may grant, in millionths: the smallest fraction of the
     /// published entries that it saw within the hold time.
     #[must_use]
-    pub fn share(&self) -> u64 {
+    pub fn share_ppm(&self) -> u64 {
         self.share.ppm()
     }
 
@@ -128,10 +128,10 @@
         self.steady_since
     }
 
-    /// Returns the hold time, as [`Settings::hold`](super::Settings::hold).
+    /// Returns the hold time, as [`Settings::hold_time`](super::Settings::hold_time).
     #[must_use]
-    pub fn hold(&self) -> Duration {
-        self.hold
+    pub fn hold_time(&self) -> Duration {
+        self.hold_time
     }
 }
 
--- a/crates/limits/src/queue/mod.rs
+++ b/crates/limits/src/queue/mod.rs
@@ -129,7 +129,7 @@
     /// Queues `request`, or refuses it if it is predicted to miss its deadline or the queue is full.
     pub fn push(&mut self, now: Monotonic, request: Waiting<K>) -> Pushed<K> {
         if self.items.contains_key(&request.key) || self.running.contains_key(&request.key) {
-            return Pushed::Present;
+            return Pushed::Duplicate;
         }
         let start_in = self.predict_new(&request);
         if let Some(refused) = self.refuse(now, &request, start_in) {
--- a/crates/limits/src/queue/outcome.rs
+++ b/crates/limits/src/queue/outcome.rs
@@ -74,7 +74,7 @@
     /// The request was refused.
     Refused(Shed<K>),
     /// A request with this key is queued or running already; nothing was changed.
-    Present,
+    Duplicate,
 }
 
 /// Workspace that was next in order after the chosen one.
--- a/crates/limits/src/queue/settings.rs
+++ b/crates/limits/src/queue/settings.rs
@@ -66,7 +66,7 @@
 
     /// Sets the initial estimate of a running request's time per token charged.
     #[must_use]
-    pub fn pace(mut self, time: Duration) -> Self {
+    pub fn token_time(mut self, time: Duration) -> Self {
         self.0.token_time = time;
         self
     }
--- a/crates/limits/tests/lease.rs
+++ b/crates/limits/tests/lease.rs
@@ -70,7 +70,7 @@
 fn a_home_that_grants_at_once_is_caught() {
     let caught = (1..5).any(|seed| {
         let mut hasty = plan(seed, Fault::Churn);
-        hasty.settings.hold = Duration::ZERO;
+        hasty.settings.hold_time = Duration::ZERO;
         run(hasty).max_share_ppm > 1_000_000
     });
     expect_true!(caught);
--- a/crates/limits/tests/queue.rs
+++ b/crates/limits/tests/queue.rs
@@ -98,7 +98,7 @@
                 match queue.push(now, new) {
                     Pushed::Refused(refused) => trace.shed(&refused),
                     Pushed::Queued { displaced, .. } => trace.shed_all(displaced.as_slice()),
-                    Pushed::Present => unreachable!("keys are new"),
+                    Pushed::Duplicate => unreachable!("keys are new"),
                 }
             }
             5..7 => {
@@ -164,12 +164,12 @@
     let _ = queue.push(Duration::ZERO, request(1, "a", 10));
     expect_that!(
         queue.push(Duration::ZERO, request(1, "a", 10)),
-        eq(&Pushed::Present)
+        eq(&Pushed::Duplicate)
     );
     let _ = queue.pop(Duration::ZERO);
     expect_that!(
         queue.push(Duration::ZERO, request(1, "a", 10)),
-        eq(&Pushed::Present)
+        eq(&Pushed::Duplicate)
     );
 }
 
--- a/crates/limits/tests/reserve.rs
+++ b/crates/limits/tests/reserve.rs
@@ -55,7 +55,7 @@
 #[gtest]
 fn an_entry_that_no_home_answers_serves_its_share() {
     let mut reserve = reserve(ENTRIES);
-    let start = Settings::default().hold;
+    let start = Settings::default().hold_time;
     let mut spent = 0;
     for tick in 0..200 {
         spent += spend_all(&mut reserve, start + TICK * tick);
@@ -73,7 +73,7 @@
     let mut views: Vec<View> = names
         .iter()
         .map(|name| {
-            let mut view = View::new(Monotonic::ZERO, name.clone(), settings.hold);
+            let mut view = View::new(Monotonic::ZERO, name.clone(), settings.hold_time);
             view.observe(Monotonic::ZERO, &names, &names);
             view
         })
@@ -96,7 +96,7 @@
                     returned: 0,
                 }],
             };
-            let grants = home.ask(now, view, &asker, &ask, |_| Some(LIMIT));
+            let grants = home.grant(now, view, &asker, &ask, |_| Some(LIMIT));
             let granted = grants.iter().flat_map(|grants| &grants.grants);
             spent += granted.map(|grant| grant.tokens).sum::<u64>();
             spent += spend_all(reserve, now);
@@ -110,24 +110,24 @@
 
 #[gtest]
 fn a_share_that_grows_is_given_a_hold_later() {
-    let hold = Settings::default().hold;
+    let hold_time = Settings::default().hold_time;
     let mut reserve = reserve(ENTRIES);
-    advance(&mut reserve, Monotonic::ZERO, hold / 2);
-    expect_that!(spend_all(&mut reserve, hold / 2), eq(0));
-    let now = hold * 10;
-    advance(&mut reserve, hold / 2, now);
+    advance(&mut reserve, Monotonic::ZERO, hold_time / 2);
+    expect_that!(spend_all(&mut reserve, hold_time / 2), eq(0));
+    let now = hold_time * 10;
+    advance(&mut reserve, hold_time / 2, now);
     expect_that!(spend_all(&mut reserve, now), eq(500));
     // Half of the entries are no longer published, but some entries may not know that yet.
     reserve.observe(now, ENTRIES / 2);
-    expect_that!(spend_all(&mut reserve, now + hold / 2), le(500));
-    advance(&mut reserve, now + hold / 2, now + hold * 10);
-    expect_that!(spend_all(&mut reserve, now + hold * 10), eq(1_000));
+    expect_that!(spend_all(&mut reserve, now + hold_time / 2), le(500));
+    advance(&mut reserve, now + hold_time / 2, now + hold_time * 10);
+    expect_that!(spend_all(&mut reserve, now + hold_time * 10), eq(1_000));
 }
 
 #[gtest]
 fn a_request_beyond_the_share_is_never_paid() {
     let mut reserve = reserve(ENTRIES);
-    let later = Settings::default().hold * 10;
+    let later = Settings::default().hold_time * 10;
     advance(&mut reserve, Monotonic::ZERO, later);
     expect_that!(reserve.spend(later, &workspace(), LIMIT, 501), is_false());
     expect_that!(reserve.spend(later, &workspace(), LIMIT, 500), is_true());
--- a/crates/retries/examples/metastable.rs
+++ b/crates/retries/examples/metastable.rs
@@ -92,7 +92,7 @@
     fn new(rule: Rule, seed: u64) -> Self {
         let settings = queue::Settings::builder()
             .max_running(1)
-            .pace(Duration::from_millis(1));
+            .token_time(Duration::from_millis(1));
         Simulation {
             rule,
             rng: ChaCha8Rng::seed_from_u64(seed),
--- a/crates/slot/src/state/work.rs
+++ b/crates/slot/src/state/work.rs
@@ -112,7 +112,7 @@
                 }
             }
             Pushed::Refused(shed) => self.shed(shed),
-            Pushed::Present => debug_assert!(false, "the ledger admits an id once"),
+            Pushed::Duplicate => debug_assert!(false, "the ledger admits an id once"),
         }
         self.pump();
     }
