--- a/crates/entry/src/state/retry.rs
+++ b/crates/entry/src/state/retry.rs
@@ -1,9 +1,9 @@
 //! Whether, where and when a request is sent again, and which groups are left out.
 //!
-//! A further send needs a ground, a group that it has not been to, and a permit of that group's and
-//! its workspace's budget; without them the caller gets its answer at once. It then waits its
-//! back-off in [`Phase::Waiting`]. The time to come back that a refusal gave is for the caller: the
-//! next send goes to another group, and does not wait for it.
+//! A further send needs a proof that it is safe, a group that it has not been to, and a permit
+//! of that group's and its workspace's budget; without them the caller gets its answer at once. It
+//! then waits its back-off in [`Phase::Waiting`]. The time to come back that a refusal gave is for
+//! the caller: the next send goes to another group, and does not wait for it.
 //!
 //! A wait for a newer configuration ([`Phase::Behind`]) is no repetition: the slot's refusal costs it
 //! nothing, and the cause is gone before the next send.
@@ -25,12 +25,12 @@
 use auburnline_retries::budget;
 use auburnline_retries::budget::Budget;
 use auburnline_retries::budget::Side;
-use auburnline_retries::ground::Ground;
-use auburnline_retries::ground::Idempotent;
 use auburnline_retries::policy;
 use auburnline_retries::policy::Decision;
 use auburnline_retries::policy::Policy;
 use auburnline_retries::policy::Refusal;
+use auburnline_retries::retryable::Idempotent;
+use auburnline_retries::retryable::Retryable;
 
 use crate::state::State;
 use crate::state::ejection::End;
@@ -76,7 +76,7 @@
     const fn name(self) -> &'static str {
         match self {
             Denial::NoUpstream => "no_upstream",
-            Denial::Refused(Refusal::NoGround) => "no_ground",
+            Denial::Refused(Refusal::NotRetryable) => "no_ground",
             Denial::Refused(Refusal::Attempts) => "attempts",
             Denial::Refused(Refusal::Deadline) => "deadline",
             Denial::Refused(Refusal::Budget(Side::Upstream)) => "upstream_budget",
@@ -107,7 +107,7 @@
         if first && exchange.sends == 0 {
             let now = self.clock.now();
             let workspace = &exchange.request.workspace;
-            self.retries.budget.first(now, group, workspace);
+            self.retries.budget.deposit(now, group, workspace);
         }
     }
 
@@ -120,7 +120,7 @@
         self.release(exchange);
         let turn = self.turn(exchange, kind);
         if let Err(denial) = &turn
-            && *denial != Denial::Refused(Refusal::NoGround)
+            && *denial != Denial::Refused(Refusal::NotRetryable)
         {
             let age = self.clock.now().saturating_sub(exchange.arrived);
             log::info!(
@@ -138,8 +138,8 @@
 
     fn turn(&mut self, exchange: &mut Exchange, kind: Kind) -> Result<Turn, Denial> {
         let witness = Idempotent::of(&exchange.request);
-        if Ground::of(kind, witness).is_none() {
-            return Err(Denial::Refused(Refusal::NoGround));
+        if Retryable::of(kind, witness).is_none() {
+            return Err(Denial::Refused(Refusal::NotRetryable));
         }
         if exchange.sends >= MAX_SENDS {
             return Err(Denial::Refused(Refusal::Attempts));
@@ -161,13 +161,13 @@
             .policy
             .decide(now, &failure, &mut retries.budget, &mut self.rng);
         match decision {
-            Decision::Again { wait, ground, .. } => {
+            Decision::Retry { wait, proof, .. } => {
                 log::info!(
                     target: "decision",
                     request = &*exchange.request.id,
                     group = &*group,
                     kind:%,
-                    reason = if ground.is_not_run() { "not_run" } else { "idempotent" },
+                    reason = if proof.is_not_run() { "not_run" } else { "idempotent" },
                     sends = exchange.sends,
                     wait_ms = wait.as_millis(),
                     age_ms = now.saturating_sub(exchange.arrived).as_millis();
@@ -227,7 +227,7 @@
         }
         let (group, link) = self.choose(exchange).ok()?;
         let workspace = &exchange.request.workspace;
-        let permit = self.retries.budget.repeat(now, &group, workspace);
+        let permit = self.retries.budget.withdraw(now, &group, workspace);
         permit.is_ok().then_some((group, link))
     }
 
--- a/crates/gateway/src/assign.rs
+++ b/crates/gateway/src/assign.rs
@@ -113,7 +113,7 @@
         );
         self.pool.begin(&choice.upstream.id);
         if is_first {
-            self.budget.first(now, &plan.service, &plan.service);
+            self.budget.deposit(now, &plan.service, &plan.service);
         }
         let group = self.group_of(&choice.upstream);
         if let Some(allowance) = self.allowances.get_mut(&group) {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -203,7 +203,7 @@
         let is_settled = now > crate::neighbour::NEWS_TIMEOUT;
         let fleet = is_settled.then_some(self.roster.peak_members());
         self.budget
-            .resize(retry_budget::settings(&self.bounds, fleet));
+            .set_settings(retry_budget::settings(&self.bounds, fleet));
         self.budget.tick(now);
         self.backoffs.forget(now);
     }
@@ -332,7 +332,7 @@
     /// Takes a retry out of this gateway's share of the fleet's budget; returns whether one was
     /// left.
     pub fn take_retry(&mut self, plan: &Plan, now: Monotonic) -> bool {
-        let permit = self.budget.repeat(now, &plan.service, &plan.service);
+        let permit = self.budget.withdraw(now, &plan.service, &plan.service);
         permit.is_ok()
     }
 }
--- a/crates/gateway/src/retry_budget.rs
+++ b/crates/gateway/src/retry_budget.rs
@@ -28,7 +28,7 @@
     let reserve = slack * RESERVE_FRACTION;
     let refill = bounds.retry_window.as_secs_f64() / (slack - reserve).max(MIN_REFILL);
     budget::Settings {
-        share: thousandths(bounds.retry_ratio),
+        deposit_millitokens: thousandths(bounds.retry_ratio),
         reserve: floor(reserve),
         refill: Duration::from_secs_f64(refill),
     }
--- a/crates/retries/examples/cost.rs
+++ b/crates/retries/examples/cost.rs
@@ -67,7 +67,7 @@
 fn used_budget(names: &[String]) -> Budget<u32, String> {
     let mut budget = Budget::new(budget::Settings::default());
     for (name, upstream) in names.iter().zip(0..) {
-        let _ = budget.repeat(Duration::ZERO, &upstream, name);
+        let _ = budget.withdraw(Duration::ZERO, &upstream, name);
     }
     budget
 }
@@ -77,8 +77,8 @@
     let mut budget = used_budget(&names);
     mean_nanos(ROUNDS, |round| {
         let name = &names[(round % size) as usize];
-        budget.first(Duration::ZERO, &(round % UPSTREAMS), name);
-        let _ = black_box(budget.repeat(Duration::ZERO, &(round % UPSTREAMS), name));
+        budget.deposit(Duration::ZERO, &(round % UPSTREAMS), name);
+        let _ = black_box(budget.withdraw(Duration::ZERO, &(round % UPSTREAMS), name));
     })
 }
 
--- a/crates/retries/examples/metastable.rs
+++ b/crates/retries/examples/metastable.rs
@@ -29,10 +29,10 @@
 use auburnline_retries::backoff::Backoff;
 use auburnline_retries::budget;
 use auburnline_retries::budget::Budget;
-use auburnline_retries::ground::Idempotent;
 use auburnline_retries::policy::Decision;
 use auburnline_retries::policy::Failure;
 use auburnline_retries::policy::Policy;
+use auburnline_retries::retryable::Idempotent;
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -121,7 +121,7 @@
             };
             while next_arrival <= now.as_secs_f64() {
                 next_arrival -= self.rng.random_range(f64::EPSILON..1.0).ln() / load;
-                self.budget.first(now, &0, &0);
+                self.budget.deposit(now, &0, &0);
                 self.send(now, now, 1);
             }
             while let Some((&(at, _), _)) = self.scheduled_retries.first_key_value() {
@@ -234,7 +234,7 @@
             workspace: &0,
         };
         let decision = policy.decide(now, &failure, &mut self.budget, &mut self.rng);
-        if let Decision::Again { wait, .. } = decision {
+        if let Decision::Retry { wait, .. } = decision {
             let retry = Attempt {
                 number: attempt.number + 1,
                 ..attempt
--- a/crates/retries/src/budget.rs
+++ b/crates/retries/src/budget.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Deposit of each first attempt, in thousandths of a retry.
-    pub share: u64,
+    pub deposit_millitokens: u64,
     /// Retries that a new budget allows, and the most that a budget accumulates.
     pub reserve: u64,
     /// Time in which a budget gains one retry without first attempts.
@@ -28,7 +28,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            share: 100,
+            deposit_millitokens: 100,
             reserve: 10,
             refill: Duration::from_secs(10),
         }
@@ -102,18 +102,18 @@
 
     /// Replaces the settings. A balance above a smaller reserve is cut at the next deposit or
     /// refill.
-    pub fn resize(&mut self, settings: Settings) {
+    pub fn set_settings(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
     /// Deposits into both budgets for a first attempt.
-    pub fn first(&mut self, now: Monotonic, upstream: &U, workspace: &W) {
+    pub fn deposit(&mut self, now: Monotonic, upstream: &U, workspace: &W) {
         let settings = self.settings;
         if let Some(account) = account(&mut self.upstreams, &settings, now, upstream) {
-            account.add(&settings, settings.share);
+            account.add(&settings, settings.deposit_millitokens);
         }
         if let Some(account) = account(&mut self.workspaces, &settings, now, workspace) {
-            account.add(&settings, settings.share);
+            account.add(&settings, settings.deposit_millitokens);
         }
     }
 
@@ -122,7 +122,12 @@
     /// # Errors
     ///
     /// Returns the budget that has less than one retry left; nothing is withdrawn then.
-    pub fn repeat(&mut self, now: Monotonic, upstream: &U, workspace: &W) -> Result<Permit, Side> {
+    pub fn withdraw(
+        &mut self,
+        now: Monotonic,
+        upstream: &U,
+        workspace: &W,
+    ) -> Result<Permit, Side> {
         let settings = self.settings;
         let upstream = account(&mut self.upstreams, &settings, now, upstream);
         let upstream = upstream.filter(|account| account.millitokens >= MILLITOKENS_PER_TOKEN);
--- a/crates/retries/src/hedge.rs
+++ b/crates/retries/src/hedge.rs
@@ -6,7 +6,7 @@
 
 use crate::budget::Budget;
 use crate::budget::Permit;
-use crate::ground::Idempotent;
+use crate::retryable::Idempotent;
 
 /// Step of the quantile estimate per observation, relative to the estimate.
 const RELATIVE_STEP: f64 = 0.05;
@@ -62,6 +62,6 @@
         if now.saturating_sub(sent) < self.delay() {
             return None;
         }
-        budget.repeat(now, upstream, workspace).ok()
+        budget.withdraw(now, upstream, workspace).ok()
     }
 }
--- a/crates/retries/src/policy.rs
+++ b/crates/retries/src/policy.rs
@@ -10,8 +10,8 @@
 use crate::budget::Budget;
 use crate::budget::Permit;
 use crate::budget::Side;
-use crate::ground::Ground;
-use crate::ground::Idempotent;
+use crate::retryable::Idempotent;
+use crate::retryable::Retryable;
 
 /// A failed attempt.
 #[derive(Clone, Copy, Debug)]
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// The request would fail again, or may have run and is not idempotent.
-    NoGround,
+    NotRetryable,
     /// [`Policy::max_attempts`] is reached.
     Attempts,
     /// The deadline would pass before the retry.
@@ -50,11 +50,11 @@
 #[must_use]
 pub enum Decision {
     /// Retry after `wait`.
-    Again {
+    Retry {
         /// Backoff, including the delay that the refusal asked for.
         wait: Duration,
         /// Proof that the retry is safe.
-        ground: Ground,
+        proof: Retryable,
         /// Withdrawn from both budgets.
         permit: Permit,
     },
@@ -90,8 +90,8 @@
         budget: &mut Budget<U, W>,
         rng: &mut impl Rng,
     ) -> Decision {
-        let Some(ground) = Ground::of(failure.kind, failure.witness) else {
-            return Decision::GiveUp(Refusal::NoGround);
+        let Some(proof) = Retryable::of(failure.kind, failure.witness) else {
+            return Decision::GiveUp(Refusal::NotRetryable);
         };
         if failure.attempts >= self.max_attempts {
             return Decision::GiveUp(Refusal::Attempts);
@@ -102,10 +102,10 @@
         if wait >= failure.left {
             return Decision::GiveUp(Refusal::Deadline);
         }
-        match budget.repeat(now, failure.upstream, failure.workspace) {
-            Ok(permit) => Decision::Again {
+        match budget.withdraw(now, failure.upstream, failure.workspace) {
+            Ok(permit) => Decision::Retry {
                 wait,
-                ground,
+                proof,
                 permit,
             },
             Err(side) => Decision::GiveUp(Refusal::Budget(side)),
--- a/crates/retries/src/ground.rs
+++ b/crates/retries/src/retryable.rs
@@ -17,9 +17,9 @@
     }
 }
 
-/// Proof that a retry is safe and may help; only [`Ground::of`] creates one.
+/// Proof that a retry is safe and may help; only [`Retryable::of`] creates one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ground(Basis);
+pub struct Retryable(Basis);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Basis {
@@ -27,7 +27,7 @@
     Idempotent(Idempotent),
 }
 
-impl Ground {
+impl Retryable {
     /// Returns the proof that an attempt that ended with `kind` may be retried, if there is one.
     ///
     /// A request that ran, or may have run, needs the witness. A kind that the same request would
@@ -39,8 +39,10 @@
             return None;
         }
         match row.fate {
-            Fate::NotRun => Some(Ground(Basis::NotRun)),
-            Fate::Ran | Fate::Unknown => witness.map(|witness| Ground(Basis::Idempotent(witness))),
+            Fate::NotRun => Some(Retryable(Basis::NotRun)),
+            Fate::Ran | Fate::Unknown => {
+                witness.map(|witness| Retryable(Basis::Idempotent(witness)))
+            }
         }
     }
 
--- a/crates/retries/tests/retries.rs
+++ b/crates/retries/tests/retries.rs
@@ -12,14 +12,14 @@
 use auburnline_retries::backoff::Backoff;
 use auburnline_retries::budget;
 use auburnline_retries::budget::Budget;
-use auburnline_retries::ground::Ground;
-use auburnline_retries::ground::Idempotent;
 use auburnline_retries::hedge::Hedge;
 use auburnline_retries::outlier;
 use auburnline_retries::outlier::Outliers;
 use auburnline_retries::policy::Decision;
 use auburnline_retries::policy::Failure;
 use auburnline_retries::policy::Policy;
+use auburnline_retries::retryable::Idempotent;
+use auburnline_retries::retryable::Retryable;
 use googletest::prelude::*;
 use rand::Rng;
 use rand::SeedableRng;
@@ -57,10 +57,10 @@
     for kind in Kind::ALL {
         let row = kind.row();
         let is_safe = row.fate == Fate::NotRun && row.retry != Return::Never;
-        expect_that!(Ground::of(kind, plain).is_some(), eq(is_safe), "{kind}");
+        expect_that!(Retryable::of(kind, plain).is_some(), eq(is_safe), "{kind}");
         let may_succeed = row.retry != Return::Never;
         expect_that!(
-            Ground::of(kind, witness).is_some(),
+            Retryable::of(kind, witness).is_some(),
             eq(may_succeed),
             "{kind}"
         );
@@ -82,7 +82,7 @@
         let upstream: usize = rng.random_range(0..3);
         let workspace = rng.random_range(0..5_u8);
         if rng.random_bool(0.6) {
-            budget.first(now, &upstream, &workspace);
+            budget.deposit(now, &upstream, &workspace);
             firsts[upstream] += 1;
         } else {
             let failure = Failure {
@@ -95,14 +95,15 @@
                 workspace: &workspace,
             };
             let decision = Policy::default().decide(now, &failure, &mut budget, &mut rng);
-            retries_made[upstream] += u64::from(matches!(decision, Decision::Again { .. }));
+            retries_made[upstream] += u64::from(matches!(decision, Decision::Retry { .. }));
             log.push(format!("{decision:?}"));
         }
         if rng.random_bool(0.01) {
             budget.tick(now);
         }
         let refilled = now.as_secs() / settings.refill.as_secs() + 1;
-        let max_retries = firsts[upstream] * settings.share / 1_000 + settings.reserve + refilled;
+        let max_retries =
+            firsts[upstream] * settings.deposit_millitokens / 1_000 + settings.reserve + refilled;
         assert_that!(retries_made[upstream], le(max_retries));
         assert_that!(budget.accounts(), le(8));
     }
@@ -115,7 +116,7 @@
     let events = setting("AUBURNLINE_EVENTS", 5_000);
     for seed in seed..seed + 4 {
         let log = budget_run(seed, events);
-        expect_true!(log.iter().any(|line| line.starts_with("Again")));
+        expect_true!(log.iter().any(|line| line.starts_with("Retry")));
         expect_true!(log.iter().any(|line| line.contains("Budget")));
     }
 }
