--- a/crates/experts/examples/change.rs
+++ b/crates/experts/examples/change.rs
@@ -144,9 +144,9 @@
         let first = order.member * usize::from(RANKS_PER_MEMBER);
         for rank in first..first + usize::from(RANKS_PER_MEMBER) {
             let state = &mut self.ranks[rank];
-            let wanted = state.wanted().is_some();
+            let was_loading = state.map_to_load().is_some();
             let _ = state.order(order.stamp.fence, &order.command);
-            let starts = !wanted && state.wanted().is_some();
+            let starts = !was_loading && state.map_to_load().is_some();
             statuses.insert(Rank::try_from(rank).unwrap_or(Rank::MAX), state.status());
             if order.command == Command::Read {
                 maps.extend(state.maps().cloned());
@@ -182,7 +182,7 @@
 
     /// Runs until all ranks have settled in `generation`.
     fn run_to(&mut self, generation: u64) {
-        while self.coordinator.settled() != Some(generation) {
+        while self.coordinator.settled_generation() != Some(generation) {
             let Some(Reverse((at, index))) = self.queue.pop() else {
                 return;
             };
@@ -200,7 +200,7 @@
                     }
                 }
                 Some(SimulationEvent::Report(report)) => self.handle_event(Event::Report(report)),
-                Some(SimulationEvent::Loaded(rank)) => self.ranks[rank].loaded(),
+                Some(SimulationEvent::Loaded(rank)) => self.ranks[rank].finish_loading(),
                 None => {}
             }
         }
--- a/crates/experts/src/coordinator/mod.rs
+++ b/crates/experts/src/coordinator/mod.rs
@@ -157,7 +157,7 @@
 
     /// Returns the generation that all ranks use, or `None` unless the coordinator is idle.
     #[must_use]
-    pub fn settled(&self) -> Option<Generation> {
+    pub fn settled_generation(&self) -> Option<Generation> {
         match &self.phase {
             Phase::Idle(map) => Some(map.generation),
             _ => None,
--- a/crates/experts/src/rank.rs
+++ b/crates/experts/src/rank.rs
@@ -1,9 +1,9 @@
 //! The rank's side of a change of map.
 //!
-//! The engine calls [`State::order`] for each order, [`State::loaded`] when weights are loaded, and
-//! [`State::enter`] before each step. A rank enters its switch step only once it is released, so it
-//! can neither switch nor keep the old map alone. A rank without weights takes part in no step until
-//! it has been ordered to join with a map and has loaded that map's weights.
+//! The engine calls [`State::order`] for each order, [`State::finish_loading`] when weights are
+//! loaded, and [`State::enter`] before each step. A rank enters its switch step only once it is
+//! released, so it can neither switch nor keep the old map alone. A rank without weights takes part
+//! in no step until it has been ordered to join with a map and has loaded that map's weights.
 
 use std::sync::Arc;
 
@@ -43,7 +43,7 @@
 impl State {
     /// Returns a rank without weights, whose group is about to enter `step`.
     #[must_use]
-    pub fn blank(checks_fence: bool, step: Step) -> State {
+    pub fn without_map(checks_fence: bool, step: Step) -> State {
         State {
             checks_fence,
             fence: 0,
@@ -61,7 +61,7 @@
         State {
             current: Some(map),
             joined: true,
-            ..State::blank(checks_fence, step)
+            ..State::without_map(checks_fence, step)
         }
     }
 
@@ -89,7 +89,7 @@
 
     /// Returns the map whose weights are to be loaded, if any.
     #[must_use]
-    pub fn wanted(&self) -> Option<&Arc<Map>> {
+    pub fn map_to_load(&self) -> Option<&Arc<Map>> {
         if !self.joined {
             return self.current.as_ref();
         }
@@ -195,8 +195,8 @@
         }
     }
 
-    /// Records that the weights of the map that [`State::wanted`] returns are loaded.
-    pub fn loaded(&mut self) {
+    /// Records that the weights of the map that [`State::map_to_load`] returns are loaded.
+    pub fn finish_loading(&mut self) {
         if self.current.is_some() && !self.joined {
             self.joined = true;
         } else if let Stage::Loading(generation) = self.stage {
--- a/crates/experts/tests/all/explore.rs
+++ b/crates/experts/tests/all/explore.rs
@@ -162,14 +162,14 @@
         last_step: node.budget.last_step,
         ..BUDGET
     };
-    newest.settled().is_some() && only_reads && node.budget == no_faults
+    newest.settled_generation().is_some() && only_reads && node.budget == no_faults
 }
 
 /// Explores from a group whose coordinator has just been asked for a change to a new map.
 fn explore(shape: Shape, budget: Budget, max_states: usize) -> Count {
     let mut world = World::new(shape);
     world.loads_at_once = true;
-    while world.coordinators[0].settled().is_none() {
+    while world.coordinators[0].settled_generation().is_none() {
         world.deliver_order(0, false);
         world.deliver_report(0, false);
     }
--- a/crates/experts/tests/all/injected.rs
+++ b/crates/experts/tests/all/injected.rs
@@ -68,7 +68,7 @@
             break;
         }
         deliver_all(&mut world);
-        if world.coordinators[0].settled().is_some() {
+        if world.coordinators[0].settled_generation().is_some() {
             world.request_change(0);
         }
         (0..2).for_each(|rank| world.finish_load(rank));
--- a/crates/experts/tests/all/random.rs
+++ b/crates/experts/tests/all/random.rs
@@ -105,7 +105,7 @@
     }
     outcome.stuck = !world.recovers();
     outcome.steps = world.step;
-    outcome.changes = world.coordinators[0].settled().unwrap_or(0);
+    outcome.changes = world.coordinators[0].settled_generation().unwrap_or(0);
     outcome
 }
 
--- a/crates/experts/tests/all/world.rs
+++ b/crates/experts/tests/all/world.rs
@@ -206,8 +206,8 @@
             {
                 refusal = Some(stale);
             }
-            if self.loads_at_once && state.wanted().is_some() {
-                state.loaded();
+            if self.loads_at_once && state.map_to_load().is_some() {
+                state.finish_loading();
             }
             let index = Rank::try_from(rank).expect("a small group");
             statuses.insert(index, state.status());
@@ -262,8 +262,8 @@
 
     /// Finishes loading at a rank, if it is loading.
     pub(crate) fn finish_load(&mut self, rank: usize) {
-        if self.ranks[rank].wanted().is_some() {
-            self.ranks[rank].loaded();
+        if self.ranks[rank].map_to_load().is_some() {
+            self.ranks[rank].finish_loading();
         }
     }
 
@@ -303,7 +303,7 @@
 
     /// Replaces a rank with one that has no weights.
     pub(crate) fn replace_rank(&mut self, rank: usize) {
-        self.ranks[rank] = State::blank(self.checks_fence, 0);
+        self.ranks[rank] = State::without_map(self.checks_fence, 0);
         self.entered[rank] = None;
     }
 
@@ -342,7 +342,10 @@
             if self.mixed_generations().is_some() {
                 return false;
             }
-            if self.coordinators[self.newest()].settled().is_none() {
+            if self.coordinators[self.newest()]
+                .settled_generation()
+                .is_none()
+            {
                 settled_at = None;
                 continue;
             }
@@ -355,7 +358,7 @@
     }
 
     fn is_one_generation(&self) -> bool {
-        let settled = self.coordinators[self.newest()].settled();
+        let settled = self.coordinators[self.newest()].settled_generation();
         self.ranks
             .iter()
             .all(|rank| rank.status().current == settled)
--- a/crates/slot/src/state/experts.rs
+++ b/crates/slot/src/state/experts.rs
@@ -80,7 +80,7 @@
 impl Experts {
     /// Returns the generation that all ranks use, when no change is under way.
     pub(crate) fn generation(&self) -> Option<u64> {
-        self.lead.as_ref()?.coordinator.settled()
+        self.lead.as_ref()?.coordinator.settled_generation()
     }
 
     fn token(&mut self) -> u64 {
--- a/crates/slot/src/state/experts/lead.rs
+++ b/crates/slot/src/state/experts/lead.rs
@@ -39,7 +39,7 @@
 
     /// Returns the map in force, when no change is under way.
     pub(super) fn map(&self) -> Option<Arc<Map>> {
-        let generation = self.coordinator.settled()?;
+        let generation = self.coordinator.settled_generation()?;
         let mut known = self.maps.iter();
         known.find(|map| map.generation == generation).cloned()
     }
--- a/crates/standin/src/engine/ranks.rs
+++ b/crates/standin/src/engine/ranks.rs
@@ -78,7 +78,7 @@
     pub(crate) fn replace(&mut self, rank: Rank) {
         let (checks, next) = (self.checks_fence, self.next);
         for place in self.places.iter_mut().filter(|place| place.rank == rank) {
-            place.state = State::blank(checks, next);
+            place.state = State::without_map(checks, next);
             place.loading = None;
         }
     }
@@ -142,7 +142,7 @@
 impl Place {
     /// Notes weights that have come, and begins to load those that are wanted.
     fn load(&mut self, time: Duration, now: Instant) {
-        let Some(wanted) = self.state.wanted().map(|map| map.generation) else {
+        let Some(wanted) = self.state.map_to_load().map(|map| map.generation) else {
             self.loading = None;
             return;
         };
@@ -152,7 +152,7 @@
         };
         self.loading = Some((wanted, ready));
         if ready <= now {
-            self.state.loaded();
+            self.state.finish_loading();
             self.loading = None;
         }
     }
