--- a/crates/entry/src/state/ejection.rs
+++ b/crates/entry/src/state/ejection.rs
@@ -134,7 +134,7 @@
         let window = now.saturating_sub(self.began);
         for ejection in self.outliers.tick(now) {
             tell(pool, &ejection, window, self.members);
-            router.mark(&ejection.member, Mark::Ejected, true);
+            router.set_mark(&ejection.member, Mark::Ejected, true);
             self.marked.insert(ejection.member, now);
         }
         self.began = now;
@@ -148,7 +148,7 @@
             if outliers.part(now, group) <= 0.0 {
                 return true;
             }
-            router.mark(group, Mark::Ejected, false);
+            router.set_mark(group, Mark::Ejected, false);
             let out = now.saturating_sub(*since);
             log::info!(
                 target: "decision",
--- a/crates/entry/src/state/fleet.rs
+++ b/crates/entry/src/state/fleet.rs
@@ -55,7 +55,7 @@
             return;
         };
         if let Some(group) = self.admits.get(&link.instance).cloned() {
-            self.router.session(&group, true);
+            self.router.set_session_up(&group, true);
             self.retries.is_stale = true;
         }
         self.resume_all(&link);
@@ -67,7 +67,7 @@
             return;
         };
         if let Some(group) = self.admits.get(&link.instance).cloned() {
-            self.router.session(&group, false);
+            self.router.set_session_up(&group, false);
             self.retries.is_stale = true;
         }
         self.claims_lost(&link.instance);
@@ -161,7 +161,7 @@
         let checked = self.configurations.in_force();
         let group = checked.and_then(|checked| checked.group_of_instance(instance));
         if let Some(group) = group.cloned() {
-            self.router.mark(&group, Mark::Leaving, true);
+            self.router.set_mark(&group, Mark::Leaving, true);
         }
     }
 
@@ -175,7 +175,7 @@
             let published = checked.group(group);
             let mut instances = published.iter().flat_map(|group| &group.instances);
             let leaves = instances.any(|name| view.status(name, now).leaving.is_some());
-            self.router.mark(group, Mark::Leaving, leaves);
+            self.router.set_mark(group, Mark::Leaving, leaves);
         }
     }
 
@@ -251,9 +251,9 @@
                 };
                 self.router.insert(group.clone(), member);
                 let up = self.fleet.links().to(slot.instance).is_some();
-                self.router.session(group, up);
+                self.router.set_session_up(group, up);
                 let drains = checked.group_drains(group) || !served;
-                self.router.mark(group, Mark::Fenced, drains);
+                self.router.set_mark(group, Mark::Fenced, drains);
                 self.admits.insert(slot.instance.clone(), group.clone());
                 slots
                     .entry(pool.clone())
--- a/crates/entry/src/state/submit.rs
+++ b/crates/entry/src/state/submit.rs
@@ -190,7 +190,7 @@
     ) {
         let now = self.clock.now();
         exchange.query.excluded.push(group.clone());
-        exchange.ticket = self.router.sent(&group, &exchange.query, now);
+        exchange.ticket = self.router.record_sent(&group, &exchange.query, now);
         let (slot, incarnation) = (link.instance.clone(), link.incarnation);
         let sent = attempt.send(slot, incarnation);
         self.dispatch(stream, exchange, sent, link, group);
@@ -354,7 +354,7 @@
     /// Takes a request's tokens from the group that it was sent to.
     pub(crate) fn release(&mut self, exchange: &mut Exchange) {
         if let Some(ticket) = exchange.ticket.take() {
-            self.router.finished(ticket);
+            self.router.record_finished(ticket);
         }
     }
 
--- a/crates/routing/examples/cost.rs
+++ b/crates/routing/examples/cost.rs
@@ -56,7 +56,7 @@
             failure_domain: "nord".into(),
         };
         router.insert(name(number), member);
-        router.session(&name(number), true);
+        router.set_session_up(&name(number), true);
     }
     router
 }
@@ -117,7 +117,7 @@
     let rounds = 200;
     let start = Instant::now();
     for index in 0..rounds {
-        router.session(&names[0], index % 2 == 1);
+        router.set_session_up(&names[0], index % 2 == 1);
         black_box(router.route(&query, GAP, rng));
     }
     each(start, rounds)
@@ -148,8 +148,8 @@
         let decision = black_box(router.route(query, now, &mut rng));
         let chosen = Instant::now();
         let group = decision.group().expect("a unit");
-        if let Some(ticket) = router.sent(group, query, now) {
-            router.finished(ticket);
+        if let Some(ticket) = router.record_sent(group, query, now) {
+            router.record_finished(ticket);
         }
         route += chosen.duration_since(start);
         count += chosen.elapsed();
--- a/crates/routing/examples/table/ours.rs
+++ b/crates/routing/examples/table/ours.rs
@@ -65,7 +65,7 @@
                 failure_domain: domain(number),
             };
             router.insert(group_id(number), member);
-            router.session(&group_id(number), true);
+            router.set_session_up(&group_id(number), true);
         }
         Ours {
             router,
@@ -84,7 +84,7 @@
     ) -> usize {
         let decision = self.router.route(query, now, rng);
         let group = decision.group().expect("some group is live");
-        if let Some(ticket) = self.router.sent(group, query, now) {
+        if let Some(ticket) = self.router.record_sent(group, query, now) {
             self.tickets.insert(number, ticket);
         }
         let digits = group.trim_start_matches("group-");
@@ -97,7 +97,7 @@
 
     fn finished(&mut self, number: usize) {
         if let Some(ticket) = self.tickets.remove(&number) {
-            self.router.finished(ticket);
+            self.router.record_finished(ticket);
         }
     }
 
@@ -106,6 +106,6 @@
     }
 
     fn lost(&mut self, group: usize) {
-        self.router.session(&group_id(group), false);
+        self.router.set_session_up(&group_id(group), false);
     }
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -93,14 +93,14 @@
     ///
     /// Hints are kept when a session ends. If the unit comes back as a new incarnation, the caller
     /// has to remove them with [`Event::Cleared`].
-    pub fn session(&mut self, group: &GroupId, up: bool) {
+    pub fn set_session_up(&mut self, group: &GroupId, up: bool) {
         self.update_state(group, |unit| unit.set_session_up(up));
     }
 
     /// Sets or clears a mark that keeps new work from a unit.
     ///
     /// The router never clears a mark by itself; the caller decides when to.
-    pub fn mark(&mut self, group: &GroupId, mark: Mark, on: bool) {
+    pub fn set_mark(&mut self, group: &GroupId, mark: Mark, on: bool) {
         self.update_state(group, |unit| unit.set_mark(mark, on));
     }
 
@@ -110,10 +110,15 @@
         self.update_load(group, |unit| unit.report(report, half_life, now));
     }
 
-    /// Records that a request was sent to a unit; pass the ticket to [`Router::finished`].
+    /// Records that a request was sent to a unit; pass the ticket to [`Router::record_finished`].
     ///
     /// Returns `None` if the unit is not known.
-    pub fn sent(&mut self, group: &GroupId, query: &Query, now: Monotonic) -> Option<Ticket> {
+    pub fn record_sent(
+        &mut self,
+        group: &GroupId,
+        query: &Query,
+        now: Monotonic,
+    ) -> Option<Ticket> {
         let index = *self.index.get(group)?;
         for (_, key) in query.prefix.keys() {
             self.hints.store(key, index, now);
@@ -122,7 +127,7 @@
     }
 
     /// Records that a request has ended at its unit, whatever its outcome.
-    pub fn finished(&mut self, ticket: Ticket) {
+    pub fn record_finished(&mut self, ticket: Ticket) {
         let Ticket { group, tokens, at } = ticket;
         self.update_load(&group, |unit| unit.finished(tokens, at));
     }
@@ -141,10 +146,10 @@
 
     /// Chooses a unit for `query`.
     ///
-    /// Later decisions take the request into account only after the caller has reported it as
-    /// [`sent`].
+    /// Later decisions take the request into account only after the caller has passed it to
+    /// [`record_sent`].
     ///
-    /// [`sent`]: Router::sent
+    /// [`record_sent`]: Router::record_sent
     pub fn route(&mut self, query: &Query, now: Monotonic, rng: &mut impl Rng) -> Decision {
         let key = (query.pool.clone(), query.model.clone());
         let Some(shard) = self.shards.get_mut(&key) else {
--- a/crates/routing/src/unit.rs
+++ b/crates/routing/src/unit.rs
@@ -46,7 +46,7 @@
 
 /// Record of one request sent, to be returned to the router when the request ends.
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "the request counts as outstanding until its ticket is passed to `Router::finished`"]
+#[must_use = "the request is outstanding until its ticket is passed to `Router::record_finished`"]
 pub struct Ticket {
     pub(crate) group: GroupId,
     pub(crate) tokens: u64,
--- a/crates/routing/tests/random.rs
+++ b/crates/routing/tests/random.rs
@@ -119,8 +119,8 @@
                 self.router.remove(&group);
                 self.shadows.remove(&group);
             }
-            5..12 => self.session(&group),
-            12..16 => self.mark(&group),
+            5..12 => self.set_session_up(&group),
+            12..16 => self.set_mark(&group),
             16..40 => self.report(&group),
             40..50 => self.cache_event(&group),
             50..60 => self.finish(),
@@ -140,17 +140,17 @@
         shadow.member = member;
     }
 
-    fn session(&mut self, group: &GroupId) {
+    fn set_session_up(&mut self, group: &GroupId) {
         let up = self.rng.random_bool(0.8);
-        self.router.session(group, up);
+        self.router.set_session_up(group, up);
         if let Some(shadow) = self.shadows.get_mut(group) {
             shadow.up = up;
         }
     }
 
-    fn mark(&mut self, group: &GroupId) {
+    fn set_mark(&mut self, group: &GroupId) {
         let (number, on) = (self.rng.random_range(0..3), self.rng.random_bool(0.4));
-        self.router.mark(group, MARKS[number], on);
+        self.router.set_mark(group, MARKS[number], on);
         if let Some(shadow) = self.shadows.get_mut(group) {
             shadow.marks[number] = on;
         }
@@ -183,7 +183,7 @@
     fn finish(&mut self) {
         if !self.tickets.is_empty() {
             let place = self.rng.random_range(0..self.tickets.len());
-            self.router.finished(self.tickets.swap_remove(place));
+            self.router.record_finished(self.tickets.swap_remove(place));
         }
     }
 
@@ -208,11 +208,11 @@
         let other = decision.runners_up.iter().any(|unit| unit.within_bound);
         assert!(chosen.within_bound || !other, "{decision}");
         if self.rng.random_bool(0.9) {
-            let ticket = self.router.sent(&group, &query, self.now);
+            let ticket = self.router.record_sent(&group, &query, self.now);
             self.tickets.extend(ticket);
         }
         if self.tickets.len() > MAX_TICKETS {
-            self.router.finished(self.tickets.remove(0));
+            self.router.record_finished(self.tickets.remove(0));
         }
     }
 }
@@ -260,7 +260,7 @@
                 failure_domain: "nord".into(),
             };
             run.router.insert(group.clone(), member);
-            run.router.session(&group, true);
+            run.router.set_session_up(&group, true);
         }
         for _ in 0..2000 {
             let mut query = run.query();
@@ -272,7 +272,7 @@
             let total = 90 * (decision.mean_load + 1) + query.tokens();
             assert_that!(chosen.load * 90, le(2 * total), "seed {seed}: {decision}");
             let group = chosen.group.clone();
-            let _kept = run.router.sent(&group, &query, run.now);
+            let _kept = run.router.record_sent(&group, &query, run.now);
         }
     }
 }
--- a/crates/routing/tests/route.rs
+++ b/crates/routing/tests/route.rs
@@ -43,7 +43,7 @@
             failure_domain: DOMAINS[number % DOMAINS.len()].into(),
         };
         router.insert(name(number), member);
-        router.session(&name(number), true);
+        router.set_session_up(&name(number), true);
     }
     router
 }
@@ -103,7 +103,7 @@
         err(eq(Kind::Unreachable))
     );
     for number in 0..3 {
-        router.session(&name(number), false);
+        router.set_session_up(&name(number), false);
     }
     expect_that!(
         router.route(&query(1), NOW, &mut rng).group(),
@@ -117,13 +117,13 @@
     let mut router = fleet(90);
     for number in 1..90 {
         let mark = [Mark::Leaving, Mark::Fenced, Mark::Ejected][number % 3];
-        router.mark(&name(number), mark, true);
+        router.set_mark(&name(number), mark, true);
     }
     for seed in 0..100 {
         let decision = router.route(&query(seed), NOW, &mut rng);
         expect_that!(decision.group(), ok(eq(&name(0))));
     }
-    router.mark(&name(7), Mark::Fenced, false);
+    router.set_mark(&name(7), Mark::Fenced, false);
     let mut query = query(1);
     query.excluded = vec![name(0)];
     expect_that!(
@@ -138,8 +138,10 @@
     let mut router = fleet(30);
     let first = router.route(&query(1), NOW, &mut rng);
     let group = first.group().expect("a unit").clone();
-    let ticket = router.sent(&group, &query(1), NOW).expect("a known unit");
-    router.finished(ticket);
+    let ticket = router
+        .record_sent(&group, &query(1), NOW)
+        .expect("a known unit");
+    router.record_finished(ticket);
     let second = router.route(&query(1), NOW, &mut rng);
     expect_that!(second.group(), ok(eq(&group)));
     let chosen = second.chosen.expect("a unit");
@@ -178,13 +180,13 @@
     };
     let later = NOW + Duration::from_millis(500);
     router.report(&name(0), report(1000, 20, 0), NOW);
-    let kept = router.sent(&name(0), &query(1), later);
+    let kept = router.record_sent(&name(0), &query(1), later);
     let ended = router
-        .sent(&name(0), &query(2), later)
+        .record_sent(&name(0), &query(2), later)
         .expect("a known unit");
     let tokens = query(1).tokens();
     expect_that!(load(&mut router, later), eq(1000 + 2 * tokens));
-    router.finished(ended);
+    router.record_finished(ended);
     expect_that!(load(&mut router, later), eq(1000 + tokens));
     router.report(
         &name(0),
@@ -212,14 +214,14 @@
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let mut router = bounded_fleet(30, bound);
     for number in (0..30).filter(|number| number % 3 == 0) {
-        router.session(&name(number), false);
+        router.set_session_up(&name(number), false);
     }
     let mut counts: BTreeMap<GroupId, u64> = BTreeMap::new();
     for seed in 0..2000 {
         let query = query(seed);
         let decision = router.route(&query, NOW, &mut rng);
         let group = decision.group().expect("a unit").clone();
-        let _kept = router.sent(&group, &query, NOW);
+        let _kept = router.record_sent(&group, &query, NOW);
         *counts.entry(group).or_default() += 1;
     }
     expect_that!(counts, len(eq(20)));
