--- a/crates/lockstep/src/plan.rs
+++ b/crates/lockstep/src/plan.rs
@@ -14,7 +14,7 @@
 use auburnline_core::expert::Layer;
 use auburnline_core::id::Expert;
 use auburnline_rebalance::search;
-use auburnline_rebalance::search::Outlook;
+use auburnline_rebalance::search::Conditions;
 use auburnline_rebalance::search::Path;
 
 use crate::layout::Layout;
@@ -94,8 +94,8 @@
         let ranks = held.len();
         let sum: f64 = shares.iter().sum();
         let mean = sum / to_f64(ranks.max(1));
-        let outlook = outlook(shares, slowdown);
-        let path = search::improve(&start, ranks, outlook, max_changes);
+        let conditions = conditions(shares, slowdown);
+        let path = search::improve(&start, ranks, conditions, max_changes);
         LayerSearch {
             start,
             path,
@@ -260,12 +260,12 @@
 
 /// Returns the objective of the search of a layer. Empty places are allowed only if a rank is slow; otherwise one
 /// more replica evens out the loads.
-fn outlook<'a>(shares: &'a [f64], slowdown: &'a [f64]) -> Outlook<'a> {
-    let outlook = Outlook::steady(shares).slowed(slowdown);
+fn conditions<'a>(shares: &'a [f64], slowdown: &'a [f64]) -> Conditions<'a> {
+    let conditions = Conditions::steady(shares).slowed(slowdown);
     if slowdown.iter().any(|times| *times > 1.0) {
-        outlook.with_empty_places()
+        conditions.with_empty_places()
     } else {
-        outlook
+        conditions
     }
 }
 
--- a/crates/rebalance/examples/table/simulation.rs
+++ b/crates/rebalance/examples/table/simulation.rs
@@ -9,7 +9,7 @@
 use auburnline_rebalance::counts::Shape;
 use auburnline_rebalance::pack;
 use auburnline_rebalance::search;
-use auburnline_rebalance::search::Outlook;
+use auburnline_rebalance::search::Conditions;
 use auburnline_rebalance::skew;
 use auburnline_rebalance::skew::Ranks;
 
@@ -270,7 +270,7 @@
         let slow = truth.slowness.iter().any(|&slowness| slowness > 1.0);
         for (layer, shares) in self.map.layers.iter_mut().zip(&truth.shares) {
             let count = ranks.slowness.len();
-            let path = search::improve(layer, count, Outlook::steady(shares), BOUND_CHANGES);
+            let path = search::improve(layer, count, Conditions::steady(shares), BOUND_CHANGES);
             let mut others = vec![path.apply(layer, path.changes.len())];
             if repack {
                 others.extend(pack::refined(shares, count, PLACES));
--- a/crates/rebalance/src/pack.rs
+++ b/crates/rebalance/src/pack.rs
@@ -8,7 +8,7 @@
 use auburnline_core::id::Expert;
 
 use crate::search;
-use crate::search::Outlook;
+use crate::search::Conditions;
 use crate::to_f64;
 
 /// Maximum number of changes that refine a packed layer.
@@ -19,7 +19,7 @@
 #[must_use]
 pub fn refined(shares: &[f64], ranks: usize, places: usize) -> Option<Layer> {
     let layer = layer(shares, &vec![1.0; ranks], places)?;
-    let path = search::improve(&layer, ranks, Outlook::steady(shares), MAX_REFINEMENTS);
+    let path = search::improve(&layer, ranks, Conditions::steady(shares), MAX_REFINEMENTS);
     Some(path.apply(&layer, path.changes.len()))
 }
 
--- a/crates/rebalance/src/plan.rs
+++ b/crates/rebalance/src/plan.rs
@@ -17,7 +17,7 @@
 use crate::pack;
 use crate::popularity::Shares;
 use crate::search;
-use crate::search::Outlook;
+use crate::search::Conditions;
 use crate::search::Path;
 use crate::skew;
 use crate::skew::Ranks;
@@ -83,13 +83,13 @@
         if summary.slowest - summary.mean < floor {
             continue;
         }
-        let outlook = Outlook {
+        let conditions = Conditions {
             now: &shares.mean,
             later: &shares.later,
             slowness: &[],
             may_empty: false,
         };
-        let path = search::improve(layer, ranks, outlook, config.max_changes);
+        let path = search::improve(layer, ranks, conditions, config.max_changes);
         let count = best_prefix(&path, floor, config, cost_model);
         if count > 0 {
             *layer = path.apply(layer, count);
--- a/crates/rebalance/src/search.rs
+++ b/crates/rebalance/src/search.rs
@@ -20,7 +20,7 @@
 use crate::search::load::Load;
 use crate::to_f64;
 
-pub use crate::search::load::Outlook;
+pub use crate::search::load::Conditions;
 
 /// Minimum gain of a change, as a fraction of the slowest rank's load; the search stops below it.
 const MIN_RELATIVE_GAIN: f64 = 1e-4;
@@ -74,7 +74,7 @@
 
 /// Layer under search, with the load of each rank multiplied by the rank's slowness.
 struct State<'a> {
-    outlook: Outlook<'a>,
+    conditions: Conditions<'a>,
     start: &'a [Expert],
     layer: Vec<Expert>,
     places: usize,
@@ -103,8 +103,8 @@
 
 /// Searches for at most `limit` changes of `layer` over `ranks` ranks.
 #[must_use]
-pub fn improve(layer: &Layer, ranks: usize, outlook: Outlook<'_>, limit: usize) -> Path {
-    let mut state = State::new(layer, ranks, outlook);
+pub fn improve(layer: &Layer, ranks: usize, conditions: Conditions<'_>, limit: usize) -> Path {
+    let mut state = State::new(layer, ranks, conditions);
     let mut path = Path::default();
     path.points.push(state.point());
     while path.changes.len() < limit {
@@ -117,25 +117,25 @@
 }
 
 impl<'a> State<'a> {
-    fn new(layer: &'a Layer, ranks: usize, outlook: Outlook<'a>) -> Self {
+    fn new(layer: &'a Layer, ranks: usize, conditions: Conditions<'a>) -> Self {
         let places = layer.0.len() / ranks.max(1);
-        let mut hosts = vec![Vec::new(); outlook.now.len()];
+        let mut hosts = vec![Vec::new(); conditions.now.len()];
         for (place, &expert) in layer.0.iter().enumerate() {
             let hosts = &mut hosts[usize::from(expert)];
             if !hosts.contains(&(place / places)) {
                 hosts.push(place / places);
             }
         }
-        let part = |(expert, hosts): (usize, &Vec<usize>)| outlook.at(expert).over(hosts.len());
+        let part = |(expert, hosts): (usize, &Vec<usize>)| conditions.at(expert).over(hosts.len());
         let parts: Vec<Load> = hosts.iter().enumerate().map(part).collect();
         let mut loads = vec![Load::default(); ranks];
         for (hosts, part) in hosts.iter().zip(&parts) {
             for &host in hosts {
-                loads[host] = loads[host].plus(part.times(outlook.slowness(host)));
+                loads[host] = loads[host].plus(part.times(conditions.slowness(host)));
             }
         }
         State {
-            outlook,
+            conditions,
             start: &layer.0,
             layer: layer.0.clone(),
             places,
@@ -189,9 +189,9 @@
 
     /// Scores swaps of a place of the slowest rank with one of a lighter rank.
     fn score_swaps(&self, rank: usize, load: Load, best: &mut Best) {
-        let times = self.outlook.slowness(rank);
+        let times = self.conditions.slowness(rank);
         for (other, &light) in self.loads.iter().enumerate() {
-            let times_other = self.outlook.slowness(other);
+            let times_other = self.conditions.slowness(other);
             let max_gain = (load.now - light.now) * times / (times + times_other);
             if max_gain <= best.score * SWAP_LOADS {
                 continue;
@@ -243,14 +243,14 @@
         let Some(kept) = others.find(|&expert| usize::from(expert) != old) else {
             return;
         };
-        if !self.outlook.may_empty || self.repeats(place) {
+        if !self.conditions.may_empty || self.repeats(place) {
             return;
         }
-        let left = load.minus(self.parts[old].times(self.outlook.slowness(rank)));
+        let left = load.minus(self.parts[old].times(self.conditions.slowness(rank)));
         let takeover = self.takeover(old);
         let others = self.hosts[old].iter().filter(|&&host| host != rank);
-        let loads_after =
-            others.map(|&host| self.loads[host].plus(takeover.times(self.outlook.slowness(host))));
+        let loads_after = others
+            .map(|&host| self.loads[host].plus(takeover.times(self.conditions.slowness(host))));
         let peak = loads_after.fold(left, Load::max);
         best.offer(
             Change::Load(place, kept),
@@ -261,7 +261,7 @@
     /// Returns the load that each remaining host of an expert takes over if one host drops it.
     fn takeover(&self, expert: usize) -> Load {
         let fewer = self.hosts[expert].len().saturating_sub(1).max(1);
-        self.outlook
+        self.conditions
             .at(expert)
             .over(fewer)
             .minus(self.parts[expert])
@@ -272,8 +272,8 @@
         let target = place / self.places;
         let new = usize::from(expert);
         let old = usize::from(self.layer[place]);
-        let gained = self.outlook.at(new).over(self.hosts[new].len() + 1);
-        let times = |host: usize| self.outlook.slowness(host);
+        let gained = self.conditions.at(new).over(self.hosts[new].len() + 1);
+        let times = |host: usize| self.conditions.slowness(host);
         let is_empty = self.repeats(place);
         let given = if is_empty {
             Load::default()
@@ -351,7 +351,7 @@
     /// Subtracts the expert's load from its hosts.
     fn subtract_load(&mut self, expert: usize) {
         for &host in &self.hosts[expert] {
-            let part = self.parts[expert].times(self.outlook.slowness(host));
+            let part = self.parts[expert].times(self.conditions.slowness(host));
             self.loads[host] = self.loads[host].minus(part);
         }
     }
@@ -362,9 +362,9 @@
         if hosts.is_empty() {
             return;
         }
-        self.parts[expert] = self.outlook.at(expert).over(hosts.len());
+        self.parts[expert] = self.conditions.at(expert).over(hosts.len());
         for &host in hosts {
-            let part = self.parts[expert].times(self.outlook.slowness(host));
+            let part = self.parts[expert].times(self.conditions.slowness(host));
             self.loads[host] = self.loads[host].plus(part);
         }
     }
--- a/crates/rebalance/src/search/load.rs
+++ b/crates/rebalance/src/search/load.rs
@@ -4,7 +4,7 @@
 
 /// Popularity of a layer's experts, and the other conditions of a search.
 #[derive(Clone, Copy, Debug)]
-pub struct Outlook<'a> {
+pub struct Conditions<'a> {
     /// Present share of each expert, which determines the slowest rank.
     pub now: &'a [f64],
     /// Share of each expert that is forecast for later.
@@ -15,11 +15,11 @@
     pub may_empty: bool,
 }
 
-impl<'a> Outlook<'a> {
-    /// Returns an outlook without drift, for ranks of equal speed.
+impl<'a> Conditions<'a> {
+    /// Returns conditions without drift, for ranks of equal speed.
     #[must_use]
     pub const fn steady(shares: &'a [f64]) -> Self {
-        Outlook {
+        Conditions {
             now: shares,
             later: shares,
             slowness: &[],
@@ -30,13 +30,13 @@
     /// Sets the slowness of the ranks.
     #[must_use]
     pub const fn slowed(self, slowness: &'a [f64]) -> Self {
-        Outlook { slowness, ..self }
+        Conditions { slowness, ..self }
     }
 
     /// Allows places to be left empty.
     #[must_use]
     pub const fn with_empty_places(self) -> Self {
-        Outlook {
+        Conditions {
             may_empty: true,
             ..self
         }
--- a/crates/rebalance/tests/search.rs
+++ b/crates/rebalance/tests/search.rs
@@ -3,7 +3,7 @@
 use auburnline_core::expert::Layer;
 use auburnline_rebalance::pack;
 use auburnline_rebalance::search;
-use auburnline_rebalance::search::Outlook;
+use auburnline_rebalance::search::Conditions;
 use auburnline_rebalance::skew;
 use auburnline_rebalance::skew::Ranks;
 use googletest::prelude::*;
@@ -28,13 +28,13 @@
     let layer = Layer(vec![0, 1, 2, 3, 4, 5, 6, 7]);
     let now = [0.3, 0.2, 0.1, 0.1, 0.1, 0.1, 0.05, 0.05];
     let later = [0.93, 0.01, 0.01, 0.01, 0.01, 0.01, 0.01, 0.01];
-    let outlook = Outlook {
+    let conditions = Conditions {
         now: &now,
         later: &later,
         slowness: &[],
         may_empty: false,
     };
-    let path = search::improve(&layer, RANKS, outlook, 4);
+    let path = search::improve(&layer, RANKS, conditions, 4);
     expect_that!(path.changes, not(is_empty()));
     expect_that!(path.points.last().unwrap().slowest, lt(0.4));
 }
@@ -45,13 +45,13 @@
     for _ in 0..200 {
         let (now, later) = (random_shares(&mut rng, 12), random_shares(&mut rng, 12));
         let start = pack::layer(&later, &[1.0; RANKS], 4).expect("enough places");
-        let outlook = Outlook {
+        let conditions = Conditions {
             now: &now,
             later: &later,
             slowness: &[],
             may_empty: false,
         };
-        let path = search::improve(&start, RANKS, outlook, 12);
+        let path = search::improve(&start, RANKS, conditions, 12);
         for (count, point) in path.points.iter().enumerate() {
             let layer = path.apply(&start, count);
             let held = |expert: &u16| layer.0.contains(expert);
@@ -80,10 +80,10 @@
     let shares = [0.25; 4];
     let layer = Layer(vec![0, 1, 0, 2, 1, 3, 2, 3]);
     let slowness = [1.0, 10.0, 1.0, 1.0];
-    let outlook = Outlook::steady(&shares)
+    let conditions = Conditions::steady(&shares)
         .slowed(&slowness)
         .with_empty_places();
-    let path = search::improve(&layer, RANKS, outlook, 4);
+    let path = search::improve(&layer, RANKS, conditions, 4);
     let after = path.apply(&layer, path.changes.len());
     let slow = &after.0[2..4];
     expect_that!(slow[0], eq(slow[1]));
