--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -69,7 +69,7 @@
     /// State of a group that the receiver forwards to other gateways.
     Forwarded(Forwarded),
     /// Request for the changes of the published state.
-    Question(spread::Question),
+    Query(spread::Query),
     /// Changes of the published state.
     Answer(spread::Answer),
     /// Request for a configuration that is newer than this version.
@@ -83,7 +83,7 @@
     /// Shares of rate limits that the sender lends to the receiver.
     Loan(Loan),
     /// Request for permission to send to an upstream that has a rate limit.
-    LimitAsk(home::Request),
-    /// Reply to [`Datagram::LimitAsk`].
-    LimitReply(home::Reply),
+    PermitRequest(home::Request),
+    /// Reply to [`Datagram::PermitRequest`].
+    PermitReply(home::Reply),
 }
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -70,7 +70,7 @@
 
 /// Request of a gateway for the changes since the revision it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct Query {
     /// Sequence number assigned by the sender, returned in the [`Answer`].
     pub number: u64,
     /// Revision up to which the sender knows the state.
@@ -88,10 +88,10 @@
     pub configuration: Configuration,
 }
 
-/// Changes that a reader sends, in reply to a [`Question`] or unsolicited.
+/// Changes that a reader sends, in reply to a [`Query`] or unsolicited.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Number of the question; `None` if the answer is unsolicited.
+    /// Number of the query; `None` if the answer is unsolicited.
     pub number: Option<u64>,
     /// Revision after which the changes begin.
     pub since: Revision,
@@ -139,7 +139,7 @@
     kept_after: Revision,
     /// Consecutive requests to the store without an answer.
     failures: u32,
-    /// Number of the last question and the time it was sent.
+    /// Number of the last query and the time it was sent.
     asked: Option<(u64, Monotonic)>,
     number: u64,
 }
@@ -216,11 +216,11 @@
         }
     }
 
-    /// Returns the kept configuration to send in reply to a question; `None` if the sender doesn't
+    /// Returns the kept configuration to send in reply to a query; `None` if the sender doesn't
     /// ask for one or has it already.
     #[must_use]
-    pub fn requested_configuration(&self, question: Question) -> Option<&Update> {
-        let known = question.configuration?;
+    pub fn requested_configuration(&self, query: Query) -> Option<&Update> {
+        let known = query.configuration?;
         self.kept_configuration
             .as_ref()
             .filter(|kept| kept.revision > known)
@@ -312,25 +312,25 @@
         }
     }
 
-    /// Creates the next question; `None` if no full read has succeeded.
-    pub fn question(&mut self, now: Monotonic) -> Option<Question> {
+    /// Creates the next query; `None` if no full read has succeeded.
+    pub fn query(&mut self, now: Monotonic) -> Option<Query> {
         let revision = self.revision?;
         self.number += 1;
         self.asked = Some((self.number, now));
-        Some(Question {
+        Some(Query {
             number: self.number,
             revision,
             configuration: self.awaits_configuration().then_some(self.read),
         })
     }
 
-    /// Returns the answer to a question; `None` if nothing is known yet or the changes since its
+    /// Returns the answer to a query; `None` if nothing is known yet or the changes since its
     /// revision are no longer kept.
     #[must_use]
-    pub fn answer(&self, question: Question, age: Duration) -> Option<Answer> {
-        let answer = self.changes_since(question.revision, age)?;
+    pub fn answer(&self, query: Query, age: Duration) -> Option<Answer> {
+        let answer = self.changes_since(query.revision, age)?;
         Some(Answer {
-            number: Some(question.number),
+            number: Some(query.number),
             ..answer
         })
     }
@@ -376,7 +376,7 @@
             return (Vec::new(), None);
         };
         if answer.since > known || answer.until.generation < known.generation {
-            // Either changes in between are missing, which the next question requests, or the
+            // Either changes in between are missing, which the next query requests, or the
             // reader is behind.
             return (Vec::new(), None);
         }
--- a/crates/gateway/tests/all/restore/mod.rs
+++ b/crates/gateway/tests/all/restore/mod.rs
@@ -14,7 +14,7 @@
 use auburnline_gateway::route::Table;
 use auburnline_gateway::route::Version;
 use auburnline_gateway::spread::Answer;
-use auburnline_gateway::spread::Question;
+use auburnline_gateway::spread::Query;
 use auburnline_gateway::spread::Revision;
 use auburnline_gateway::spread::Update;
 use googletest::prelude::*;
@@ -27,7 +27,7 @@
 const STEP: Duration = Duration::from_millis(100);
 /// Steps between two heartbeats, and between two queries to the readers.
 const BEAT_STEPS: u32 = 3;
-const QUESTION_STEPS: u32 = 6;
+const QUERY_STEPS: u32 = 6;
 /// Time within which a configuration has to be in force everywhere.
 const IN_FORCE: Duration = Duration::from_secs(3);
 /// Time after the end of a gateway's last fault from which it is checked for that.
@@ -90,7 +90,7 @@
 enum Message {
     Heartbeat(Heartbeat),
     JoinReply(Heartbeat),
-    Question(Question),
+    Query(Query),
     Answer(Answer),
     ConfigurationQuery(Option<Version>),
     Configuration(Update),
--- a/crates/gateway/tests/all/restore/world.rs
+++ b/crates/gateway/tests/all/restore/world.rs
@@ -20,7 +20,7 @@
 use super::LOSS_PERCENT;
 use super::Message;
 use super::Node;
-use super::QUESTION_STEPS;
+use super::QUERY_STEPS;
 use super::RECOVERY_TIME;
 use super::REVOCATION;
 use super::STEP;
@@ -138,11 +138,11 @@
                 gateway.roster.receive(&heartbeat, now);
                 None
             }
-            Message::Question(question) => {
-                gateway.spread.note_generation(question.revision.generation);
+            Message::Query(query) => {
+                gateway.spread.note_generation(query.revision.generation);
                 let age = gateway.freshness.age(now).unwrap_or_default();
-                let answer = gateway.spread.answer(question, age).map(Message::Answer);
-                if let Some(update) = gateway.spread.requested_configuration(question).cloned() {
+                let answer = gateway.spread.answer(query, age).map(Message::Answer);
+                if let Some(update) = gateway.spread.requested_configuration(query).cloned() {
                     self.send(number, peers(from), Message::Configuration(update));
                 }
                 answer
@@ -245,10 +245,10 @@
         }
         let is_awaiting = node.gateway.spread.awaits_configuration();
         let (readers, is_reader) = node.gateway.roster.readers(now);
-        if !is_reader && (steps.is_multiple_of(QUESTION_STEPS) || is_awaiting) {
-            let question = node.gateway.spread.question(now);
-            let questions = readers.into_iter().filter_map(|to| Some((to, question?)));
-            messages.extend(questions.map(|(to, question)| (to, Message::Question(question))));
+        if !is_reader && (steps.is_multiple_of(QUERY_STEPS) || is_awaiting) {
+            let query = node.gateway.spread.query(now);
+            let queries = readers.into_iter().filter_map(|to| Some((to, query?)));
+            messages.extend(queries.map(|(to, query)| (to, Message::Query(query))));
         }
         for (to, message) in messages {
             self.send(number, to, message);
--- a/crates/gateway/tests/all/spread.rs
+++ b/crates/gateway/tests/all/spread.rs
@@ -40,8 +40,8 @@
 fn one_that_asks_gets_what_changed_since_and_knows_as_of_its_question() {
     let (mut reader, mut asker) = (spread(), spread());
     reader.take(vec![(at(11), change("a")), (at(12), change("b"))], at(12));
-    let question = asker.question(millis(5_000)).expect("a question");
-    let answer = reader.answer(question, millis(800)).expect("an answer");
+    let query = asker.query(millis(5_000)).expect("a query");
+    let answer = reader.answer(query, millis(800)).expect("an answer");
     let (new, known_at) = asker.apply_answer(answer);
     assert_that!(new, len(eq(2)));
     assert_that!(known_at, some(eq(millis(4_200))));
@@ -52,9 +52,9 @@
 #[gtest]
 fn an_answer_to_another_question_confirms_nothing() {
     let (reader, mut asker) = (spread(), spread());
-    let question = asker.question(millis(1_000)).expect("a question");
-    let late = reader.answer(question, millis(0)).expect("an answer");
-    asker.question(millis(9_000)).expect("a question");
+    let query = asker.query(millis(1_000)).expect("a query");
+    let late = reader.answer(query, millis(0)).expect("an answer");
+    asker.query(millis(9_000)).expect("a query");
     let (_, known_at) = asker.apply_answer(late);
     assert_that!(known_at, none());
 }
@@ -86,15 +86,15 @@
 fn nothing_is_confirmed_before_a_configuration_that_was_heard_of_is_read() {
     let (mut reader, mut asker) = (spread(), spread());
     reader.take(vec![(at(11), Change::Configuration)], at(11));
-    let question = asker.question(millis(1_000)).expect("a question");
-    let (_, known_at) = asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
+    let query = asker.query(millis(1_000)).expect("a query");
+    let (_, known_at) = asker.apply_answer(reader.answer(query, millis(0)).expect("an answer"));
     assert_that!(known_at, none());
     assert_that!(asker.need(true, millis(1_000)), eq(Need::Configuration));
     assert_that!(asker.need(false, millis(1_899)), eq(Need::Nothing));
     assert_that!(asker.need(false, millis(1_900)), eq(Need::Configuration));
     asker.record_configuration(at(11));
-    let question = asker.question(millis(2_000)).expect("a question");
-    let (_, known_at) = asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
+    let query = asker.query(millis(2_000)).expect("a query");
+    let (_, known_at) = asker.apply_answer(reader.answer(query, millis(0)).expect("an answer"));
     assert_that!(known_at, some(eq(millis(2_000))));
 }
 
@@ -114,14 +114,11 @@
     reader.take(vec![(at(11), Change::Configuration)], at(11));
     reader.keep_configuration(update(11));
     reader.record_configuration(at(11));
-    let question = asker.question(millis(1_000)).expect("a question");
-    assert_that!(reader.requested_configuration(question), none());
-    asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
-    let question = asker.question(millis(1_300)).expect("a question");
-    assert_that!(
-        reader.requested_configuration(question),
-        some(eq(&update(11)))
-    );
+    let query = asker.query(millis(1_000)).expect("a query");
+    assert_that!(reader.requested_configuration(query), none());
+    asker.apply_answer(reader.answer(query, millis(0)).expect("an answer"));
+    let query = asker.query(millis(1_300)).expect("a query");
+    assert_that!(reader.requested_configuration(query), some(eq(&update(11))));
     asker.record_configuration(at(11));
     assert_that!(asker.awaits_configuration(), eq(false));
     assert_that!(asker.need(false, millis(9_000)), eq(Need::Nothing));
@@ -143,19 +140,16 @@
     asker.keep_configuration(update(11));
     let mut late = spread();
     late.take(vec![(at(12), Change::Configuration)], at(12));
-    let question = late.question(millis(0)).expect("a question");
-    assert_that!(
-        asker.requested_configuration(question),
-        some(eq(&update(12)))
-    );
+    let query = late.query(millis(0)).expect("a query");
+    assert_that!(asker.requested_configuration(query), some(eq(&update(12))));
 }
 
 #[gtest]
 fn a_reader_that_knows_less_confirms_nothing() {
     let (reader, mut asker) = (spread(), spread());
     asker.take(vec![(at(14), change("a"))], at(14));
-    let question = asker.question(millis(1_000)).expect("a question");
-    let answer = reader.answer(question, millis(0)).expect("an answer");
+    let query = asker.query(millis(1_000)).expect("a query");
+    let answer = reader.answer(query, millis(0)).expect("an answer");
     let (new, known_at) = asker.apply_answer(answer);
     assert_that!(new, is_empty());
     assert_that!(known_at, none());
@@ -170,8 +164,8 @@
     reader.take(changes, at(210));
     let mut heard = 0;
     for _ in 0..10 {
-        let question = asker.question(millis(1_000)).expect("a question");
-        let answer = reader.answer(question, millis(0)).expect("an answer");
+        let query = asker.query(millis(1_000)).expect("a query");
+        let answer = reader.answer(query, millis(0)).expect("an answer");
         heard += asker.apply_answer(answer).0.len();
     }
     assert_that!(heard, eq(200));
@@ -223,11 +217,11 @@
         configuration: configuration(91, Vec::new()),
     };
     reader.keep_configuration(newer.clone());
-    let question = asker.question(millis(1_000)).expect("a question");
-    let (_, known_at) = asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
+    let query = asker.query(millis(1_000)).expect("a query");
+    let (_, known_at) = asker.apply_answer(reader.answer(query, millis(0)).expect("an answer"));
     expect_that!(known_at, none());
-    let question = asker.question(millis(1_300)).expect("a question");
-    expect_that!(reader.requested_configuration(question), some(eq(&newer)));
+    let query = asker.query(millis(1_300)).expect("a query");
+    expect_that!(reader.requested_configuration(query), some(eq(&newer)));
 }
 
 /// Guards against applying changes of one generation of the store to the state of another.
@@ -238,16 +232,16 @@
     new.record_full_read(restored(8), restored(3));
     old.take(vec![(at(11), change("a"))], at(11));
     // The reader only knows the earlier generation.
-    let question = new.question(millis(1_000)).expect("a question");
-    let (changes, known_at) = new.apply_answer(old.answer(question, millis(0)).expect("an answer"));
+    let query = new.query(millis(1_000)).expect("a query");
+    let (changes, known_at) = new.apply_answer(old.answer(query, millis(0)).expect("an answer"));
     expect_that!(changes, is_empty());
     expect_that!(known_at, none());
     expect_that!(new.take(vec![(at(12), change("b"))], at(12)), is_empty());
     expect_that!(new.revision(), some(eq(restored(8))));
     // A reader of the later generation only announces it.
     new.take(vec![(restored(12), change("c"))], restored(12));
-    let question = old.question(millis(1_000)).expect("a question");
-    let answer = new.answer(question, millis(0)).expect("an answer");
+    let query = old.query(millis(1_000)).expect("a query");
+    let answer = new.answer(query, millis(0)).expect("an answer");
     expect_that!(answer.changes, is_empty());
     expect_that!(answer.until, eq(restored(12)));
     expect_that!(old.apply_answer(answer.clone()).1, none());
@@ -269,11 +263,8 @@
     let mut late = Spread::default();
     late.record_full_read(at(4), at(4));
     late.take(vec![(at(5), Change::Configuration)], at(5));
-    let question = late.question(millis(0)).expect("a question");
-    expect_that!(
-        spread.requested_configuration(question),
-        some(eq(&update(20)))
-    );
+    let query = late.query(millis(0)).expect("a query");
+    expect_that!(spread.requested_configuration(query), some(eq(&update(20))));
 }
 
 /// Guards against a wrong report of a generation by another gateway, which would block everything
@@ -290,9 +281,8 @@
     expect_that!(asker.note_generation(9), eq(false));
     expect_that!(asker.need(false, millis(0)), eq(Need::Nothing));
     reader.take(vec![(at(11), change("a"))], at(11));
-    let question = asker.question(millis(1_000)).expect("a question");
-    let (new, known_at) =
-        asker.apply_answer(reader.answer(question, millis(0)).expect("an answer"));
+    let query = asker.query(millis(1_000)).expect("a query");
+    let (new, known_at) = asker.apply_answer(reader.answer(query, millis(0)).expect("an answer"));
     expect_that!(new, len(eq(1)));
     expect_that!(known_at, some(eq(millis(1_000))));
     // The store itself reports the next generation.
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -11,7 +11,7 @@
 use auburnline_gateway::neighbour::HEARTBEAT_PERIOD;
 use auburnline_gateway::neighbour::MAX_COUNTS;
 use auburnline_gateway::route::ServiceId;
-use auburnline_gateway::spread::Question;
+use auburnline_gateway::spread::Query;
 use auburnline_lockstep::message::Digest;
 use auburnline_lockstep::message::Forwarded;
 use auburnline_lockstep::message::Message;
@@ -122,20 +122,20 @@
     if is_reader {
         return;
     }
-    let question = gateway.spread.question(now);
+    let query = gateway.spread.query(now);
     drop(gateway);
-    let Some(question) = question else {
+    let Some(query) = query else {
         return;
     };
     // Only one reader, in rotation, is asked for the configuration, which is by far the longest answer.
-    let turn = usize::try_from(question.number).unwrap_or(0) % readers.len().max(1);
+    let turn = usize::try_from(query.number).unwrap_or(0) % readers.len().max(1);
     for (index, reader) in readers.into_iter().enumerate() {
-        let configuration = question.configuration.filter(|_| index == turn);
-        let question = Question {
+        let configuration = query.configuration.filter(|_| index == turn);
+        let query = Query {
             configuration,
-            ..question
+            ..query
         };
-        shared.send(&Datagram::Question(question), reader);
+        shared.send(&Datagram::Query(query), reader);
     }
 }
 
@@ -165,9 +165,9 @@
                 shared.send(&message, gateway);
             }
         }
-        Ok(Datagram::Question(question)) => {
-            Feed(Rc::clone(shared)).note_generation(question.revision.generation);
-            shared.answer(question, from);
+        Ok(Datagram::Query(query)) => {
+            Feed(Rc::clone(shared)).note_generation(query.revision.generation);
+            shared.answer(query, from);
         }
         Ok(Datagram::ConfigurationQuery(version)) => {
             let update = shared
@@ -184,8 +184,8 @@
         Ok(Datagram::Crashes(marks)) => crash::merge_marks(shared, &marks),
         Ok(Datagram::Limits(notices)) => limit::merge_notices(shared, &notices, from),
         Ok(Datagram::Loan(loan)) => limit::accept_loan(shared, &loan, from),
-        Ok(Datagram::LimitAsk(request)) => limit::answer(shared, request, from),
-        Ok(Datagram::LimitReply(reply)) => limit::deliver_reply(shared, reply),
+        Ok(Datagram::PermitRequest(request)) => limit::answer(shared, request, from),
+        Ok(Datagram::PermitReply(reply)) => limit::deliver_reply(shared, reply),
         Err(error) => {
             let cause = error.to_string();
             log::debug!(target: "neighbours", cause = cause.as_str(); "malformed message");
--- a/crates/relay/src/limit.rs
+++ b/crates/relay/src/limit.rs
@@ -55,7 +55,7 @@
         let consent = self.shared.gateway().consent(upstream, now);
         let (consent, home) = match consent {
             Consent::Ask { home, request } => {
-                let permit = ask_home(&self.shared, home, request).await;
+                let permit = request_permit(&self.shared, home, request).await;
                 let now = self.shared.now();
                 let consent = self.shared.gateway().apply_reply(request, permit, now);
                 let outcome = match permit {
@@ -91,10 +91,14 @@
 }
 
 /// Asks a limit's home for a permit; returns `None` if it does not reply in time.
-async fn ask_home(shared: &Shared, home: SocketAddr, request: home::Request) -> Option<Permit> {
+async fn request_permit(
+    shared: &Shared,
+    home: SocketAddr,
+    request: home::Request,
+) -> Option<Permit> {
     let asked = shared.now();
     let reply = shared.register_permit(request.number);
-    shared.send(&Datagram::LimitAsk(request), home);
+    shared.send(&Datagram::PermitRequest(request), home);
     let permit = timeout(REPLY_TIMEOUT, reply).await.ok()?.ok();
     let took = shared.now().saturating_sub(asked);
     histogram!("auburnline_limit_ask_seconds").record(took);
@@ -110,7 +114,7 @@
         Permit::Denied { .. } => "denied",
     };
     counter!("auburnline_limit_permits_total", "outcome" => outcome).increment(1);
-    shared.send(&Datagram::LimitReply(reply), from);
+    shared.send(&Datagram::PermitReply(reply), from);
 }
 
 /// Handles the reply of a limit's home.
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -14,7 +14,7 @@
 use auburnline_gateway::freshness;
 use auburnline_gateway::message::Datagram;
 use auburnline_gateway::route::ServiceId;
-use auburnline_gateway::spread::Question;
+use auburnline_gateway::spread::Query;
 use auburnline_gateway::spread::Revision;
 use auburnline_gateway::upstream;
 use auburnline_gateway::upstream::Upstream;
@@ -110,15 +110,15 @@
     }
 
     /// Answers another gateway's query for changes.
-    pub(crate) fn answer(&self, question: Question, from: SocketAddr) {
+    pub(crate) fn answer(&self, query: Query, from: SocketAddr) {
         let now = self.now();
         self.subscribers.borrow_mut().insert(from, now);
         let gateway = self.gateway();
         let Some(age) = gateway.freshness.age(now) else {
             return;
         };
-        let answer = gateway.spread.answer(question, age);
-        let update = gateway.spread.requested_configuration(question).cloned();
+        let answer = gateway.spread.answer(query, age);
+        let update = gateway.spread.requested_configuration(query).cloned();
         drop(gateway);
         // The changes go first: the configuration that is asked for is one of them.
         if let Some(answer) = answer {
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -41,7 +41,7 @@
     /// An upstream's entry was written.
     Upstream(Upstream),
     /// An upstream's entry was removed.
-    Missing(UpstreamId),
+    Removed(UpstreamId),
     /// A configuration was written; `None` if it cannot be decoded.
     Configuration(Option<Configuration>),
 }
@@ -137,7 +137,7 @@
         for (revision, change) in changes {
             let change = match change {
                 Change::Upstream(upstream) => spread::Change::Upstream(upstream),
-                Change::Missing(id) => spread::Change::Removed(id),
+                Change::Removed(id) => spread::Change::Removed(id),
                 Change::Configuration(configuration) => {
                     self.apply_configuration_change(revision, configuration);
                     spread::Change::Configuration
