--- a/crates/attempt/tests/model/entry.rs
+++ b/crates/attempt/tests/model/entry.rs
@@ -480,7 +480,7 @@
             Verdict::Dropped => {}
             Verdict::Refused(refusal) => match attempt.refused(slot, &refusal) {
                 Disposition::Resendable(fresh) => {
-                    self.send_unclaimed(entry, call, fresh, refusal.kind)
+                    self.send_unclaimed(entry, call, fresh, refusal.kind);
                 }
                 Disposition::Ended(outcome) => self.end(entry, call, &outcome, &[]),
                 Disposition::Unmatched(attempt) => {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -138,7 +138,7 @@
             }
             Event::SessionDown(instance) => self.session_down(&instance, now),
             Event::Heartbeat(instance, heartbeat) => {
-                self.heard(instance, heartbeat, now, &mut actions)
+                self.heard(instance, heartbeat, now, &mut actions);
             }
             Event::Notice(instance, incarnation) => {
                 self.notice(instance, incarnation, &mut actions);
