--- a/crates/attempt/src/ledger/report.rs
+++ b/crates/attempt/src/ledger/report.rs
@@ -124,8 +124,8 @@
     /// What the slot knows about the id.
     pub presence: Presence,
     /// Other slots that may have run the request. The ledger leaves this empty; the slot fills it
-    /// from `Candidates::also`.
-    pub also: Vec<InstanceId>,
+    /// from `Candidates::unknown_to`.
+    pub other_candidates: Vec<InstanceId>,
 }
 
 /// Result of a cancellation.
@@ -133,7 +133,7 @@
 pub enum Cancellation {
     /// It was queued and will never run here.
     NotRun,
-    /// It is running: cancel it at the upstream, then call `fail` or `lose`.
+    /// It is running: cancel it at the upstream, then call `fail` or `mark_lost`.
     Running,
     /// It had already ended or been refused.
     Ended,
--- a/crates/attempt/tests/model/entry.rs
+++ b/crates/attempt/tests/model/entry.rs
@@ -5,23 +5,23 @@
 use std::time::Duration;
 
 use auburnline_attempt::attempt::Attempt;
+use auburnline_attempt::attempt::Disposition;
 use auburnline_attempt::attempt::Fresh;
 use auburnline_attempt::attempt::Order;
-use auburnline_attempt::attempt::Refusable;
 use auburnline_attempt::attempt::Sent;
 use auburnline_attempt::candidates::Candidates;
-use auburnline_attempt::claim::Aim;
 use auburnline_attempt::claim::Ask;
 use auburnline_attempt::claim::Claim;
-use auburnline_attempt::claim::Goal;
-use auburnline_attempt::claim::Question;
+use auburnline_attempt::claim::Input;
+use auburnline_attempt::claim::Mode;
+use auburnline_attempt::claim::Query;
 use auburnline_attempt::claim::Step;
 use auburnline_attempt::fingerprint;
 use auburnline_attempt::ledger::Finding;
+use auburnline_attempt::ledger::RETRY_WINDOW;
 use auburnline_attempt::ledger::Standing;
 use auburnline_attempt::ledger::Submission;
 use auburnline_attempt::ledger::Verdict;
-use auburnline_attempt::ledger::WINDOW;
 use auburnline_attempt::outcome::Cause;
 use auburnline_attempt::outcome::Outcome;
 use auburnline_attempt::outcome::Unknown;
@@ -173,7 +173,7 @@
             let session = *entry_state.sessions.get(&slot_index(name))?;
             let since = self.sessions[session].since;
             let before = since == 0 || op.first.is_some_and(|first| since <= first);
-            let settled = entry_state.candidates.first(now, age, name);
+            let settled = entry_state.candidates.allows_first_attempt(now, age, name);
             (op.request.idempotent || (before && settled)).then_some(session)
         };
         let subset = self.subset(&op.request.id, all);
@@ -204,7 +204,7 @@
             attempt: attempt.number(),
             age: op
                 .first
-                .map_or(WINDOW, |first| Duration::from_micros(now - first)),
+                .map_or(RETRY_WINDOW, |first| Duration::from_micros(now - first)),
             idempotent: op.request.idempotent,
             fingerprint: fingerprint::of(&op.request),
             incarnation: attempt.target().1,
@@ -223,23 +223,26 @@
         let age = op
             .first
             .map(|first| Duration::from_micros(self.now - first));
-        let Some(cover) = entry_state.candidates.cover(now, age.unwrap_or(WINDOW)) else {
+        let Some(reachable_slots) = entry_state
+            .candidates
+            .reachable_slots(now, age.unwrap_or(RETRY_WINDOW))
+        else {
             let outcome = Outcome::Unknown(Unknown::new(Cause::UnknownPool));
             self.end(entry, call, &outcome, &[]);
             return;
         };
         let current: Vec<InstanceId> = entry_state.candidates.current().cloned().collect();
-        let goal = Goal {
+        let input = Input {
             id: id.clone(),
             fingerprint: fingerprint::of(&op.request),
             age,
-            cover: self.subset(&id, cover),
+            reachable_slots: self.subset(&id, reachable_slots),
             admitting: self.subset(&id, current),
             known_for: entry_state.candidates.known_for(now),
             revision: entry_state.revision,
-            aim: Aim::Run,
+            mode: Mode::Run,
         };
-        let (claim, step) = Claim::begin(now, goal);
+        let (claim, step) = Claim::begin(now, input);
         let incarnation = entry_state.incarnation;
         self.op(entry, call).stage = Stage::Claiming(attempt, claim);
         self.after(CLAIM_TIMEOUT_US, Event::ClaimTimeout { call, incarnation });
@@ -286,9 +289,9 @@
             return;
         };
         self.report.messages += 1;
-        let message = match ask.question {
-            Question::Locate { id, revision } => Message::Locate { call, id, revision },
-            Question::Fence(fence) => Message::Fence { call, fence },
+        let message = match ask.query {
+            Query::Locate { id, revision } => Message::Locate { call, id, revision },
+            Query::Fence(fence) => Message::Fence { call, fence },
         };
         self.post(session, true, message);
     }
@@ -476,9 +479,11 @@
             Verdict::Unsure => self.lose(entry, call, attempt, Cause::Restarted),
             Verdict::Dropped => {}
             Verdict::Refused(refusal) => match attempt.refused(slot, &refusal) {
-                Refusable::Free(fresh) => self.send_unclaimed(entry, call, fresh, refusal.kind),
-                Refusable::Ended(outcome) => self.end(entry, call, &outcome, &[]),
-                Refusable::Foreign(attempt) => {
+                Disposition::Resendable(fresh) => {
+                    self.send_unclaimed(entry, call, fresh, refusal.kind);
+                }
+                Disposition::Ended(outcome) => self.end(entry, call, &outcome, &[]),
+                Disposition::Unmatched(attempt) => {
                     self.op(entry, call).stage = Stage::Submitted(attempt, at);
                 }
             },
--- a/crates/attempt/tests/model/slot.rs
+++ b/crates/attempt/tests/model/slot.rs
@@ -115,7 +115,7 @@
         mut finding: Finding,
     ) {
         let now = self.clock();
-        finding.also = self.slots[index].candidates.also(now, asker);
+        finding.other_candidates = self.slots[index].candidates.unknown_to(now, asker);
         self.post(session, false, Message::Finding { call, finding });
     }
 
@@ -182,7 +182,7 @@
         let now = self.clock();
         let ids: Vec<RequestId> = self.slots[slot].readers.keys().cloned().collect();
         for id in ids {
-            self.slots[slot].ledger.lose(now, &id);
+            self.slots[slot].ledger.mark_lost(now, &id);
             self.stream(slot, &id);
         }
     }
--- a/crates/entry/src/state/submit.rs
+++ b/crates/entry/src/state/submit.rs
@@ -42,7 +42,7 @@
     pub(crate) fn submit(&mut self, mut request: Box<Request>, key: Key, parts: Parts) {
         let now = self.clock.now();
         let attempt = match key {
-            Key::Minted => Attempt::minted(&request),
+            Key::Minted => Attempt::generated(&request),
             Key::Caller => Attempt::new(&request),
         };
         let pool = match self.admit(&mut request, now) {
@@ -190,7 +190,7 @@
     ) {
         let now = self.clock.now();
         exchange.query.excluded.push(group.clone());
-        exchange.ticket = self.router.sent(&group, &exchange.query, now);
+        exchange.ticket = self.router.record_sent(&group, &exchange.query, now);
         let (slot, incarnation) = (link.instance.clone(), link.incarnation);
         let sent = attempt.send(slot, incarnation);
         self.dispatch(stream, exchange, sent, link, group);
@@ -215,7 +215,7 @@
         };
         let new = candidates
             .current()
-            .filter(|slot| !candidates.first(now, age, slot));
+            .filter(|slot| !candidates.allows_first_attempt(now, age, slot));
         new.filter_map(|slot| self.admits.get(slot).cloned())
             .collect()
     }
@@ -354,7 +354,7 @@
     /// Takes a request's tokens from the group that it was sent to.
     pub(crate) fn release(&mut self, exchange: &mut Exchange) {
         if let Some(ticket) = exchange.ticket.take() {
-            self.router.finished(ticket);
+            self.router.record_finished(ticket);
         }
     }
 
