--- a/crates/lockstep/tests/all/cost.rs
+++ b/crates/lockstep/tests/all/cost.rs
@@ -1,12 +1,12 @@
-//! What a pass lasts.
+//! Durations of passes.
 
 use std::time::Duration;
 
 use auburnline_lockstep::cost::Cost;
 use googletest::prelude::*;
 
-/// The users' larger deployments: six steps of 5.85 ms; a request adds 2.79 ms by writing and 0.59 ms by the part of its
-/// prompt that is read in a pass.
+/// Cost on the users' larger deployments: six steps of 5.85 ms; a request adds 2.79 ms for decoding and 0.59 ms for the part
+/// of its prompt that is prefilled in a pass.
 const COST: Cost = Cost {
     base: Duration::from_micros(35_100),
     request: Duration::from_micros(3_380),
@@ -14,8 +14,8 @@
     longest_pause: Duration::from_millis(120),
 };
 
-/// Grounds: the lead of a group on grown scale-1 told passes of 72.3 ms in the mean of a second, with 150 requests on 24
-/// ranks and a skew of 1.6 (`fleetbench run`, 20.1 to 22.1 s).
+/// The reference value is from the bench: on the grown scale-1 deployment, the leader of a group logged a mean pass of
+/// 72.3 ms over a second, with 150 requests on 24 ranks and a skew of 1.6 (`fleetbench run`, 20.1 to 22.1 s).
 #[gtest]
 fn a_pass_lasts_as_long_as_the_bench_shows() {
     let pass = COST.pass(150.0 / 24.0, 1.6).as_secs_f64() * 1_000.0;
